--- a/crates/adapter/src/protocol/mod.rs
+++ b/crates/adapter/src/protocol/mod.rs
@@ -9,7 +9,7 @@
 
 use policy::types::{Event, Micros};
 use policy::DeliveryPolicy;
-use tenancy::Shares;
+use tenancy::FairQueueScheduler;
 
 pub use encode::encode_action;
 pub use error::ProtocolError;
@@ -97,7 +97,7 @@
                     seed,
                     settings,
                 } => {
-                    let shares = Box::new(Shares::of(&settings));
+                    let shares = Box::new(FairQueueScheduler::from_settings(&settings));
                     let policy = DeliveryPolicy::with_scheduler(*settings, seed, shares);
                     self.relays.insert(relay, policy);
                     events_by_relay.insert(relay, Vec::new());
--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -14,7 +14,7 @@
 use relay_events::{undeliverable, RelayEvent};
 use serde::Deserialize;
 use tenancy::registry::{Change, Command};
-use tenancy::spec::{OnRemoval, Spec};
+use tenancy::spec::{OnRemoval, TenantSpec};
 use tokio::sync::{mpsc, oneshot, watch};
 use utoipa::openapi::security::{HttpAuthScheme, HttpBuilder, SecurityScheme};
 use utoipa::openapi::OpenApi;
@@ -272,7 +272,11 @@
     asked.caller.may(Role::Admin)?;
     let NewTenant { name, spec } = asked.json(JSON)?;
     asked.caller.may_for(Role::Admin, &name)?;
-    let command = asked.command(&name, tenancy::registry::Expect::Any, Change::Create(spec))?;
+    let command = asked.command(
+        &name,
+        tenancy::registry::Precondition::Any,
+        Change::Create(spec),
+    )?;
     api.change(command, StatusCode::CREATED).await
 }
 
@@ -325,7 +329,7 @@
         .may_for(if makes { Role::Admin } else { Role::Operator }, &name)?;
     let Replacement { spec } = asked.json(JSON)?;
     if makes {
-        let any = tenancy::registry::Expect::Any;
+        let any = tenancy::registry::Precondition::Any;
         return api
             .change(
                 asked.command(&name, any, Change::Create(spec))?,
@@ -439,7 +443,7 @@
     let NewSecret { id, sha256 } = asked.json(JSON)?;
     let sha256 = sha256
         .parse()
-        .map_err(|e| Problem::from(tenancy::registry::Refusal::Invalid(e)))?;
+        .map_err(|e| Problem::from(tenancy::registry::RegistryError::Invalid(e)))?;
     let command = asked.command(&name, asked.expect()?, Change::AddSecret { id, sha256 })?;
     api.change(command, StatusCode::CREATED).await
 }
@@ -509,7 +513,7 @@
             looked through, claimed and sent again. A change names the state that it is meant for by If-Match; of two \
             who change the same state, one wins. What was answered with 2xx holds over any end of the process.",
         license(name = "MIT", identifier = "MIT")),
-    components(schemas(Spec)),
+    components(schemas(TenantSpec)),
     security(("bearer" = [])),
     modifiers(&Bearer)
 )]
--- a/crates/admin/src/auth.rs
+++ b/crates/admin/src/auth.rs
@@ -4,7 +4,7 @@
 
 use relay_events::tenants::Scope;
 use tenancy::registry::Actor;
-use tenancy::secret::{Digest, LONGEST};
+use tenancy::secret::{Digest, MAX_SECRET_BYTES};
 
 use crate::problem::Problem;
 use crate::settings::{Role, Token};
@@ -29,13 +29,19 @@
         let header = header.ok_or_else(|| Problem::unauthorized("a bearer token is needed"))?;
         let (scheme, token) = header.split_once(' ').unwrap_or((header, ""));
         let token = token.trim();
-        if !scheme.eq_ignore_ascii_case("bearer") || token.is_empty() || token.len() > LONGEST {
+        if !scheme.eq_ignore_ascii_case("bearer")
+            || token.is_empty()
+            || token.len() > MAX_SECRET_BYTES
+        {
             return Err(Problem::unauthorized(
                 "the authorization is no bearer token",
             ));
         }
         let digest = Digest::of(token.as_bytes());
-        let found = self.0.iter().find(|known| known.sha256.same(&digest));
+        let found = self
+            .0
+            .iter()
+            .find(|known| known.sha256.constant_time_eq(&digest));
         let found = found.ok_or_else(|| Problem::unauthorized("the token is not known"))?;
         Ok(Caller {
             name: found.name.clone(),
@@ -112,7 +118,7 @@
         assert_eq!(who("Bearer see").as_deref(), Ok("vi"));
         assert_eq!(who("bearer  turn ").as_deref(), Ok("op"));
         let digest = Digest::of(b"all").to_string();
-        let long = format!("Bearer {}", "x".repeat(LONGEST + 1));
+        let long = format!("Bearer {}", "x".repeat(MAX_SECRET_BYTES + 1));
         for bad in [
             "",
             "Bearer",
--- a/crates/admin/src/model.rs
+++ b/crates/admin/src/model.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use tenancy::audit::{rfc3339, Entry};
 use tenancy::registry::State;
-use tenancy::spec::Spec;
+use tenancy::spec::TenantSpec;
 use utoipa::ToSchema;
 
 /// A tenant.
@@ -19,7 +19,7 @@
     /// Where it stands.
     pub state: State,
     /// What is set of it.
-    pub spec: Spec,
+    pub spec: TenantSpec,
     /// Its secrets, by name.
     pub secrets: Vec<Secret>,
     /// When it was made.
@@ -70,7 +70,7 @@
     pub name: String,
     /// What is set of it.
     #[serde(default)]
-    pub spec: Spec,
+    pub spec: TenantSpec,
 }
 
 /// Another specification in place of what there is.
@@ -78,7 +78,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Replacement {
     /// The whole of it: what is absent has its default.
-    pub spec: Spec,
+    pub spec: TenantSpec,
 }
 
 /// Parts of the specification that are to change (RFC 7396): what is absent stays, what is null goes back to its
@@ -151,7 +151,7 @@
             name: usage.name,
             version: usage.version.to_string(),
             since: rfc3339(since_ms),
-            taken: usage.counts.taken,
+            taken: usage.counts.accepted,
             delivered: usage.counts.delivered,
             refused: usage.counts.refused,
             failed: usage.counts.failed,
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -4,7 +4,7 @@
 use axum::http::{HeaderValue, StatusCode};
 use axum::response::{IntoResponse, Response};
 use serde::Serialize;
-use tenancy::registry::Refusal;
+use tenancy::registry::RegistryError;
 
 /// What went wrong, as RFC 9457 has it.
 #[derive(Debug, Serialize, utoipa::ToSchema)]
@@ -108,26 +108,26 @@
     }
 }
 
-impl From<Refusal> for Problem {
-    fn from(refusal: Refusal) -> Self {
+impl From<RegistryError> for Problem {
+    fn from(refusal: RegistryError) -> Self {
         let detail = refusal.to_string();
         let problem = |status, kind| Problem::new(status, kind, detail.clone());
         match refusal {
-            Refusal::Unknown(_) => problem(StatusCode::NOT_FOUND, "no-such-tenant"),
-            Refusal::Gone(_) => problem(StatusCode::GONE, "tenant-removed"),
-            Refusal::Exists(_) => problem(StatusCode::CONFLICT, "tenant-exists"),
-            Refusal::Draining(_) => problem(StatusCode::CONFLICT, "tenant-draining"),
-            Refusal::Stale(current) => Problem::stale(current.to_string(), detail.clone()),
-            Refusal::Invalid(invalid) => {
+            RegistryError::Unknown(_) => problem(StatusCode::NOT_FOUND, "no-such-tenant"),
+            RegistryError::Gone(_) => problem(StatusCode::GONE, "tenant-removed"),
+            RegistryError::Exists(_) => problem(StatusCode::CONFLICT, "tenant-exists"),
+            RegistryError::Draining(_) => problem(StatusCode::CONFLICT, "tenant-draining"),
+            RegistryError::Stale(current) => Problem::stale(current.to_string(), detail.clone()),
+            RegistryError::Invalid(invalid) => {
                 let problem = problem(StatusCode::UNPROCESSABLE_ENTITY, "invalid-value");
                 Problem {
                     more: More::Field(invalid.field),
                     ..problem
                 }
             }
-            Refusal::TooMany { .. } => problem(StatusCode::CONFLICT, "too-many"),
-            Refusal::Secret(_) => problem(StatusCode::CONFLICT, "secret"),
-            Refusal::KeyReused => {
+            RegistryError::TooMany { .. } => problem(StatusCode::CONFLICT, "too-many"),
+            RegistryError::Secret(_) => problem(StatusCode::CONFLICT, "secret"),
+            RegistryError::KeyReused => {
                 problem(StatusCode::UNPROCESSABLE_ENTITY, "idempotency-key-reused")
             }
         }
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -6,7 +6,7 @@
 use axum::http::request::Parts;
 use axum::http::{HeaderMap, StatusCode};
 use serde::de::DeserializeOwned;
-use tenancy::registry::{Change, Command, Expect, Version};
+use tenancy::registry::{Change, Command, Precondition, Version};
 use tenancy::secret::Digest;
 
 use crate::api::Api;
@@ -171,11 +171,11 @@
     }
 
     /// Which state the change is meant for.
-    pub fn expect(&self) -> Result<Expect, Problem> {
+    pub fn expect(&self) -> Result<Precondition, Problem> {
         match tags(&self.headers, IF_MATCH.as_str())? {
             None => Err(Problem::precondition_required()),
-            Some(Tags::Any) => Ok(Expect::Any),
-            Some(Tags::These(versions)) => Ok(Expect::OneOf(versions)),
+            Some(Tags::Any) => Ok(Precondition::Any),
+            Some(Tags::These(versions)) => Ok(Precondition::OneOf(versions)),
         }
     }
 
@@ -207,7 +207,7 @@
     pub fn command(
         &self,
         tenant: &str,
-        expect: Expect,
+        expect: Precondition,
         change: Change,
     ) -> Result<Command, Problem> {
         let key = name(&self.headers, "idempotency-key")?;
@@ -216,7 +216,7 @@
             request: self.request.clone(),
             key: key.map(|key| (key.to_string(), self.digest.clone())),
             name: tenant.into(),
-            expect,
+            precondition: expect,
             change,
         })
     }
--- a/crates/relay-events/src/lib.rs
+++ b/crates/relay-events/src/lib.rs
@@ -12,7 +12,7 @@
 use policy::types::{AttemptOutcome, DestinationId, HostId, HostState, MessageId, Micros};
 use runtime::Runtime;
 use serde::{Deserialize, Serialize};
-use tenancy::registry::Login;
+use tenancy::registry::Session;
 use tokio::sync::oneshot;
 
 use tenants::{LoginRequest, TenantCall};
@@ -107,7 +107,7 @@
     /// The content.
     pub body: Bytes,
     /// The session of its client, if authenticated.
-    pub login: Option<Login>,
+    pub login: Option<Session>,
     /// Channel for the reply; none if nobody waits for it.
     pub reply: Option<oneshot::Sender<Reply>>,
 }
--- a/crates/relay-events/src/tenants.rs
+++ b/crates/relay-events/src/tenants.rs
@@ -1,7 +1,7 @@
 //! Requests of front ends about tenants, and the responses.
 
 use tenancy::audit::Entry;
-use tenancy::registry::{Action, Command, Counts, Login, Refusal, Tenant, Version};
+use tenancy::registry::{Action, Command, RegistryError, Session, Tenant, TenantCounters, Version};
 pub use tenancy::Scope;
 use tokio::sync::oneshot;
 
@@ -55,7 +55,7 @@
     /// The tenant's version.
     pub version: Version,
     /// Counters since the relay's start.
-    pub counts: Counts,
+    pub counts: TenantCounters,
     /// Messages queued or in flight.
     pub held: usize,
     /// Messages with an open call.
@@ -106,7 +106,7 @@
     /// The state of the registry.
     RegistryReport(RegistryReport),
     /// The request was refused, or there is nothing to show.
-    Refused(Refusal),
+    Refused(RegistryError),
     /// Nothing was changed, as the change could not be written to disk, for this reason.
     NotKept(String),
 }
@@ -126,5 +126,5 @@
     /// The secret.
     pub secret: Vec<u8>,
     /// Channel for the session; none if name or secret is wrong.
-    pub reply: oneshot::Sender<Option<Login>>,
+    pub reply: oneshot::Sender<Option<Session>>,
 }
--- a/crates/relay/src/client_connections/request/mod.rs
+++ b/crates/relay/src/client_connections/request/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use policy::types::Micros;
 use relay_events::EnqueueRequest;
-use tenancy::secret::LONGEST as MAX_SECRET_BYTES;
+use tenancy::secret::MAX_SECRET_BYTES;
 use thiserror::Error;
 
 /// The longest name of a message, a tenant or an idempotency key.
--- a/crates/relay/src/client_connections/request_handler.rs
+++ b/crates/relay/src/client_connections/request_handler.rs
@@ -6,7 +6,7 @@
 use relay_events::tenants::LoginRequest;
 use relay_events::{Clock, EnqueueRequest, RelayEvent, Reply};
 use runtime::Runtime;
-use tenancy::registry::Login;
+use tenancy::registry::Session;
 use tokio::sync::{mpsc, oneshot};
 
 use super::request::{parse_request, Authentication, Credentials, Request, RequestError};
@@ -33,7 +33,7 @@
 /// Whom a connection has authenticated as.
 struct AuthenticatedSession {
     authentication: Authentication,
-    login: Option<Login>,
+    login: Option<Session>,
     failed_authentications: u32,
 }
 
--- a/crates/relay/src/in_flight.rs
+++ b/crates/relay/src/in_flight.rs
@@ -6,7 +6,7 @@
 
 use policy::types::MessageId;
 use relay_events::Reply;
-use tenancy::registry::name_of;
+use tenancy::registry::tenant_name;
 use tokio::sync::oneshot;
 
 use crate::journal::AcceptedMessage;
@@ -30,7 +30,7 @@
     /// The name of a message that was submitted for a tenant.
     pub fn new(tenant: &str, name: &str) -> Self {
         // Names are shared by all generations of a tenant.
-        let tenant = name_of(tenant);
+        let tenant = tenant_name(tenant);
         // The separator is unambiguous: no tenant's name contains a line break.
         MessageName(format!("{tenant}\n{name}"))
     }
--- a/crates/relay/src/tenant_service/audit.rs
+++ b/crates/relay/src/tenant_service/audit.rs
@@ -6,7 +6,7 @@
 
 use runtime::{log, File, Runtime};
 use tenancy::audit::Entry;
-use tenancy::registry::Record;
+use tenancy::registry::ChangeRecord;
 
 /// The file that is written; older ones have a number before their ending, the oldest the highest.
 const FILE: &str = "audit.jsonl";
@@ -39,7 +39,7 @@
         runtime: &R,
         folder: &Path,
         most: (u64, u32),
-        changes: &BTreeMap<u64, Record>,
+        changes: &BTreeMap<u64, ChangeRecord>,
     ) -> Result<Self, String> {
         let path = folder.join(FILE);
         let bad = |e: io::Error| format!("cannot use {}: {e}", path.display());
@@ -79,7 +79,7 @@
     }
 
     /// Adds a change. Where the file can't be written, it waits.
-    pub fn append(&mut self, record: &Record) {
+    pub fn append(&mut self, record: &ChangeRecord) {
         let entry = Entry::of(record);
         self.at_hand.push_back(entry.clone());
         if self.at_hand.len() > AT_HAND {
--- a/crates/relay/src/tenant_service/mod.rs
+++ b/crates/relay/src/tenant_service/mod.rs
@@ -15,10 +15,11 @@
 use relay_events::{Clock, DeliveryFailure, Reply};
 use runtime::{log, Runtime};
 use tenancy::registry::{
-    Actor, Change, Command, Decision, Entry, Expect, Login, Record, Refusal, State,
+    Actor, Change, ChangeRecord, Command, Decision, Precondition, RegistryError, Session, State,
+    TenantEntry,
 };
-use tenancy::spec::Spec;
-use tenancy::{Registry, Shares};
+use tenancy::spec::TenantSpec;
+use tenancy::{FairQueueScheduler, Registry};
 
 use crate::host_directory::index_of;
 use crate::operator_config;
@@ -85,19 +86,26 @@
     /// The classes of the settings from now on.
     pub fn set_classes(&mut self, classes: &[String]) {
         if let Tenants::Hosted(hosted) = self {
-            hosted.registry.know_classes(classes);
+            hosted.registry.set_known_classes(classes);
         }
     }
 
     /// Who shares the relay with whom, and what the module is told first.
     pub fn scheduler(&self, settings: &Settings) -> (Box<dyn TenantScheduler>, Vec<Event>) {
         match self {
-            Tenants::Fixed(_) => (Box::new(Shares::of(settings)), Vec::new()),
+            Tenants::Fixed(_) => (
+                Box::new(FairQueueScheduler::from_settings(settings)),
+                Vec::new(),
+            ),
             Tenants::Hosted(hosted) => {
-                let told =
-                    |entry: &Entry| Event::TenantChanged(entry.number, Some(entry.tenant.terms()));
+                let told = |entry: &TenantEntry| {
+                    Event::TenantChanged(entry.number, Some(entry.tenant.terms()))
+                };
                 let events = hosted.registry.entries().map(told).collect();
-                (Box::new(Shares::new(settings.max_calls)), events)
+                (
+                    Box::new(FairQueueScheduler::new(settings.max_calls)),
+                    events,
+                )
             }
         }
     }
@@ -108,7 +116,7 @@
         let Tenants::Hosted(hosted) = self else {
             return Vec::new();
         };
-        let until = |entry: &Entry| {
+        let until = |entry: &TenantEntry| {
             (
                 entry.tenant.reference(),
                 sharing.rate_used_until(entry.number),
@@ -138,7 +146,7 @@
     }
 
     /// Whether a client may speak for a tenant, as whom it has named itself.
-    pub fn check_login(&mut self, name: &str, login: Option<&Login>) -> Result<(), Reply> {
+    pub fn check_login(&mut self, name: &str, login: Option<&Session>) -> Result<(), Reply> {
         let Tenants::Hosted(hosted) = self else {
             return Ok(());
         };
@@ -146,7 +154,7 @@
             return Ok(());
         }
         let login = login
-            .filter(|login| hosted.registry.knows(login))
+            .filter(|login| hosted.registry.is_session_valid(login))
             .ok_or(Reply::NoAuth)?;
         if login.tenant == name {
             return Ok(());
@@ -177,9 +185,9 @@
             Tenants::Hosted(hosted) => {
                 let entry = hosted
                     .registry
-                    .admits(name, class, destination)
+                    .check_admission(name, class, destination)
                     .map_err(error)?;
-                entry.owed += 1;
+                entry.unacknowledged += 1;
                 Ok((entry.number, entry.tenant.reference()))
             }
         }
@@ -193,17 +201,17 @@
                 index_of(names, reference).or_else(|| names.len().try_into().ok())
             }
             Tenants::Hosted(hosted) => {
-                let entry = hosted.registry.recall(reference)?;
-                entry.owed += 1;
+                let entry = hosted.registry.entry_by_reference(reference)?;
+                entry.unacknowledged += 1;
                 Some(entry.number)
             }
         }
     }
 
-    fn entry(&mut self, reference: &str) -> Option<&mut Entry> {
+    fn entry(&mut self, reference: &str) -> Option<&mut TenantEntry> {
         match self {
             Tenants::Fixed(_) => None,
-            Tenants::Hosted(hosted) => hosted.registry.recall(reference),
+            Tenants::Hosted(hosted) => hosted.registry.entry_by_reference(reference),
         }
     }
 
@@ -211,7 +219,7 @@
     pub fn message_rejected(&mut self, reference: &str) {
         if let Some(entry) = self.entry(reference) {
             entry.counts.refused += 1;
-            entry.owed = entry.owed.saturating_sub(1);
+            entry.unacknowledged = entry.unacknowledged.saturating_sub(1);
         }
     }
 
@@ -219,7 +227,7 @@
     pub fn message_accepted(&mut self, reference: &str) {
         self.entry(reference)
             .into_iter()
-            .for_each(|entry| entry.counts.taken += 1);
+            .for_each(|entry| entry.counts.accepted += 1);
     }
 
     /// A message was delivered.
@@ -247,7 +255,7 @@
                 !names.is_empty() && !names.iter().any(|name| name == reference)
             }
             Tenants::Hosted(hosted) => {
-                let entry = hosted.registry.recall(reference);
+                let entry = hosted.registry.entry_by_reference(reference);
                 entry.is_none_or(|entry| entry.tenant.state == State::Draining)
             }
         }
@@ -259,7 +267,7 @@
             Tenants::Fixed(names) => names.is_empty() || names.iter().any(|name| name == reference),
             Tenants::Hosted(hosted) => hosted
                 .registry
-                .recall(reference)
+                .entry_by_reference(reference)
                 .is_some_and(|entry| entry.tenant.state == State::Active),
         }
     }
@@ -267,15 +275,15 @@
     /// Nothing more is owed for a message.
     pub fn message_released(&mut self, reference: &str) {
         if let Some(entry) = self.entry(reference) {
-            entry.owed = entry.owed.saturating_sub(1);
+            entry.unacknowledged = entry.unacknowledged.saturating_sub(1);
         }
     }
 
     /// Whom a client is taken for.
-    pub fn login(&self, name: &str, secret: &[u8]) -> Option<Login> {
+    pub fn login(&self, name: &str, secret: &[u8]) -> Option<Session> {
         match self {
             Tenants::Fixed(_) => None,
-            Tenants::Hosted(hosted) => hosted.registry.login(name, secret),
+            Tenants::Hosted(hosted) => hosted.registry.authenticate(name, secret),
         }
     }
 
@@ -333,7 +341,7 @@
         } = Store::open(runtime, folder, operator.store_bytes(), classes)?;
         let audit = Audit::open(runtime, folder, operator.audit(), &changes)?;
         // Guards against an end that both files have lost, which they can't tell: the audit log was told of it.
-        let lost = registry.follow(audit.last_written());
+        let lost = registry.skip_to_sequence(audit.last_written());
         if lost > 0 {
             log!(
                 *runtime,
@@ -355,7 +363,7 @@
         if fresh && operator.import {
             for (name, share) in known {
                 let weight =
-                    (share * WHOLE).clamp(1.0, f64::from(tenancy::spec::MOST_WEIGHT)) as u32;
+                    (share * WHOLE).clamp(1.0, f64::from(tenancy::spec::MAX_WEIGHT)) as u32;
                 let command = Command {
                     actor: Actor {
                         name: "configuration".into(),
@@ -364,10 +372,10 @@
                     request: String::new(),
                     key: None,
                     name: name.clone(),
-                    expect: Expect::Any,
-                    change: Change::Create(Spec {
+                    precondition: Precondition::Any,
+                    change: Change::Create(TenantSpec {
                         weight,
-                        ..Spec::default()
+                        ..TenantSpec::default()
                     }),
                 };
                 if let TenantResponse::Refused(why) = hosted.change(command, &mut Vec::new()) {
@@ -384,7 +392,7 @@
         if let Ok(entry) = self.registry.find(name) {
             let reference = entry.tenant.reference();
             self.registry
-                .recall(&reference)
+                .entry_by_reference(&reference)
                 .into_iter()
                 .for_each(|entry| entry.counts.rejected += 1);
         }
@@ -393,7 +401,7 @@
     fn shown(&self, tenant: tenancy::registry::Tenant) -> Box<TenantView> {
         let draining = self
             .registry
-            .draining(&tenant.name)
+            .draining_entries(&tenant.name)
             .iter()
             .map(|entry| entry.tenant.version);
         let draining = draining
@@ -415,7 +423,7 @@
                 Err(why) => TenantResponse::Refused(why),
             },
             TenantRequest::Page { after, most, scope } => {
-                let page = self.registry.page(after.as_deref());
+                let page = self.registry.newest_entries_after(after.as_deref());
                 let mut page = page.filter(|entry| scope.covers(&entry.tenant.name));
                 let tenants = page
                     .by_ref()
@@ -426,7 +434,7 @@
             }
             TenantRequest::UsageReport(name) => match self.registry.find(&name) {
                 Ok(entry) => {
-                    let drains = self.registry.draining(&name).iter();
+                    let drains = self.registry.draining_entries(&name).iter();
                     let drains = drains.filter(|other| other.number != entry.number);
                     let all = std::iter::once(entry).chain(drains);
                     TenantResponse::UsageReport(
@@ -453,7 +461,7 @@
             }
             TenantRequest::RegistryReport => TenantResponse::RegistryReport(RegistryReport {
                 tenants: self.registry.len(),
-                seq: self.registry.seq(),
+                seq: self.registry.last_sequence(),
                 lost: self.store.lost,
                 untold: self.audit.unwritten(),
                 since_ms: self.since_ms,
@@ -467,8 +475,8 @@
             Err(why) => return TenantResponse::Refused(why),
         };
         match decision {
-            Decision::Nothing(tenant) => TenantResponse::Unchanged(self.shown(*tenant)),
-            Decision::Again(answered) => {
+            Decision::Unchanged(tenant) => TenantResponse::Unchanged(self.shown(*tenant)),
+            Decision::Replay(answered) => {
                 let shown = self.shown(answered.tenant);
                 TenantResponse::Changed {
                     shown,
@@ -476,7 +484,7 @@
                     again: true,
                 }
             }
-            Decision::Make(record) => {
+            Decision::Commit(record) => {
                 if let Err(why) = self.make(&record, events) {
                     return TenantResponse::NotKept(why);
                 }
@@ -486,14 +494,14 @@
                         action: record.action,
                         again: false,
                     },
-                    None => TenantResponse::Refused(Refusal::Gone(command.name)),
+                    None => TenantResponse::Refused(RegistryError::Gone(command.name)),
                 }
             }
         }
     }
 
     /// Keeps a change, makes it, and tells the module and the audit log.
-    fn make(&mut self, record: &Record, events: &mut Vec<Event>) -> Result<(), String> {
+    fn make(&mut self, record: &ChangeRecord, events: &mut Vec<Event>) -> Result<(), String> {
         if self.audit.unwritten() >= MOST_UNTOLD {
             self.audit.flush();
             if self.audit.unwritten() >= MOST_UNTOLD {
@@ -515,7 +523,11 @@
 
     fn run_maintenance(&mut self, events: &mut Vec<Event>) -> bool {
         let now = unix_ms(&self.clock);
-        if let Some(record) = self.registry.drained(now).filter(|_| self.retry_ms <= now) {
+        if let Some(record) = self
+            .registry
+            .next_drained(now)
+            .filter(|_| self.retry_ms <= now)
+        {
             if let Err(why) = self.make(&record, events) {
                 log!(
                     self.runtime,
@@ -535,13 +547,13 @@
     }
 }
 
-fn usage(entry: &Entry, load: TenantUsage) -> UsageReport {
+fn usage(entry: &TenantEntry, load: TenantUsage) -> UsageReport {
     UsageReport {
         name: entry.tenant.name.clone(),
         version: entry.tenant.version,
         counts: entry.counts,
         held: load.queued,
         in_flight: load.in_flight,
-        owed: entry.owed,
+        owed: entry.unacknowledged,
     }
 }
--- a/crates/relay/src/tenant_service/store.rs
+++ b/crates/relay/src/tenant_service/store.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 
 use runtime::{log, File, Runtime};
-use tenancy::record::{self, Snapshot};
-use tenancy::registry::Record;
+use tenancy::record::{self, SnapshotWriter};
+use tenancy::registry::ChangeRecord;
 use tenancy::Registry;
 
 /// The files, the leading one first.
@@ -31,7 +31,7 @@
 /// A rewriting under way.
 enum Rewriting<F> {
     /// The snapshot is being taken.
-    Taking(Snapshot),
+    Taking(SnapshotWriter),
     /// It is being written to one of the files.
     Writing {
         copy: usize,
@@ -64,7 +64,7 @@
     pub store: Store<R>,
     pub registry: Registry,
     /// Changes that the files still hold.
-    pub changes: BTreeMap<u64, Record>,
+    pub changes: BTreeMap<u64, ChangeRecord>,
     /// There were no files.
     pub fresh: bool,
 }
@@ -101,7 +101,7 @@
         let fresh = texts.iter().all(Option::is_none);
         let read = record::recover(classes, texts[0].as_deref(), texts[1].as_deref())
             .map_err(|e| e.to_string())?;
-        let registry = Registry::restored(classes.to_vec(), read.kept);
+        let registry = Registry::restore(classes.to_vec(), read.state);
         let mut store = Store {
             runtime: runtime.clone(),
             copies,
@@ -111,17 +111,17 @@
             tail: Vec::new(),
             failed: false,
             spoilt: false,
-            lost: read.lost,
+            lost: read.lost_changes,
         };
-        if read.lost > 0 {
+        if read.lost_changes > 0 {
             log!(
                 *runtime,
                 "tenants: {} changes are lost, a tenant may stand as it did before one",
-                read.lost
+                read.lost_changes
             );
         }
-        store.snapshot = record::snapshot(&registry, read.lost).len() as u64;
-        if fresh || read.spoilt {
+        store.snapshot = record::encode_snapshot(&registry, read.lost_changes).len() as u64;
+        if fresh || read.needs_repair {
             if !fresh {
                 log!(
                     *runtime,
@@ -163,8 +163,8 @@
     }
 
     /// Keeps a change. Once this returns, it outlasts the process; an error leaves no trace of it.
-    pub fn append(&mut self, record: &Record) -> io::Result<()> {
-        let text = record::change(record);
+    pub fn append(&mut self, record: &ChangeRecord) -> io::Result<()> {
+        let text = record::encode_change(record);
         if self.copies[0].length + text.len() as u64 > self.limit {
             self.failed = false;
             return Err(io::Error::new(
@@ -185,12 +185,16 @@
     }
 
     /// Writes both files anew at once.
-    fn anew(&mut self, registry: &Registry, untold: &BTreeMap<u64, Record>) -> io::Result<()> {
-        let mut text = record::snapshot(registry, self.lost);
+    fn anew(
+        &mut self,
+        registry: &Registry,
+        untold: &BTreeMap<u64, ChangeRecord>,
+    ) -> io::Result<()> {
+        let mut text = record::encode_snapshot(registry, self.lost);
         self.snapshot = text.len() as u64;
         untold
             .values()
-            .for_each(|change| text.extend(record::change(change)));
+            .for_each(|change| text.extend(record::encode_change(change)));
         for copy in &mut self.copies {
             let fresh = fresh_path(&copy.path);
             let mut file = self.runtime.create(&fresh)?;
@@ -214,7 +218,7 @@
         let grown = grown || self.copies[1].behind || self.spoilt;
         if self.rewriting.is_none() && grown && !self.failed {
             self.tail.clear();
-            self.rewriting = Some(Rewriting::Taking(Snapshot::begin(registry, self.lost)));
+            self.rewriting = Some(Rewriting::Taking(SnapshotWriter::new(registry, self.lost)));
         }
         let Some(rewriting) = self.rewriting.take() else {
             return;
@@ -241,12 +245,12 @@
     ) -> io::Result<Option<Rewriting<R::File>>> {
         match rewriting {
             Rewriting::Taking(mut snapshot) => {
-                if !snapshot.take(registry, SLICE.0) {
+                if !snapshot.append_entries(registry, SLICE.0) {
                     return Ok(Some(Rewriting::Taking(snapshot)));
                 }
                 Ok(Some(Rewriting::Writing {
                     copy: 0,
-                    text: snapshot.text(),
+                    text: snapshot.into_bytes(),
                     done: 0,
                     file: None,
                 }))
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -5,9 +5,9 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use tenancy::registry::{Action, Actor, Record, Secret, State, Tenant, Version};
+use tenancy::registry::{Action, Actor, ChangeRecord, Secret, State, Tenant, Version};
 use tenancy::secret::Digest;
-use tenancy::spec::Spec;
+use tenancy::spec::TenantSpec;
 use tenancy::{record, Registry};
 
 use crate::dice::Dice;
@@ -213,15 +213,15 @@
                 revision: 1,
             },
             state: State::Active,
-            spec: Spec {
+            spec: TenantSpec {
                 weight,
-                ..Spec::default()
+                ..TenantSpec::default()
             },
             secrets: vec![secret],
             created_at_ms: 0,
             changed_at_ms: 0,
         };
-        registry.commit(&Record {
+        registry.commit(&ChangeRecord {
             seq,
             at_ms: 0,
             actor: Actor {
@@ -235,7 +235,7 @@
             to: Some(to),
         });
     }
-    record::snapshot(&registry, 0)
+    record::encode_snapshot(&registry, 0)
 }
 
 /// An errand, or two that belong together: what is paused or removed comes back, so that the day goes on.
--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -4,26 +4,27 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::registry::{Action, Record, State, Tenant};
-use crate::spec::Spec;
+use crate::registry::{Action, ChangeRecord, State, Tenant};
+use crate::spec::TenantSpec;
 
 /// A tenant as it was before or after a change. Of its secrets only the names are told.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-pub struct Image {
+#[cfg_attr(feature = "openapi", schema(as = Image))]
+pub struct TenantSnapshot {
     /// Its generation and revision.
     pub version: String,
     /// Where it stood.
     pub state: State,
     /// What was set.
-    pub spec: Spec,
+    pub spec: TenantSpec,
     /// Names of its secrets.
     pub secrets: Vec<String>,
 }
 
-impl Image {
+impl TenantSnapshot {
     fn of(tenant: &Tenant) -> Self {
-        Image {
+        TenantSnapshot {
             version: tenant.version.to_string(),
             state: tenant.state,
             spec: tenant.spec.clone(),
@@ -55,14 +56,14 @@
     /// The tenant's name.
     pub tenant: String,
     /// The tenant before; null where it was made.
-    pub from: Option<Image>,
+    pub from: Option<TenantSnapshot>,
     /// The tenant after; null where it is gone.
-    pub to: Option<Image>,
+    pub to: Option<TenantSnapshot>,
 }
 
 impl Entry {
     /// The entry of a change.
-    pub fn of(record: &Record) -> Self {
+    pub fn of(record: &ChangeRecord) -> Self {
         let tenant = record.to.as_ref().or(record.from.as_ref());
         Entry {
             seq: record.seq,
@@ -72,8 +73,8 @@
             request: record.request.clone(),
             action: record.action,
             tenant: tenant.map(|tenant| tenant.name.clone()).unwrap_or_default(),
-            from: record.from.as_ref().map(Image::of),
-            to: record.to.as_ref().map(Image::of),
+            from: record.from.as_ref().map(TenantSnapshot::of),
+            to: record.to.as_ref().map(TenantSnapshot::of),
         }
     }
 
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -1,6 +1,6 @@
 //! Tenants of a relay: what each is entitled to, and who comes before whom. It does no I/O.
 //!
-//! [`Shares`] is what the decision module asks; [`registry`] is what administrators change; [`record`] is how
+//! [`FairQueueScheduler`] is what the decision module asks; [`registry`] is what administrators change; [`record`] is how
 //! that is written, and read after anything that can happen to a file.
 
 pub mod audit;
@@ -14,4 +14,4 @@
 
 pub use registry::Registry;
 pub use scope::Scope;
-pub use shares::{Shares, MOST_CLOCKS};
+pub use shares::{FairQueueScheduler, MAX_DESTINATION_CLOCKS};
--- a/crates/tenancy/src/record.rs
+++ b/crates/tenancy/src/record.rs
@@ -10,13 +10,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::registry::{Answered, Kept, Record, Registry, Tenant};
+use crate::registry::{ChangeRecord, IdempotentResponse, PersistedState, Registry, Tenant};
 
 /// The format that is written; a later one is not read.
-pub const FORMAT: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// A longer line is not read, in bytes. The longest that is written has two tenants with 256 classes,
 /// 256 ranges of destinations and 8 secrets each.
-pub const LONGEST_LINE: usize = 256 << 10;
+pub const MAX_LINE_BYTES: usize = 256 << 10;
 
 /// The line that ends a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,8 +36,8 @@
     Head(Head),
     Tenant(Tenant),
     Gone(String, u32),
-    Answered(Answered),
-    Change(Box<Record>),
+    Answered(IdempotentResponse),
+    Change(Box<ChangeRecord>),
 }
 
 fn encode(line: &Line) -> Vec<u8> {
@@ -58,7 +58,7 @@
 
 /// The line of a change.
 #[must_use]
-pub fn change(record: &Record) -> Vec<u8> {
+pub fn encode_change(record: &ChangeRecord) -> Vec<u8> {
     encode(&Line::Change(Box::new(record.clone())))
 }
 
@@ -66,7 +66,7 @@
 ///
 /// A tenant stands in it as it was when its part was taken, which may be later than the number in the head says:
 /// the changes from that number on follow in the file, and each brings a tenant whole.
-pub struct Snapshot {
+pub struct SnapshotWriter {
     text: Vec<u8>,
     lines: usize,
     seq: u64,
@@ -74,14 +74,14 @@
     after: Option<String>,
 }
 
-impl Snapshot {
+impl SnapshotWriter {
     /// Nothing of it is taken yet; `lost` changes were lost before.
     #[must_use]
-    pub fn begin(registry: &Registry, lost: u64) -> Self {
-        Snapshot {
+    pub fn new(registry: &Registry, lost: u64) -> Self {
+        SnapshotWriter {
             text: Vec::new(),
             lines: 0,
-            seq: registry.seq(),
+            seq: registry.last_sequence(),
             lost,
             after: None,
         }
@@ -93,9 +93,9 @@
     }
 
     /// Takes the next tenants, about as many; true once all is taken.
-    pub fn take(&mut self, registry: &Registry, most: usize) -> bool {
+    pub fn append_entries(&mut self, registry: &Registry, most: usize) -> bool {
         let after = self.after.clone();
-        for (taken, entry) in registry.after(after.as_deref()).enumerate() {
+        for (taken, entry) in registry.entries_after(after.as_deref()).enumerate() {
             // Those of one name are taken together.
             if taken >= most && self.after.as_ref() != Some(&entry.tenant.name) {
                 return false;
@@ -104,13 +104,13 @@
             self.after = Some(entry.tenant.name.clone());
         }
         registry
-            .gone()
+            .tombstones()
             .for_each(|(name, generation)| self.add(&Line::Gone(name.clone(), generation)));
         registry
-            .answered()
+            .idempotent_responses()
             .for_each(|answered| self.add(&Line::Answered(answered.clone())));
         let head = Head {
-            format: FORMAT,
+            format: FORMAT_VERSION,
             seq: self.seq,
             lines: self.lines,
             lost: self.lost,
@@ -121,17 +121,17 @@
 
     /// What is to be written.
     #[must_use]
-    pub fn text(self) -> Vec<u8> {
+    pub fn into_bytes(self) -> Vec<u8> {
         self.text
     }
 }
 
 /// The whole snapshot of a registry.
 #[must_use]
-pub fn snapshot(registry: &Registry, lost: u64) -> Vec<u8> {
-    let mut snapshot = Snapshot::begin(registry, lost);
-    snapshot.take(registry, usize::MAX);
-    snapshot.text()
+pub fn encode_snapshot(registry: &Registry, lost: u64) -> Vec<u8> {
+    let mut snapshot = SnapshotWriter::new(registry, lost);
+    snapshot.append_entries(registry, usize::MAX);
+    snapshot.into_bytes()
 }
 
 /// What one copy holds.
@@ -140,8 +140,8 @@
     head: Option<Head>,
     tenants: Vec<Tenant>,
     gone: Vec<(String, u32)>,
-    answered: Vec<Answered>,
-    changes: BTreeMap<u64, Record>,
+    answered: Vec<IdempotentResponse>,
+    changes: BTreeMap<u64, ChangeRecord>,
     /// Not every line could be read.
     spoilt: bool,
 }
@@ -152,7 +152,7 @@
         for line in text.split_inclusive(|byte| *byte == b'\n') {
             let whole = line
                 .strip_suffix(b"\n")
-                .filter(|line| line.len() <= LONGEST_LINE);
+                .filter(|line| line.len() <= MAX_LINE_BYTES);
             match whole.and_then(decode) {
                 Some(Line::Head(head)) => copy.head = Some(head),
                 Some(Line::Tenant(tenant)) => copy.tenants.push(tenant),
@@ -173,22 +173,24 @@
 
 /// What was read.
 #[derive(Debug, Default)]
-pub struct Recovered {
+pub struct RecoveredRegistry {
     /// The registry as it was last kept.
-    pub kept: Kept,
+    pub state: PersistedState,
     /// The changes that the files still hold, by number.
-    pub changes: BTreeMap<u64, Record>,
+    pub changes: BTreeMap<u64, ChangeRecord>,
     /// Changes that are lost: a tenant may stand as it did before one of them.
-    pub lost: u64,
+    pub lost_changes: u64,
     /// The files are not what they should be, and are to be written anew.
-    pub spoilt: bool,
+    pub needs_repair: bool,
 }
 
 /// Why files can't be read at all.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum UnsupportedFormat {
     /// A later version has written them.
-    #[error("the registry of tenants is of format {0}, this version reads {FORMAT} at most")]
+    #[error(
+        "the registry of tenants is of format {0}, this version reads {FORMAT_VERSION} at most"
+    )]
     Later(u32),
 }
 
@@ -196,26 +198,26 @@
 ///
 /// # Errors
 ///
-/// [`Unreadable`] if a later version wrote one of the copies.
+/// [`UnsupportedFormat`] if a later version wrote one of the copies.
 pub fn recover(
     classes: &[String],
     one: Option<&[u8]>,
     other: Option<&[u8]>,
-) -> Result<Recovered, Unreadable> {
+) -> Result<RecoveredRegistry, UnsupportedFormat> {
     let mut copies: Vec<Copy> = [one, other].into_iter().flatten().map(Copy::read).collect();
     if copies.is_empty() {
-        return Ok(Recovered::default());
+        return Ok(RecoveredRegistry::default());
     }
     let formats = copies
         .iter()
         .filter_map(|copy| copy.head.as_ref())
         .map(|head| head.format);
-    if let Some(later) = formats.max().filter(|format| *format > FORMAT) {
-        return Err(Unreadable::Later(later));
+    if let Some(later) = formats.max().filter(|format| *format > FORMAT_VERSION) {
+        return Err(UnsupportedFormat::Later(later));
     }
     let spoilt = copies.len() < 2 || copies.iter().any(|copy| copy.spoilt) || one != other;
     copies.sort_by_key(|copy| std::cmp::Reverse(copy.whole().map(|head| head.seq)));
-    let changes: BTreeMap<u64, Record> = copies
+    let changes: BTreeMap<u64, ChangeRecord> = copies
         .iter()
         .flat_map(|copy| &copy.changes)
         .map(|(seq, record)| (*seq, record.clone()))
@@ -227,11 +229,11 @@
         .max()
         .unwrap_or(0);
     let best = &copies[0];
-    let mut kept = Kept {
+    let mut kept = PersistedState {
         seq: best.head.as_ref().map_or(0, |head| head.seq),
         tenants: best.tenants.clone(),
         gone: best.gone.clone(),
-        answered: best.answered.clone(),
+        idempotent_responses: best.answered.clone(),
     };
     if best.whole().is_none() {
         // Neither snapshot is whole: what either still has, each tenant in its newest state.
@@ -252,35 +254,35 @@
         }
         kept.tenants = newest.into_values().collect();
         kept.gone = copies.iter().flat_map(|copy| copy.gone.clone()).collect();
-        kept.answered.clear();
+        kept.idempotent_responses.clear();
     }
-    let mut registry = Registry::restored(classes.to_vec(), kept);
-    for (seq, record) in changes.range(registry.seq() + 1..) {
-        lost += seq - registry.seq() - 1;
+    let mut registry = Registry::restore(classes.to_vec(), kept);
+    for (seq, record) in changes.range(registry.last_sequence() + 1..) {
+        lost += seq - registry.last_sequence() - 1;
         // One that the snapshot holds in a later state already stays so.
         let known = record
             .to
             .as_ref()
             .and_then(|to| registry.version(&to.name, to.version.generation));
         if known.is_some_and(|known| record.to.as_ref().is_some_and(|to| to.version <= known)) {
-            registry.pass(record);
+            registry.observe_committed(record);
         } else {
             registry.commit(record);
         }
     }
-    Ok(Recovered {
-        kept: registry.kept(),
+    Ok(RecoveredRegistry {
+        state: registry.persisted_state(),
         changes,
-        lost,
-        spoilt,
+        lost_changes: lost,
+        needs_repair: spoilt,
     })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::registry::{Actor, Change, Command, Decision, Expect};
-    use crate::spec::{OnRemoval, Spec};
+    use crate::registry::{Actor, Change, Command, Decision, Precondition};
+    use crate::spec::{OnRemoval, TenantSpec};
 
     fn command(name: &str, change: Change) -> Command {
         let actor = Actor {
@@ -296,23 +298,23 @@
             request: "r".into(),
             key,
             name: name.into(),
-            expect: Expect::Any,
+            precondition: Precondition::Any,
             change,
         }
     }
 
     /// A registry after some changes, the file that was written meanwhile, and the state after each change.
-    fn story() -> (Vec<u8>, Vec<Kept>) {
+    fn story() -> (Vec<u8>, Vec<PersistedState>) {
         let mut registry = Registry::new(vec!["payout".into()]);
-        let mut text = snapshot(&registry, 0);
-        let mut states = vec![registry.kept()];
+        let mut text = encode_snapshot(&registry, 0);
+        let mut states = vec![registry.persisted_state()];
         for (at, command) in [
-            command("acme", Change::Create(Spec::default())),
+            command("acme", Change::Create(TenantSpec::default())),
             command(
                 "beta",
-                Change::Create(Spec {
+                Change::Create(TenantSpec {
                     weight: 7,
-                    ..Spec::default()
+                    ..TenantSpec::default()
                 }),
             ),
             command("acme", Change::Pause),
@@ -326,21 +328,21 @@
         .into_iter()
         .enumerate()
         {
-            let Ok(Decision::Make(record)) = registry.decide(at as u64, &command) else {
+            let Ok(Decision::Commit(record)) = registry.decide(at as u64, &command) else {
                 panic!("{command:?}")
             };
-            text.extend(change(&record));
+            text.extend(encode_change(&record));
             registry.commit(&record);
-            states.push(registry.kept());
+            states.push(registry.persisted_state());
         }
-        let record = registry.drained(9).expect("one that is owed nothing");
-        text.extend(change(&record));
+        let record = registry.next_drained(9).expect("one that is owed nothing");
+        text.extend(encode_change(&record));
         registry.commit(&record);
-        states.push(registry.kept());
+        states.push(registry.persisted_state());
         (text, states)
     }
 
-    fn read(one: Option<&[u8]>, other: Option<&[u8]>) -> Recovered {
+    fn read(one: Option<&[u8]>, other: Option<&[u8]>) -> RecoveredRegistry {
         recover(&["payout".into()], one, other).expect("readable")
     }
 
@@ -348,14 +350,16 @@
     fn what_was_written_is_read() {
         let (text, states) = story();
         let recovered = read(Some(&text), Some(&text));
-        assert_eq!(Some(&recovered.kept), states.last());
-        assert!(!recovered.spoilt && recovered.lost == 0 && recovered.changes.len() == 7);
+        assert_eq!(Some(&recovered.state), states.last());
+        assert!(
+            !recovered.needs_repair && recovered.lost_changes == 0 && recovered.changes.len() == 7
+        );
         // The same from a snapshot of it.
-        let registry = Registry::restored(vec!["payout".into()], recovered.kept.clone());
-        let text = snapshot(&registry, 0);
+        let registry = Registry::restore(vec!["payout".into()], recovered.state.clone());
+        let text = encode_snapshot(&registry, 0);
         let again = read(Some(&text), Some(&text));
-        assert_eq!(again.kept, recovered.kept);
-        assert!(!again.spoilt && again.lost == 0 && again.changes.is_empty());
+        assert_eq!(again.state, recovered.state);
+        assert!(!again.needs_repair && again.lost_changes == 0 && again.changes.is_empty());
     }
 
     /// Cut at every byte, alone or with a whole copy beside it.
@@ -364,14 +368,17 @@
         let (text, states) = story();
         for cut in 0..text.len() {
             let alone = read(Some(&text[..cut]), None);
-            assert!(states.contains(&alone.kept), "cut at {cut}");
+            assert!(states.contains(&alone.state), "cut at {cut}");
             // What is lost is the tail, which nobody was told of; only a cut snapshot counts as a loss.
             let head = text.iter().position(|byte| *byte == b'\n').expect("a line") + 1;
-            assert_eq!(alone.lost > 0, cut < head, "cut at {cut}");
+            assert_eq!(alone.lost_changes > 0, cut < head, "cut at {cut}");
             for (one, other) in [(&text[..cut], &text[..]), (&text[..], &text[..cut])] {
                 let beside = read(Some(one), Some(other));
-                assert_eq!(Some(&beside.kept), states.last(), "cut at {cut}");
-                assert!(beside.spoilt && beside.lost == 0, "cut at {cut}");
+                assert_eq!(Some(&beside.state), states.last(), "cut at {cut}");
+                assert!(
+                    beside.needs_repair && beside.lost_changes == 0,
+                    "cut at {cut}"
+                );
             }
         }
     }
@@ -386,13 +393,16 @@
                 let mut spoilt = text.clone();
                 spoilt[at] ^= 1 << bit;
                 let beside = read(Some(&spoilt), Some(&text));
-                assert_eq!(Some(&beside.kept), states.last(), "byte {at} bit {bit}");
-                assert!(beside.spoilt && beside.lost == 0, "byte {at} bit {bit}");
+                assert_eq!(Some(&beside.state), states.last(), "byte {at} bit {bit}");
+                assert!(
+                    beside.needs_repair && beside.lost_changes == 0,
+                    "byte {at} bit {bit}"
+                );
                 let alone = read(Some(&spoilt), Some(&spoilt));
-                assert!(alone.spoilt, "byte {at} bit {bit}");
-                alone_lost += u64::from(alone.lost > 0);
+                assert!(alone.needs_repair, "byte {at} bit {bit}");
+                alone_lost += u64::from(alone.lost_changes > 0);
                 assert!(
-                    alone.lost > 0 || states.contains(&alone.kept),
+                    alone.lost_changes > 0 || states.contains(&alone.state),
                     "byte {at} bit {bit}"
                 );
             }
@@ -411,13 +421,17 @@
             .collect();
         let (two, five) = (&text[..ends[2]], &text[..ends[5]]);
         let recovered = read(Some(two), Some(five));
-        assert_eq!(recovered.kept, states[5]);
+        assert_eq!(recovered.state, states[5]);
         // One copy has been written anew since, the other has not.
-        let registry = Registry::restored(vec!["payout".into()], states[5].clone());
-        let fresh = [snapshot(&registry, 0), text[ends[5]..ends[6]].to_vec()].concat();
+        let registry = Registry::restore(vec!["payout".into()], states[5].clone());
+        let fresh = [
+            encode_snapshot(&registry, 0),
+            text[ends[5]..ends[6]].to_vec(),
+        ]
+        .concat();
         let recovered = read(Some(&fresh), Some(five));
-        assert_eq!(recovered.kept, states[6]);
-        assert_eq!(recovered.lost, 0);
+        assert_eq!(recovered.state, states[6]);
+        assert_eq!(recovered.lost_changes, 0);
     }
 
     /// A snapshot that is taken in parts while tenants are made, changed and removed is, with the changes that
@@ -427,22 +441,23 @@
         for part in [1, 2, 3, 7] {
             let mut registry = Registry::new(Vec::new());
             let make = |registry: &mut Registry, name: &str, change: Change| {
-                let Ok(Decision::Make(record)) = registry.decide(5, &command(name, change)) else {
+                let Ok(Decision::Commit(record)) = registry.decide(5, &command(name, change))
+                else {
                     return Vec::new();
                 };
                 registry.commit(&record);
-                super::change(&record)
+                super::encode_change(&record)
             };
             for n in 0..20 {
                 make(
                     &mut registry,
                     &format!("t{n:02}"),
-                    Change::Create(Spec::default()),
+                    Change::Create(TenantSpec::default()),
                 );
             }
-            let mut snapshot = Snapshot::begin(&registry, 0);
+            let mut snapshot = SnapshotWriter::new(&registry, 0);
             let (mut tail, mut step) = (Vec::new(), 0);
-            while !snapshot.take(&registry, part) {
+            while !snapshot.append_entries(&registry, part) {
                 step += 1;
                 let (one, other) = (
                     format!("t{:02}", step % 20),
@@ -454,38 +469,41 @@
                     Change::Merge(serde_json::json!({"weight": 100 + step})),
                 ));
                 tail.extend(make(&mut registry, &other, Change::Remove(None)));
-                if let Some(gone) = registry.drained(6).filter(|_| step % 2 == 0) {
-                    tail.extend(super::change(&gone));
+                if let Some(gone) = registry.next_drained(6).filter(|_| step % 2 == 0) {
+                    tail.extend(super::encode_change(&gone));
                     registry.commit(&gone);
                 }
-                tail.extend(make(&mut registry, &other, Change::Create(Spec::default())));
+                tail.extend(make(
+                    &mut registry,
+                    &other,
+                    Change::Create(TenantSpec::default()),
+                ));
                 tail.extend(make(
                     &mut registry,
                     &format!("n{step}"),
-                    Change::Create(Spec::default()),
+                    Change::Create(TenantSpec::default()),
                 ));
             }
-            let text = [snapshot.text(), tail].concat();
+            let text = [snapshot.into_bytes(), tail].concat();
             let read = read(Some(&text), Some(&text));
-            let (mut kept, mut now) = (read.kept, registry.kept());
-            kept.answered.sort_by(|a, b| a.key.cmp(&b.key));
-            now.answered.sort_by(|a, b| a.key.cmp(&b.key));
+            let (mut kept, mut now) = (read.state, registry.persisted_state());
+            kept.idempotent_responses.sort_by(|a, b| a.key.cmp(&b.key));
+            now.idempotent_responses.sort_by(|a, b| a.key.cmp(&b.key));
             assert_eq!(kept, now, "parts of {part}");
-            assert!(!read.spoilt && read.lost == 0);
+            assert!(!read.needs_repair && read.lost_changes == 0);
         }
     }
 
     #[test]
     fn a_later_format_is_not_read() {
         let head = Head {
-            format: FORMAT + 1,
+            format: FORMAT_VERSION + 1,
             ..Head::default()
         };
         let text = encode(&Line::Head(head));
         let read = recover(&[], Some(&text), None);
-        assert!(matches!(read, Err(Unreadable::Later(2))));
-        assert!(
-            recover(&[], None, None).is_ok_and(|read| read.kept == Kept::default() && !read.spoilt)
-        );
+        assert!(matches!(read, Err(UnsupportedFormat::Later(2))));
+        assert!(recover(&[], None, None)
+            .is_ok_and(|read| read.state == PersistedState::default() && !read.needs_repair));
     }
 }
--- a/crates/tenancy/src/registry.rs
+++ b/crates/tenancy/src/registry.rs
@@ -11,19 +11,19 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::secret::{Digest, MOST_SECRETS};
-use crate::spec::{check_name, Invalid, OnRemoval, Spec};
+use crate::secret::{Digest, MAX_SECRETS};
+use crate::spec::{check_name, OnRemoval, SpecError, TenantSpec};
 
 /// Tenants at most, those that drain among them.
-pub const MOST_TENANTS: usize = 16_384;
+pub const MAX_TENANTS: usize = 16_384;
 /// Tenants of one name that drain at once at most.
-pub const MOST_DRAINING: usize = 4;
+pub const MAX_DRAINING_GENERATIONS: usize = 4;
 /// Answers that are remembered by their idempotency keys at most; past that the oldest is forgotten.
-pub const MOST_KEYS: usize = 1000;
+pub const MAX_IDEMPOTENCY_KEYS: usize = 1000;
 /// How long such an answer is remembered, in milliseconds.
-pub const KEY_LIFE: u64 = 24 * 3600 * 1000;
+pub const IDEMPOTENCY_KEY_TTL_MS: u64 = 24 * 3600 * 1000;
 /// Names of tenants that are gone, remembered to say so; past that the oldest is forgotten.
-pub const MOST_GONE: usize = 1024;
+pub const MAX_TOMBSTONES: usize = 1024;
 
 /// Which tenant of a name, and which state of it: the entity tag of the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -41,16 +41,17 @@
 }
 
 impl FromStr for Version {
-    type Err = Invalid;
+    type Err = SpecError;
 
-    fn from_str(text: &str) -> Result<Self, Invalid> {
+    fn from_str(text: &str) -> Result<Self, SpecError> {
         let parts = text.split_once('.').and_then(|(generation, revision)| {
             Some(Version {
                 generation: generation.parse().ok()?,
                 revision: revision.parse().ok()?,
             })
         });
-        parts.ok_or_else(|| Invalid::new("version", "is not a generation, a point and a revision"))
+        parts
+            .ok_or_else(|| SpecError::new("version", "is not a generation, a point and a revision"))
     }
 }
 
@@ -88,7 +89,7 @@
     /// Where it stands.
     pub state: State,
     /// What an administrator set.
-    pub spec: Spec,
+    pub spec: TenantSpec,
     /// What its clients may name themselves with.
     pub secrets: Vec<Secret>,
     /// When it was made, in milliseconds since the Unix epoch.
@@ -131,7 +132,7 @@
 
 /// Which state a change is meant for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Expect {
+pub enum Precondition {
     /// Whatever state the tenant is in.
     Any,
     /// One of these.
@@ -142,9 +143,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A new tenant.
-    Create(Spec),
+    Create(TenantSpec),
     /// Another specification in place of what there is.
-    Replace(Spec),
+    Replace(TenantSpec),
     /// Parts of the specification, as a JSON merge patch (RFC 7396).
     Merge(Value),
     /// Take nothing more on and send nothing new.
@@ -176,7 +177,7 @@
     /// The tenant.
     pub name: String,
     /// Which state of it is meant; not looked at where one is made.
-    pub expect: Expect,
+    pub precondition: Precondition,
     /// What is to become of it.
     pub change: Change,
 }
@@ -206,7 +207,7 @@
 
 /// A change as it is kept: all that it takes to make it again, and to tell who made it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ChangeRecord {
     /// Counts all changes of the registry, from 1.
     pub seq: u64,
     /// When, in milliseconds since the Unix epoch.
@@ -228,7 +229,7 @@
 
 /// An answer that is remembered by its key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answered {
+pub struct IdempotentResponse {
     /// Who asked.
     pub actor: String,
     /// The key.
@@ -247,16 +248,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Keep this record, then commit it.
-    Make(Box<Record>),
+    Commit(Box<ChangeRecord>),
     /// Nothing changes: the tenant is as it was asked to be.
-    Nothing(Box<Tenant>),
+    Unchanged(Box<Tenant>),
     /// It was made before, and answered so.
-    Again(Box<Answered>),
+    Replay(Box<IdempotentResponse>),
 }
 
 /// Why a change is not made.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum RegistryError {
     /// There is no such tenant, and was none that is remembered.
     #[error("there is no tenant {0:?}")]
     Unknown(String),
@@ -274,7 +275,7 @@
     Stale(Version),
     /// A value is out of bounds.
     #[error(transparent)]
-    Invalid(#[from] Invalid),
+    Invalid(#[from] SpecError),
     /// There are as many as there may be.
     #[error("there are {most} {what}, which is the most")]
     TooMany {
@@ -293,9 +294,9 @@
 
 /// What passed for a tenant since the relay's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct TenantCounters {
     /// Messages taken on.
-    pub taken: u64,
+    pub accepted: u64,
     /// Messages delivered.
     pub delivered: u64,
     /// Messages refused: at the door, or by a notice once they were taken on. Their clients may come again.
@@ -308,34 +309,34 @@
 
 /// A tenant in use.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct TenantEntry {
     /// The tenant.
     pub tenant: Tenant,
     /// The module's number for it.
     pub number: TenantId,
     /// What passed.
-    pub counts: Counts,
+    pub counts: TenantCounters,
     /// Messages that were taken on and are still owed something.
-    pub owed: usize,
+    pub unacknowledged: usize,
 }
 
 /// The tenants of a name: one that takes messages on, and those that drain.
 #[derive(Clone, Debug, Default)]
 struct Line {
-    current: Option<Entry>,
-    draining: Vec<Entry>,
+    current: Option<TenantEntry>,
+    draining: Vec<TenantEntry>,
 }
 
 impl Line {
-    fn newest(&self) -> Option<&Entry> {
+    fn newest(&self) -> Option<&TenantEntry> {
         self.current.as_ref().or(self.draining.last())
     }
 
-    fn all(&self) -> impl Iterator<Item = &Entry> {
+    fn all(&self) -> impl Iterator<Item = &TenantEntry> {
         self.draining.iter().chain(&self.current)
     }
 
-    fn find(&mut self, generation: u32) -> Option<&mut Entry> {
+    fn find(&mut self, generation: u32) -> Option<&mut TenantEntry> {
         let mut all = self.draining.iter_mut().chain(&mut self.current);
         all.find(|entry| entry.tenant.version.generation == generation)
     }
@@ -343,7 +344,7 @@
 
 /// All that is kept of a registry, for a snapshot.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Kept {
+pub struct PersistedState {
     /// Number of the last change.
     pub seq: u64,
     /// All tenants.
@@ -351,7 +352,7 @@
     /// Generations of names whose tenants are gone, oldest first.
     pub gone: Vec<(String, u32)>,
     /// Answers by their keys, oldest first.
-    pub answered: Vec<Answered>,
+    pub idempotent_responses: Vec<IdempotentResponse>,
 }
 
 /// A change of what the module is to know.
@@ -367,7 +368,7 @@
     /// Generation of the last tenant of a name that is gone, and the names oldest first.
     gone: BTreeMap<String, u32>,
     gone_order: VecDeque<String>,
-    answered: VecDeque<Answered>,
+    answered: VecDeque<IdempotentResponse>,
     numbers: Numbers,
     seq: u64,
 }
@@ -398,7 +399,7 @@
 
 impl Registry {
     /// The classes that changes may name from now on. What a tenant was given before stays as it is.
-    pub fn know_classes(&mut self, classes: &[String]) {
+    pub fn set_known_classes(&mut self, classes: &[String]) {
         self.classes = classes.to_vec();
     }
 
@@ -413,7 +414,7 @@
 
     /// The registry that was kept.
     #[must_use]
-    pub fn restored(classes: Vec<String>, kept: Kept) -> Self {
+    pub fn restore(classes: Vec<String>, kept: PersistedState) -> Self {
         let mut registry = Registry {
             classes,
             seq: kept.seq,
@@ -421,50 +422,50 @@
         };
         let mut tenants = kept.tenants;
         tenants.sort_by_key(|tenant| tenant.version.generation);
-        for tenant in tenants.into_iter().take(MOST_TENANTS) {
+        for tenant in tenants.into_iter().take(MAX_TENANTS) {
             registry.put(tenant);
         }
         kept.gone
             .into_iter()
             .for_each(|(name, generation)| registry.bury(name, generation));
-        registry.answered = kept.answered.into();
+        registry.answered = kept.idempotent_responses.into();
         registry
     }
 
     /// Names that are gone, with the generation of the last of each, oldest first.
-    pub fn gone(&self) -> impl Iterator<Item = (&String, u32)> {
+    pub fn tombstones(&self) -> impl Iterator<Item = (&String, u32)> {
         self.gone_order
             .iter()
             .filter_map(|name| Some((name, *self.gone.get(name)?)))
     }
 
     /// Answers that are remembered by their keys, oldest first.
-    pub fn answered(&self) -> impl Iterator<Item = &Answered> {
+    pub fn idempotent_responses(&self) -> impl Iterator<Item = &IdempotentResponse> {
         self.answered.iter()
     }
 
     /// All that is to be kept.
     #[must_use]
-    pub fn kept(&self) -> Kept {
-        Kept {
+    pub fn persisted_state(&self) -> PersistedState {
+        PersistedState {
             seq: self.seq,
             tenants: self.entries().map(|entry| entry.tenant.clone()).collect(),
             gone: self
-                .gone()
+                .tombstones()
                 .map(|(name, generation)| (name.clone(), generation))
                 .collect(),
-            answered: self.answered().cloned().collect(),
+            idempotent_responses: self.idempotent_responses().cloned().collect(),
         }
     }
 
     /// Number of the last change.
     #[must_use]
-    pub fn seq(&self) -> u64 {
+    pub fn last_sequence(&self) -> u64 {
         self.seq
     }
 
     /// Changes were made up to this number: tells how many are not known here. The next one gets a higher number.
-    pub fn follow(&mut self, seq: u64) -> u64 {
+    pub fn skip_to_sequence(&mut self, seq: u64) -> u64 {
         let unknown = seq.saturating_sub(self.seq);
         self.seq += unknown;
         unknown
@@ -483,12 +484,15 @@
     }
 
     /// All tenants, by name and generation.
-    pub fn entries(&self) -> impl Iterator<Item = &Entry> {
+    pub fn entries(&self) -> impl Iterator<Item = &TenantEntry> {
         self.lines.values().flat_map(Line::all)
     }
 
     /// All tenants of the names that come after one, by name and generation.
-    pub fn after<'a>(&'a self, name: Option<&str>) -> impl Iterator<Item = &'a Entry> {
+    pub fn entries_after<'a>(
+        &'a self,
+        name: Option<&str>,
+    ) -> impl Iterator<Item = &'a TenantEntry> {
         self.range(name).flat_map(|(_, line)| line.all())
     }
 
@@ -499,7 +503,10 @@
     }
 
     /// The tenants of each name that comes after one, newest first where there are several.
-    pub fn page<'a>(&'a self, after: Option<&str>) -> impl Iterator<Item = &'a Entry> {
+    pub fn newest_entries_after<'a>(
+        &'a self,
+        after: Option<&str>,
+    ) -> impl Iterator<Item = &'a TenantEntry> {
         self.range(after).filter_map(|(_, line)| line.newest())
     }
 
@@ -507,23 +514,23 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Gone`] if the tenant was removed, [`Refusal::Unknown`] if there is none.
-    pub fn find(&self, name: &str) -> Result<&Entry, Refusal> {
+    /// [`RegistryError::Gone`] if the tenant was removed, [`RegistryError::Unknown`] if there is none.
+    pub fn find(&self, name: &str) -> Result<&TenantEntry, RegistryError> {
         let newest = self.lines.get(name).and_then(Line::newest);
         let gone = self.gone.get(name).copied().unwrap_or(0);
         let newest = newest.filter(|entry| entry.tenant.version.generation > gone);
         newest.ok_or_else(|| {
             if self.gone.contains_key(name) {
-                Refusal::Gone(name.into())
+                RegistryError::Gone(name.into())
             } else {
-                Refusal::Unknown(name.chars().take(crate::spec::MOST_NAME).collect())
+                RegistryError::Unknown(name.chars().take(crate::spec::MAX_NAME_CHARS).collect())
             }
         })
     }
 
     /// The tenants of a name that drain.
     #[must_use]
-    pub fn draining(&self, name: &str) -> &[Entry] {
+    pub fn draining_entries(&self, name: &str) -> &[TenantEntry] {
         self.lines.get(name).map_or(&[], |line| &line.draining)
     }
 
@@ -532,12 +539,12 @@
     /// # Errors
     ///
     /// The text for the client if there is no such tenant, or its specification does not allow the message.
-    pub fn admits(
+    pub fn check_admission(
         &mut self,
         name: &str,
         class: &str,
         destination: DestinationId,
-    ) -> Result<&mut Entry, &'static str> {
+    ) -> Result<&mut TenantEntry, &'static str> {
         let Some(line) = self.lines.get_mut(name) else {
             return Err("unknown tenant");
         };
@@ -551,8 +558,8 @@
         Ok(entry)
     }
 
-    /// The tenant that a message was taken on for, by the journal's name for it: see [`name_of`].
-    pub fn recall(&mut self, reference: &str) -> Option<&mut Entry> {
+    /// The tenant that a message was taken on for, by the journal's name for it: see [`tenant_name`].
+    pub fn entry_by_reference(&mut self, reference: &str) -> Option<&mut TenantEntry> {
         let (name, generation) = match reference.split_once('/') {
             Some((name, generation)) => (name, generation.parse().ok()?),
             None => (reference, 1),
@@ -562,15 +569,15 @@
 
     /// Whether a client may name itself as a tenant with a secret: its generation and the secret's name.
     #[must_use]
-    pub fn login(&self, name: &str, secret: &[u8]) -> Option<Login> {
+    pub fn authenticate(&self, name: &str, secret: &[u8]) -> Option<Session> {
         let digest = Digest::of(secret);
         let tenant = &self.lines.get(name)?.current.as_ref()?.tenant;
         let found = tenant
             .secrets
             .iter()
-            .find(|known| known.sha256.same(&digest))?;
+            .find(|known| known.sha256.constant_time_eq(&digest))?;
         let (tenant, generation) = (tenant.name.clone(), tenant.version.generation);
-        Some(Login {
+        Some(Session {
             tenant,
             generation,
             secret: found.id.clone(),
@@ -579,7 +586,7 @@
 
     /// Whether a client that named itself before may still speak for its tenant.
     #[must_use]
-    pub fn knows(&self, login: &Login) -> bool {
+    pub fn is_session_valid(&self, login: &Session) -> bool {
         let current = self
             .lines
             .get(&login.tenant)
@@ -597,16 +604,17 @@
     ///
     /// # Errors
     ///
-    /// The [`Refusal`] for the administrator; nothing changes then.
-    pub fn decide(&self, now_ms: u64, command: &Command) -> Result<Decision, Refusal> {
+    /// The [`RegistryError`] for the administrator; nothing changes then.
+    pub fn decide(&self, now_ms: u64, command: &Command) -> Result<Decision, RegistryError> {
         if let Some((key, digest)) = &command.key {
-            let mine =
-                |a: &&Answered| a.actor == command.actor.name && a.key == *key && a.lives(now_ms);
+            let mine = |a: &&IdempotentResponse| {
+                a.actor == command.actor.name && a.key == *key && a.lives(now_ms)
+            };
             if let Some(answered) = self.answered.iter().find(mine) {
                 return if answered.digest == *digest {
-                    Ok(Decision::Again(Box::new(answered.clone())))
+                    Ok(Decision::Replay(Box::new(answered.clone())))
                 } else {
-                    Err(Refusal::KeyReused)
+                    Err(RegistryError::KeyReused)
                 };
             }
         }
@@ -615,18 +623,18 @@
         }
         let entry = self.find(&command.name)?;
         let tenant = &entry.tenant;
-        if matches!(&command.expect, Expect::OneOf(versions) if !versions.contains(&tenant.version))
+        if matches!(&command.precondition, Precondition::OneOf(versions) if !versions.contains(&tenant.version))
         {
-            return Err(Refusal::Stale(tenant.version));
+            return Err(RegistryError::Stale(tenant.version));
         }
         let mut to = tenant.clone();
         let action = self.change(&command.change, &mut to, now_ms)?;
         if to == *tenant {
-            return Ok(Decision::Nothing(Box::new(to)));
+            return Ok(Decision::Unchanged(Box::new(to)));
         }
         to.version.revision += 1;
         to.changed_at_ms = now_ms;
-        Ok(Decision::Make(Box::new(self.record(
+        Ok(Decision::Commit(Box::new(self.record(
             now_ms,
             command,
             action,
@@ -635,23 +643,28 @@
         ))))
     }
 
-    fn create(&self, now_ms: u64, command: &Command, spec: &Spec) -> Result<Decision, Refusal> {
+    fn create(
+        &self,
+        now_ms: u64,
+        command: &Command,
+        spec: &TenantSpec,
+    ) -> Result<Decision, RegistryError> {
         check_name(&command.name)?;
         spec.check(&self.classes)?;
         let line = self.lines.get(&command.name);
         if line.is_some_and(|line| line.current.is_some()) {
-            return Err(Refusal::Exists(command.name.clone()));
+            return Err(RegistryError::Exists(command.name.clone()));
         }
-        if self.numbers.used >= MOST_TENANTS {
-            return Err(Refusal::TooMany {
+        if self.numbers.used >= MAX_TENANTS {
+            return Err(RegistryError::TooMany {
                 what: "tenants",
-                most: MOST_TENANTS,
+                most: MAX_TENANTS,
             });
         }
-        if line.is_some_and(|line| line.draining.len() >= MOST_DRAINING) {
-            return Err(Refusal::TooMany {
+        if line.is_some_and(|line| line.draining.len() >= MAX_DRAINING_GENERATIONS) {
+            return Err(RegistryError::TooMany {
                 what: "tenants of this name that drain",
-                most: MOST_DRAINING,
+                most: MAX_DRAINING_GENERATIONS,
             });
         }
         let last = line
@@ -670,7 +683,7 @@
             created_at_ms: now_ms,
             changed_at_ms: now_ms,
         };
-        Ok(Decision::Make(Box::new(self.record(
+        Ok(Decision::Commit(Box::new(self.record(
             now_ms,
             command,
             Action::Created,
@@ -680,13 +693,18 @@
     }
 
     /// Changes a tenant as asked, but for its version.
-    fn change(&self, change: &Change, to: &mut Tenant, now_ms: u64) -> Result<Action, Refusal> {
+    fn change(
+        &self,
+        change: &Change,
+        to: &mut Tenant,
+        now_ms: u64,
+    ) -> Result<Action, RegistryError> {
         let draining = to.state == State::Draining;
         if draining && !matches!(change, Change::Remove(_)) {
-            return Err(Refusal::Draining(to.name.clone()));
+            return Err(RegistryError::Draining(to.name.clone()));
         }
         match change {
-            Change::Create(_) => Err(Refusal::Exists(to.name.clone())),
+            Change::Create(_) => Err(RegistryError::Exists(to.name.clone())),
             Change::Replace(spec) => {
                 spec.check(&self.classes)?;
                 to.spec = spec.clone();
@@ -695,12 +713,12 @@
             Change::Merge(patch) => {
                 // An array would be read as a specification whose fields stand in their order.
                 if !patch.is_object() {
-                    return Err(Invalid::new("patch", "is no object").into());
+                    return Err(SpecError::new("patch", "is no object").into());
                 }
-                let bad = |e: serde_json::Error| Invalid::new("patch", e.to_string());
+                let bad = |e: serde_json::Error| SpecError::new("patch", e.to_string());
                 let mut value = serde_json::to_value(&to.spec).map_err(bad)?;
                 merge(&mut value, patch);
-                let spec: Spec = serde_json::from_value(value).map_err(bad)?;
+                let spec: TenantSpec = serde_json::from_value(value).map_err(bad)?;
                 spec.check(&self.classes)?;
                 to.spec = spec;
                 Ok(Action::Changed)
@@ -722,14 +740,16 @@
                 Ok(Action::Removed)
             }
             Change::AddSecret { id, sha256 } => {
-                check_name(id).map_err(|e| Invalid::new("id", e.why))?;
+                check_name(id).map_err(|e| SpecError::new("id", e.reason))?;
                 if to.secrets.iter().any(|secret| secret.id == *id) {
-                    return Err(Refusal::Secret(format!("there is a secret {id:?} already")));
+                    return Err(RegistryError::Secret(format!(
+                        "there is a secret {id:?} already"
+                    )));
                 }
-                if to.secrets.len() >= MOST_SECRETS {
-                    return Err(Refusal::TooMany {
+                if to.secrets.len() >= MAX_SECRETS {
+                    return Err(RegistryError::TooMany {
                         what: "secrets",
-                        most: MOST_SECRETS,
+                        most: MAX_SECRETS,
                     });
                 }
                 to.secrets.push(Secret {
@@ -743,8 +763,8 @@
                 let before = to.secrets.len();
                 to.secrets.retain(|secret| secret.id != *id);
                 if to.secrets.len() == before {
-                    let id: String = id.chars().take(crate::spec::MOST_NAME).collect();
-                    return Err(Refusal::Secret(format!("there is no secret {id:?}")));
+                    let id: String = id.chars().take(crate::spec::MAX_NAME_CHARS).collect();
+                    return Err(RegistryError::Secret(format!("there is no secret {id:?}")));
                 }
                 Ok(Action::SecretDropped)
             }
@@ -758,13 +778,13 @@
         action: Action,
         from: Option<Tenant>,
         to: Tenant,
-    ) -> Record {
+    ) -> ChangeRecord {
         let (actor, request, key) = (
             command.actor.clone(),
             command.request.clone(),
             command.key.clone(),
         );
-        Record {
+        ChangeRecord {
             seq: self.seq + 1,
             at_ms,
             actor,
@@ -778,15 +798,17 @@
 
     /// Tenants that drain and are owed nothing any more: the records by which they are gone.
     #[must_use]
-    pub fn drained(&self, now_ms: u64) -> Option<Record> {
+    pub fn next_drained(&self, now_ms: u64) -> Option<ChangeRecord> {
         let entries = self.draining.iter().filter_map(|(name, generation)| {
             let line = self.lines.get(name)?;
             line.draining
                 .iter()
                 .find(|entry| entry.tenant.version.generation == *generation)
         });
-        let drained = entries.into_iter().find(|entry| entry.owed == 0)?;
-        Some(Record {
+        let drained = entries
+            .into_iter()
+            .find(|entry| entry.unacknowledged == 0)?;
+        Some(ChangeRecord {
             seq: self.seq + 1,
             at_ms: now_ms,
             actor: Actor {
@@ -810,10 +832,10 @@
     }
 
     /// Takes note of a change that has been made already.
-    pub fn pass(&mut self, record: &Record) {
+    pub fn observe_committed(&mut self, record: &ChangeRecord) {
         self.seq = self.seq.max(record.seq);
         if let (Some((key, digest)), Some(tenant)) = (&record.key, &record.to) {
-            self.remember(Answered {
+            self.remember(IdempotentResponse {
                 actor: record.actor.name.clone(),
                 key: key.clone(),
                 digest: digest.clone(),
@@ -825,8 +847,8 @@
     }
 
     /// Makes a change that was kept, and says what the module must know.
-    pub fn commit(&mut self, record: &Record) -> Vec<Effect> {
-        self.pass(record);
+    pub fn commit(&mut self, record: &ChangeRecord) -> Vec<Effect> {
+        self.observe_committed(record);
         match (&record.from, &record.to) {
             (_, Some(to)) => self.put(to.clone()).into_iter().collect(),
             (Some(from), None) => self.take_out(from).into_iter().collect(),
@@ -834,12 +856,12 @@
         }
     }
 
-    fn remember(&mut self, answered: Answered) {
+    fn remember(&mut self, answered: IdempotentResponse) {
         let now = answered.at_ms;
         self.answered
             .retain(|other| other.key != answered.key || other.actor != answered.actor);
         self.answered.push_back(answered);
-        while self.answered.len() > MOST_KEYS
+        while self.answered.len() > MAX_IDEMPOTENCY_KEYS
             || self.answered.front().is_some_and(|a| !a.lives(now))
         {
             self.answered.pop_front();
@@ -858,11 +880,11 @@
             }
             None => {
                 let number = self.numbers.take();
-                Entry {
+                TenantEntry {
                     tenant,
                     number,
-                    counts: Counts::default(),
-                    owed: 0,
+                    counts: TenantCounters::default(),
+                    unacknowledged: 0,
                 }
             }
         };
@@ -915,22 +937,22 @@
             self.gone_order.retain(|other| *other != name);
         }
         self.gone_order.push_back(name);
-        if self.gone_order.len() > MOST_GONE {
+        if self.gone_order.len() > MAX_TOMBSTONES {
             let oldest = self.gone_order.pop_front();
             oldest.and_then(|name| self.gone.remove(&name));
         }
     }
 }
 
-impl Answered {
+impl IdempotentResponse {
     fn lives(&self, now_ms: u64) -> bool {
-        now_ms < self.at_ms.saturating_add(KEY_LIFE)
+        now_ms < self.at_ms.saturating_add(IDEMPOTENCY_KEY_TTL_MS)
     }
 }
 
 /// A client that has named itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Login {
+pub struct Session {
     /// The tenant.
     pub tenant: String,
     /// Which of its name.
@@ -962,7 +984,7 @@
 
 /// A tenant's name in the journal's word for it, which has its generation behind a slash.
 #[must_use]
-pub fn name_of(reference: &str) -> &str {
+pub fn tenant_name(reference: &str) -> &str {
     reference
         .split_once('/')
         .map_or(reference, |(name, _)| name)
--- a/crates/tenancy/src/secret.rs
+++ b/crates/tenancy/src/secret.rs
@@ -7,12 +7,12 @@
 use sha2::{Digest as _, Sha256};
 use subtle::ConstantTimeEq;
 
-use crate::spec::Invalid;
+use crate::spec::SpecError;
 
 /// Secrets of one tenant at most: one in use, one that replaces it, and some for single clients.
-pub const MOST_SECRETS: usize = 8;
+pub const MAX_SECRETS: usize = 8;
 /// The longest secret, in bytes.
-pub const LONGEST: usize = 256;
+pub const MAX_SECRET_BYTES: usize = 256;
 
 /// SHA-256 of a secret. It protects secrets that can't be guessed: use 128 random bits or more.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
 
     /// Whether both are the same, in a time that does not tell where they differ.
     #[must_use]
-    pub fn same(&self, other: &Digest) -> bool {
+    pub fn constant_time_eq(&self, other: &Digest) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 }
@@ -56,10 +56,10 @@
 }
 
 impl FromStr for Digest {
-    type Err = Invalid;
+    type Err = SpecError;
 
-    fn from_str(text: &str) -> Result<Self, Invalid> {
-        let bad = || Invalid::new("sha256", "is not 64 hexadecimal digits");
+    fn from_str(text: &str) -> Result<Self, SpecError> {
+        let bad = || SpecError::new("sha256", "is not 64 hexadecimal digits");
         if text.len() != 64 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Err(bad());
         }
@@ -72,9 +72,9 @@
 }
 
 impl TryFrom<String> for Digest {
-    type Error = Invalid;
+    type Error = SpecError;
 
-    fn try_from(text: String) -> Result<Self, Invalid> {
+    fn try_from(text: String) -> Result<Self, SpecError> {
         text.parse()
     }
 }
@@ -94,8 +94,8 @@
         // FIPS 180-2, appendix B.1.
         let text = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
         assert_eq!(Digest::of(b"abc").to_string(), text);
-        assert!(Digest::of(b"abc").same(&text.parse().expect("a digest")));
-        assert!(!Digest::of(b"abd").same(&text.parse().expect("a digest")));
+        assert!(Digest::of(b"abc").constant_time_eq(&text.parse().expect("a digest")));
+        assert!(!Digest::of(b"abd").constant_time_eq(&text.parse().expect("a digest")));
         for bad in [
             "",
             "ba",
--- a/crates/tenancy/src/shares.rs
+++ b/crates/tenancy/src/shares.rs
@@ -22,7 +22,7 @@
 const MOST_LEAD: f64 = 16.0;
 /// Destinations whose tags are kept at most; the one that was used longest ago is forgotten first, which forgives what
 /// tenants are ahead there.
-pub const MOST_CLOCKS: usize = 4096;
+pub const MAX_DESTINATION_CLOCKS: usize = 4096;
 /// A tenant counts among those who share the hold for so long after it had a message taken on, and its time is
 /// told anew once half of it has passed.
 const RECENT: Micros = 10_000_000;
@@ -98,7 +98,7 @@
 }
 
 /// The shares of a relay's tenants.
-pub struct Shares {
+pub struct FairQueueScheduler {
     accounts: BTreeMap<TenantId, Account>,
     places: f64,
     slots: Clock,
@@ -110,11 +110,11 @@
     now: Micros,
 }
 
-impl Shares {
+impl FairQueueScheduler {
     /// No tenants yet, for a relay with so many slots.
     #[must_use]
     pub fn new(slots: usize) -> Self {
-        Shares {
+        FairQueueScheduler {
             accounts: BTreeMap::new(),
             places: slots.max(1) as f64,
             slots: Clock::default(),
@@ -127,8 +127,8 @@
 
     /// The tenants of the settings, each with its share as its weight.
     #[must_use]
-    pub fn of(set: &Settings) -> Self {
-        let mut shares = Shares::new(set.max_calls);
+    pub fn from_settings(set: &Settings) -> Self {
+        let mut shares = FairQueueScheduler::new(set.max_calls);
         for (number, tenant) in (0..).zip(&set.tenants) {
             let weight = (tenant.share * WHOLE).clamp(1.0, MOST_WEIGHT) as u32;
             shares.update_tenant(
@@ -143,7 +143,7 @@
         shares
     }
 
-    /// Destinations whose tags are kept, [`MOST_CLOCKS`] at most.
+    /// Destinations whose tags are kept, [`MAX_DESTINATION_CLOCKS`] at most.
     #[must_use]
     pub fn destinations(&self) -> usize {
         self.destinations.len()
@@ -189,7 +189,9 @@
     }
 
     fn clock(&mut self, destination: DestinationId) -> &mut Clock {
-        if self.destinations.len() >= MOST_CLOCKS && !self.destinations.contains_key(&destination) {
+        if self.destinations.len() >= MAX_DESTINATION_CLOCKS
+            && !self.destinations.contains_key(&destination)
+        {
             let oldest = self
                 .destinations
                 .iter()
@@ -203,7 +205,7 @@
     }
 }
 
-impl TenantScheduler for Shares {
+impl TenantScheduler for FairQueueScheduler {
     fn update_tenant(&mut self, now: Micros, tenant: TenantId, terms: Option<TenantTerms>) {
         self.now = now;
         let Some(terms) = terms else {
--- a/crates/tenancy/src/spec.rs
+++ b/crates/tenancy/src/spec.rs
@@ -8,15 +8,15 @@
 use serde::{Deserialize, Serialize};
 
 /// Characters of a tenant's name at most.
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_CHARS: usize = 64;
 /// The largest weight.
-pub const MOST_WEIGHT: u32 = 10_000;
+pub const MAX_WEIGHT: u32 = 10_000;
 /// Weight of a tenant that none is set for.
-pub const USUAL_WEIGHT: u32 = 100;
+pub const DEFAULT_WEIGHT: u32 = 100;
 /// The highest rate, in messages a second, and the largest burst, in messages.
 pub const MOST_RATE: (f64, u32) = (1e6, 1_000_000);
 /// Classes and ranges of destinations that a specification names at most.
-pub const MOST_NAMED: usize = 256;
+pub const MAX_LISTED_ITEMS: usize = 256;
 
 /// How much a tenant may hand in; more is refused, and its client told when there is room again.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -59,11 +59,11 @@
 }
 
 impl FromStr for Destinations {
-    type Err = Invalid;
+    type Err = SpecError;
 
-    fn from_str(text: &str) -> Result<Self, Invalid> {
+    fn from_str(text: &str) -> Result<Self, SpecError> {
         let bad = || {
-            Invalid::new(
+            SpecError::new(
                 "destinations",
                 format!("{text:?} is no number of a destination and no range"),
             )
@@ -82,9 +82,9 @@
 }
 
 impl TryFrom<String> for Destinations {
-    type Error = Invalid;
+    type Error = SpecError;
 
-    fn try_from(text: String) -> Result<Self, Invalid> {
+    fn try_from(text: String) -> Result<Self, SpecError> {
         text.parse()
     }
 }
@@ -108,8 +108,9 @@
 /// What an administrator sets of a tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
+#[cfg_attr(feature = "openapi", schema(as = Spec))]
 #[serde(deny_unknown_fields, default)]
-pub struct Spec {
+pub struct TenantSpec {
     /// Its part of the hold, of the slots and of each destination's calls, against those of the other tenants
     /// that use them, from 1 to 10,000. What a tenant leaves unused is lent to the others.
     #[cfg_attr(feature = "openapi", schema(minimum = 1, maximum = 10_000))]
@@ -137,10 +138,10 @@
     pub on_removal: OnRemoval,
 }
 
-impl Default for Spec {
+impl Default for TenantSpec {
     fn default() -> Self {
-        Spec {
-            weight: USUAL_WEIGHT,
+        TenantSpec {
+            weight: DEFAULT_WEIGHT,
             rate: None,
             max_held: None,
             max_in_flight: None,
@@ -153,70 +154,73 @@
 
 /// A value that a specification may not have.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{field}: {why}")]
-pub struct Invalid {
+#[error("{field}: {reason}")]
+pub struct SpecError {
     /// The field.
     pub field: &'static str,
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
-impl Invalid {
+impl SpecError {
     pub(crate) fn new(field: &'static str, why: impl Into<String>) -> Self {
-        Invalid {
+        SpecError {
             field,
-            why: why.into(),
+            reason: why.into(),
         }
     }
 }
 
-impl Spec {
+impl TenantSpec {
     /// Whether all values are within their bounds and the classes are among those known.
     ///
     /// # Errors
     ///
-    /// [`Invalid`] names the first value that is out of bounds.
-    pub fn check(&self, known_classes: &[String]) -> Result<(), Invalid> {
-        if !(1..=MOST_WEIGHT).contains(&self.weight) {
-            return Err(Invalid::new(
+    /// [`SpecError`] names the first value that is out of bounds.
+    pub fn check(&self, known_classes: &[String]) -> Result<(), SpecError> {
+        if !(1..=MAX_WEIGHT).contains(&self.weight) {
+            return Err(SpecError::new(
                 "weight",
-                format!("{} is not from 1 to {MOST_WEIGHT}", self.weight),
+                format!("{} is not from 1 to {MAX_WEIGHT}", self.weight),
             ));
         }
         if let Some(RateSpec { per_second, burst }) = self.rate {
             let (most, most_burst) = MOST_RATE;
             if !(per_second > 0.0 && per_second <= most) {
-                return Err(Invalid::new(
+                return Err(SpecError::new(
                     "rate",
                     format!("{per_second} a second is not above 0 and up to {most}"),
                 ));
             }
             if !(1..=most_burst).contains(&burst) {
-                return Err(Invalid::new(
+                return Err(SpecError::new(
                     "rate",
                     format!("a burst of {burst} is not from 1 to {most_burst}"),
                 ));
             }
         }
         if self.max_held == Some(0) {
-            return Err(Invalid::new(
+            return Err(SpecError::new(
                 "max_held",
                 "0 would let nothing be taken on; pause the tenant instead",
             ));
         }
         if self.max_in_flight == Some(0) {
-            return Err(Invalid::new(
+            return Err(SpecError::new(
                 "max_in_flight",
                 "0 would let nothing be sent; pause the tenant instead",
             ));
         }
         if let Some(classes) = &self.classes {
-            if classes.len() > MOST_NAMED {
-                return Err(Invalid::new("classes", format!("more than {MOST_NAMED}")));
+            if classes.len() > MAX_LISTED_ITEMS {
+                return Err(SpecError::new(
+                    "classes",
+                    format!("more than {MAX_LISTED_ITEMS}"),
+                ));
             }
             if let Some(unknown) = classes.iter().find(|class| !known_classes.contains(class)) {
-                let unknown: String = unknown.chars().take(MOST_NAME).collect();
-                return Err(Invalid::new(
+                let unknown: String = unknown.chars().take(MAX_NAME_CHARS).collect();
+                return Err(SpecError::new(
                     "classes",
                     format!("there is no class {unknown:?}"),
                 ));
@@ -225,11 +229,11 @@
         if self
             .destinations
             .as_ref()
-            .is_some_and(|ranges| ranges.len() > MOST_NAMED)
+            .is_some_and(|ranges| ranges.len() > MAX_LISTED_ITEMS)
         {
-            return Err(Invalid::new(
+            return Err(SpecError::new(
                 "destinations",
-                format!("more than {MOST_NAMED}"),
+                format!("more than {MAX_LISTED_ITEMS}"),
             ));
         }
         Ok(())
@@ -276,29 +280,29 @@
 ///
 /// # Errors
 ///
-/// [`Invalid`] says what is wrong with the name.
-pub fn check_name(name: &str) -> Result<(), Invalid> {
+/// [`SpecError`] says what is wrong with the name.
+pub fn check_name(name: &str) -> Result<(), SpecError> {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     let first = name
         .bytes()
         .next()
         .is_some_and(|byte| byte.is_ascii_alphanumeric());
-    if first && name.len() <= MOST_NAME && name.bytes().all(plain) {
+    if first && name.len() <= MAX_NAME_CHARS && name.bytes().all(plain) {
         return Ok(());
     }
-    let shown: String = name.chars().take(MOST_NAME).collect();
+    let shown: String = name.chars().take(MAX_NAME_CHARS).collect();
     let why = format!(
-        "{shown:?} is not 1 to {MOST_NAME} letters, digits, '.', '_' and '-', a letter or digit first"
+        "{shown:?} is not 1 to {MAX_NAME_CHARS} letters, digits, '.', '_' and '-', a letter or digit first"
     );
-    Err(Invalid::new("name", why))
+    Err(SpecError::new("name", why))
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn spec(text: &str) -> Result<Spec, String> {
-        let spec: Spec = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    fn spec(text: &str) -> Result<TenantSpec, String> {
+        let spec: TenantSpec = serde_json::from_str(text).map_err(|e| e.to_string())?;
         spec.check(&["payout".into(), "update".into()])
             .map_err(|e| e.to_string())
             .map(|()| spec)
@@ -306,8 +310,8 @@
 
     #[test]
     fn what_is_absent_has_its_default() {
-        assert_eq!(spec("{}"), Ok(Spec::default()));
-        let text = serde_json::to_string(&Spec::default()).expect("JSON");
+        assert_eq!(spec("{}"), Ok(TenantSpec::default()));
+        let text = serde_json::to_string(&TenantSpec::default()).expect("JSON");
         assert_eq!(text, r#"{"weight":100,"on_removal":"finish"}"#);
     }
 
--- a/crates/tenancy/tests/flood.rs
+++ b/crates/tenancy/tests/flood.rs
@@ -6,7 +6,7 @@
 use policy::scheduler::NoTenants;
 use policy::types::*;
 use policy::{DeliveryPolicy, TenantScheduler};
-use tenancy::Shares;
+use tenancy::FairQueueScheduler;
 
 const MS: Micros = 1000;
 const S: Micros = 1_000_000;
@@ -241,7 +241,7 @@
 }
 
 fn shares() -> Box<dyn TenantScheduler> {
-    Box::new(Shares::of(&settings()))
+    Box::new(FairQueueScheduler::from_settings(&settings()))
 }
 
 /// What tenants 1 and 2 keep of their service, each, while tenant 0 floods.
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -8,15 +8,15 @@
 use serde_json::json;
 use tenancy::record::{self, recover};
 use tenancy::registry::*;
-use tenancy::secret::{Digest, MOST_SECRETS};
-use tenancy::spec::{OnRemoval, Spec};
+use tenancy::secret::{Digest, MAX_SECRETS};
+use tenancy::spec::{OnRemoval, TenantSpec};
 use tenancy::Registry;
 
 fn classes() -> Vec<String> {
     vec!["payout".into(), "update".into()]
 }
 
-fn command(name: &str, expect: Expect, change: Change) -> Command {
+fn command(name: &str, expect: Precondition, change: Change) -> Command {
     let actor = Actor {
         name: "ops".into(),
         role: "admin".into(),
@@ -26,34 +26,38 @@
         request: "r1".into(),
         key: None,
         name: name.into(),
-        expect,
+        precondition: expect,
         change,
     }
 }
 
 /// Decides and commits; tells the tenant as it is after.
-fn make(registry: &mut Registry, command: &Command) -> Result<Tenant, Refusal> {
+fn make(registry: &mut Registry, command: &Command) -> Result<Tenant, RegistryError> {
     match registry.decide(1000, command)? {
-        Decision::Make(record) => {
+        Decision::Commit(record) => {
             registry.commit(&record);
             Ok(record.to.expect("a tenant"))
         }
-        Decision::Nothing(tenant) => Ok(*tenant),
-        Decision::Again(answered) => Ok(answered.tenant),
+        Decision::Unchanged(tenant) => Ok(*tenant),
+        Decision::Replay(answered) => Ok(answered.tenant),
     }
 }
 
 fn create(registry: &mut Registry, name: &str) -> Tenant {
     make(
         registry,
-        &command(name, Expect::Any, Change::Create(Spec::default())),
+        &command(
+            name,
+            Precondition::Any,
+            Change::Create(TenantSpec::default()),
+        ),
     )
     .expect("made")
 }
 
 fn drain(registry: &mut Registry) -> usize {
     let mut count = 0;
-    while let Some(record) = registry.drained(2000) {
+    while let Some(record) = registry.next_drained(2000) {
         registry.commit(&record);
         count += 1;
     }
@@ -65,7 +69,7 @@
     let mut registry = Registry::new(classes());
     let made = create(&mut registry, "acme");
     assert_eq!(made.version.to_string(), "1.1");
-    let expect = || Expect::OneOf(vec![made.version]);
+    let expect = || Precondition::OneOf(vec![made.version]);
     let heavier = command("acme", expect(), Change::Merge(json!({"weight": 300})));
     let lighter = command("acme", expect(), Change::Merge(json!({"weight": 30})));
     assert_eq!(
@@ -79,10 +83,13 @@
         generation: 1,
         revision: 2,
     };
-    assert_eq!(make(&mut registry, &lighter), Err(Refusal::Stale(now)));
+    assert_eq!(
+        make(&mut registry, &lighter),
+        Err(RegistryError::Stale(now))
+    );
     let again = command(
         "acme",
-        Expect::OneOf(vec![made.version, now]),
+        Precondition::OneOf(vec![made.version, now]),
         Change::Merge(json!({"weight": 30})),
     );
     assert_eq!(
@@ -100,11 +107,11 @@
     let made = create(&mut registry, "acme");
     for change in [
         Change::Resume,
-        Change::Replace(Spec::default()),
+        Change::Replace(TenantSpec::default()),
         Change::Merge(json!({})),
     ] {
-        let same = registry.decide(1, &command("acme", Expect::Any, change));
-        assert_eq!(same, Ok(Decision::Nothing(Box::new(made.clone()))));
+        let same = registry.decide(1, &command("acme", Precondition::Any, change));
+        assert_eq!(same, Ok(Decision::Unchanged(Box::new(made.clone()))));
     }
 }
 
@@ -115,7 +122,7 @@
     let mut merge = |patch| {
         make(
             &mut registry,
-            &command("acme", Expect::Any, Change::Merge(patch)),
+            &command("acme", Precondition::Any, Change::Merge(patch)),
         )
     };
     let rate = json!({"rate": {"per_second": 5.0, "burst": 9}, "classes": ["payout"]});
@@ -139,7 +146,7 @@
         json!([]),
     ] {
         assert!(
-            matches!(merge(bad.clone()), Err(Refusal::Invalid(_))),
+            matches!(merge(bad.clone()), Err(RegistryError::Invalid(_))),
             "{bad}"
         );
     }
@@ -149,26 +156,31 @@
 fn a_tenant_drains_is_gone_and_can_be_made_anew_meanwhile() {
     let mut registry = Registry::new(classes());
     create(&mut registry, "acme");
-    let first = registry.admits("acme", "payout", 1).expect("admitted");
-    first.owed = 2;
+    let first = registry
+        .check_admission("acme", "payout", 1)
+        .expect("admitted");
+    first.unacknowledged = 2;
     let number = first.number;
     let removed = make(
         &mut registry,
-        &command("acme", Expect::Any, Change::Remove(None)),
+        &command("acme", Precondition::Any, Change::Remove(None)),
     )
     .expect("removed");
     assert_eq!(removed.terms().state, TenantState::Draining);
-    assert!(registry.admits("acme", "payout", 1).is_err());
+    assert!(registry.check_admission("acme", "payout", 1).is_err());
     assert_eq!(drain(&mut registry), 0);
     // It can't be changed any more, but hurried.
-    let pause = make(&mut registry, &command("acme", Expect::Any, Change::Pause));
-    assert_eq!(pause, Err(Refusal::Draining("acme".into())));
+    let pause = make(
+        &mut registry,
+        &command("acme", Precondition::Any, Change::Pause),
+    );
+    assert_eq!(pause, Err(RegistryError::Draining("acme".into())));
     let hurry = Change::Remove(Some(OnRemoval::Refuse));
-    let hurried = make(&mut registry, &command("acme", Expect::Any, hurry)).expect("hurried");
+    let hurried = make(&mut registry, &command("acme", Precondition::Any, hurry)).expect("hurried");
     assert_eq!(hurried.terms().state, TenantState::Terminating);
     let slow = Change::Remove(Some(OnRemoval::Finish));
     assert_eq!(
-        make(&mut registry, &command("acme", Expect::Any, slow)),
+        make(&mut registry, &command("acme", Precondition::Any, slow)),
         Ok(hurried)
     );
     // Made anew under its name, it is another, beside the one that drains.
@@ -181,35 +193,51 @@
         }
     );
     assert_eq!(second.reference(), "acme/2");
-    let fresh = registry.admits("acme", "payout", 1).expect("admitted");
+    let fresh = registry
+        .check_admission("acme", "payout", 1)
+        .expect("admitted");
     assert_ne!(fresh.number, number);
-    fresh.owed = 1;
+    fresh.unacknowledged = 1;
     assert_eq!(
         registry
-            .recall("acme")
-            .map(|entry| (entry.number, entry.owed)),
+            .entry_by_reference("acme")
+            .map(|entry| (entry.number, entry.unacknowledged)),
         Some((number, 2))
     );
-    assert_eq!(registry.recall("acme/2").map(|entry| entry.owed), Some(1));
-    assert!(registry.recall("acme/3").is_none() && registry.recall("acme/x").is_none());
+    assert_eq!(
+        registry
+            .entry_by_reference("acme/2")
+            .map(|entry| entry.unacknowledged),
+        Some(1)
+    );
+    assert!(
+        registry.entry_by_reference("acme/3").is_none()
+            && registry.entry_by_reference("acme/x").is_none()
+    );
     assert_eq!(registry.len(), 2);
-    registry.recall("acme").expect("drains").owed = 0;
+    registry
+        .entry_by_reference("acme")
+        .expect("drains")
+        .unacknowledged = 0;
     assert_eq!(drain(&mut registry), 1);
-    assert!(registry.recall("acme").is_none() && registry.find("acme").is_ok());
+    assert!(registry.entry_by_reference("acme").is_none() && registry.find("acme").is_ok());
     make(
         &mut registry,
-        &command("acme", Expect::Any, Change::Remove(None)),
+        &command("acme", Precondition::Any, Change::Remove(None)),
     )
     .expect("removed");
-    registry.recall("acme/2").expect("drains").owed = 0;
+    registry
+        .entry_by_reference("acme/2")
+        .expect("drains")
+        .unacknowledged = 0;
     assert_eq!(drain(&mut registry), 1);
     assert_eq!(
         registry.find("acme").map(|_| ()),
-        Err(Refusal::Gone("acme".into()))
+        Err(RegistryError::Gone("acme".into()))
     );
     assert_eq!(
         registry.find("beta").map(|_| ()),
-        Err(Refusal::Unknown("beta".into()))
+        Err(RegistryError::Unknown("beta".into()))
     );
     assert!(registry.is_empty());
     // Its generations are not used again.
@@ -219,74 +247,92 @@
 #[test]
 fn all_tables_have_their_bounds() {
     let mut registry = Registry::new(classes());
-    for _ in 0..=MOST_DRAINING {
+    for _ in 0..=MAX_DRAINING_GENERATIONS {
         create(&mut registry, "acme");
-        registry.admits("acme", "payout", 1).expect("admitted").owed = 1;
+        registry
+            .check_admission("acme", "payout", 1)
+            .expect("admitted")
+            .unacknowledged = 1;
         make(
             &mut registry,
-            &command("acme", Expect::Any, Change::Remove(None)),
+            &command("acme", Precondition::Any, Change::Remove(None)),
         )
         .expect("removed");
-        if registry.draining("acme").len() == MOST_DRAINING {
+        if registry.draining_entries("acme").len() == MAX_DRAINING_GENERATIONS {
             break;
         }
     }
     let more = make(
         &mut registry,
-        &command("acme", Expect::Any, Change::Create(Spec::default())),
+        &command(
+            "acme",
+            Precondition::Any,
+            Change::Create(TenantSpec::default()),
+        ),
     );
     assert!(
         matches!(
             more,
-            Err(Refusal::TooMany {
-                most: MOST_DRAINING,
+            Err(RegistryError::TooMany {
+                most: MAX_DRAINING_GENERATIONS,
                 ..
             })
         ),
         "{more:?}"
     );
-    for n in 0..MOST_TENANTS - MOST_DRAINING {
+    for n in 0..MAX_TENANTS - MAX_DRAINING_GENERATIONS {
         create(&mut registry, &format!("t{n}"));
     }
     let more = make(
         &mut registry,
-        &command("late", Expect::Any, Change::Create(Spec::default())),
+        &command(
+            "late",
+            Precondition::Any,
+            Change::Create(TenantSpec::default()),
+        ),
     );
     assert!(
         matches!(
             more,
-            Err(Refusal::TooMany {
-                most: MOST_TENANTS,
+            Err(RegistryError::TooMany {
+                most: MAX_TENANTS,
                 ..
             })
         ),
         "{more:?}"
     );
     // As many as may be are read back, too.
-    let kept = Registry::restored(classes(), registry.kept());
-    assert_eq!(kept.len(), MOST_TENANTS);
-    for n in 0..MOST_GONE + 10 {
+    let kept = Registry::restore(classes(), registry.persisted_state());
+    assert_eq!(kept.len(), MAX_TENANTS);
+    for n in 0..MAX_TOMBSTONES + 10 {
         make(
             &mut registry,
-            &command(&format!("t{n}"), Expect::Any, Change::Remove(None)),
+            &command(&format!("t{n}"), Precondition::Any, Change::Remove(None)),
         )
         .expect("removed");
         drain(&mut registry);
     }
-    assert_eq!(registry.kept().gone.len(), MOST_GONE);
+    assert_eq!(registry.persisted_state().gone.len(), MAX_TOMBSTONES);
     let secret = |n: usize| Change::AddSecret {
         id: format!("s{n}"),
         sha256: Digest::of(&n.to_le_bytes()),
     };
-    for n in 0..MOST_SECRETS {
-        make(&mut registry, &command("t5000", Expect::Any, secret(n))).expect("added");
+    for n in 0..MAX_SECRETS {
+        make(
+            &mut registry,
+            &command("t5000", Precondition::Any, secret(n)),
+        )
+        .expect("added");
     }
-    let more = make(&mut registry, &command("t5000", Expect::Any, secret(99)));
+    let more = make(
+        &mut registry,
+        &command("t5000", Precondition::Any, secret(99)),
+    );
     assert!(
         matches!(
             more,
-            Err(Refusal::TooMany {
-                most: MOST_SECRETS,
+            Err(RegistryError::TooMany {
+                most: MAX_SECRETS,
                 ..
             })
         ),
@@ -301,16 +347,20 @@
         let key = Some((key.to_string(), Digest::of(asked)));
         Command {
             key,
-            ..command("acme", Expect::Any, change)
+            ..command("acme", Precondition::Any, change)
         }
     };
-    let create = keyed("k1", b"create", Change::Create(Spec::default()));
+    let create = keyed("k1", b"create", Change::Create(TenantSpec::default()));
     let made = make(&mut registry, &create).expect("made");
-    make(&mut registry, &command("acme", Expect::Any, Change::Pause)).expect("paused");
+    make(
+        &mut registry,
+        &command("acme", Precondition::Any, Change::Pause),
+    )
+    .expect("paused");
     // The answer of then, though things have moved on.
-    assert!(matches!(registry.decide(2000, &create), Ok(Decision::Again(a)) if a.tenant == made));
+    assert!(matches!(registry.decide(2000, &create), Ok(Decision::Replay(a)) if a.tenant == made));
     let other = keyed("k1", b"other", Change::Pause);
-    assert_eq!(registry.decide(2000, &other), Err(Refusal::KeyReused));
+    assert_eq!(registry.decide(2000, &other), Err(RegistryError::KeyReused));
     // Another's key is another key.
     let actor = Actor {
         name: "dev".into(),
@@ -322,27 +372,30 @@
     };
     assert!(matches!(
         registry.decide(2000, &theirs),
-        Ok(Decision::Nothing(_))
+        Ok(Decision::Unchanged(_))
     ));
     // Over a restart, and for a day.
-    let restored = Registry::restored(classes(), registry.kept());
+    let restored = Registry::restore(classes(), registry.persisted_state());
     assert!(matches!(
         restored.decide(2000, &create),
-        Ok(Decision::Again(_))
+        Ok(Decision::Replay(_))
     ));
-    let late = 1000 + KEY_LIFE;
+    let late = 1000 + IDEMPOTENCY_KEY_TTL_MS;
     assert_eq!(
         restored.decide(late, &create),
-        Err(Refusal::Exists("acme".into()))
+        Err(RegistryError::Exists("acme".into()))
     );
-    for n in 0..MOST_KEYS as u64 {
+    for n in 0..MAX_IDEMPOTENCY_KEYS as u64 {
         let change = Change::Merge(json!({"weight": 1 + n}));
         make(&mut registry, &keyed(&format!("n{n}"), b"x", change)).expect("changed");
     }
-    assert_eq!(registry.kept().answered.len(), MOST_KEYS);
+    assert_eq!(
+        registry.persisted_state().idempotent_responses.len(),
+        MAX_IDEMPOTENCY_KEYS
+    );
     assert_eq!(
         registry.decide(2000, &create),
-        Err(Refusal::Exists("acme".into()))
+        Err(RegistryError::Exists("acme".into()))
     );
 }
 
@@ -350,11 +403,11 @@
 fn clients_name_themselves_with_any_secret_that_stands() {
     let mut registry = Registry::new(classes());
     create(&mut registry, "acme");
-    assert_eq!(registry.login("acme", b""), None);
+    assert_eq!(registry.authenticate("acme", b""), None);
     let add = |id: &str, secret: &[u8]| {
         command(
             "acme",
-            Expect::Any,
+            Precondition::Any,
             Change::AddSecret {
                 id: id.into(),
                 sha256: Digest::of(secret),
@@ -365,36 +418,36 @@
     make(&mut registry, &add("new", b"second")).expect("added");
     assert!(matches!(
         make(&mut registry, &add("new", b"third")),
-        Err(Refusal::Secret(_))
+        Err(RegistryError::Secret(_))
     ));
     let (old, new) = (
-        registry.login("acme", b"first"),
-        registry.login("acme", b"second"),
+        registry.authenticate("acme", b"first"),
+        registry.authenticate("acme", b"second"),
     );
     let (old, new) = (old.expect("known"), new.expect("known"));
-    assert_eq!(registry.login("acme", b"third"), None);
-    assert_eq!(registry.login("beta", b"first"), None);
-    assert!(registry.knows(&old) && registry.knows(&new));
+    assert_eq!(registry.authenticate("acme", b"third"), None);
+    assert_eq!(registry.authenticate("beta", b"first"), None);
+    assert!(registry.is_session_valid(&old) && registry.is_session_valid(&new));
     make(
         &mut registry,
-        &command("acme", Expect::Any, Change::DropSecret("old".into())),
+        &command("acme", Precondition::Any, Change::DropSecret("old".into())),
     )
     .expect("dropped");
-    assert!(!registry.knows(&old) && registry.knows(&new));
+    assert!(!registry.is_session_valid(&old) && registry.is_session_valid(&new));
     let none = make(
         &mut registry,
-        &command("acme", Expect::Any, Change::DropSecret("old".into())),
+        &command("acme", Precondition::Any, Change::DropSecret("old".into())),
     );
-    assert!(matches!(none, Err(Refusal::Secret(_))));
+    assert!(matches!(none, Err(RegistryError::Secret(_))));
     // A tenant that is made anew has secrets of its own.
     make(
         &mut registry,
-        &command("acme", Expect::Any, Change::Remove(None)),
+        &command("acme", Precondition::Any, Change::Remove(None)),
     )
     .expect("removed");
-    assert!(!registry.knows(&new));
+    assert!(!registry.is_session_valid(&new));
     create(&mut registry, "acme");
-    assert!(!registry.knows(&new) && registry.login("acme", b"second").is_none());
+    assert!(!registry.is_session_valid(&new) && registry.authenticate("acme", b"second").is_none());
 }
 
 #[test]
@@ -403,16 +456,19 @@
     for name in ["c", "a", "b"] {
         create(&mut registry, name);
     }
-    registry.admits("b", "payout", 1).expect("admitted").owed = 1;
+    registry
+        .check_admission("b", "payout", 1)
+        .expect("admitted")
+        .unacknowledged = 1;
     make(
         &mut registry,
-        &command("b", Expect::Any, Change::Remove(None)),
+        &command("b", Precondition::Any, Change::Remove(None)),
     )
     .expect("removed");
     create(&mut registry, "b");
     let names = |after: Option<&str>| -> Vec<String> {
         registry
-            .page(after)
+            .newest_entries_after(after)
             .map(|entry| entry.tenant.reference())
             .collect()
     };
@@ -424,8 +480,8 @@
 
 fn any_change() -> impl Strategy<Value = (u8, Change, Option<u8>)> {
     let change = prop_oneof![
-        3 => (1u32..50).prop_map(|weight| Change::Create(Spec { weight, ..Spec::default() })),
-        2 => (1u32..50).prop_map(|weight| Change::Replace(Spec { weight, ..Spec::default() })),
+        3 => (1u32..50).prop_map(|weight| Change::Create(TenantSpec { weight, ..TenantSpec::default() })),
+        2 => (1u32..50).prop_map(|weight| Change::Replace(TenantSpec { weight, ..TenantSpec::default() })),
         2 => (0u32..50).prop_map(|weight| Change::Merge(json!({"weight": weight}))),
         1 => Just(Change::Pause),
         1 => Just(Change::Resume),
@@ -445,34 +501,34 @@
     #[test]
     fn what_is_read_back_is_what_was_there(steps in prop::collection::vec((any_change(), any::<bool>()), 1..60)) {
         let mut registry = Registry::new(classes());
-        let mut text = record::snapshot(&registry, 0);
+        let mut text = record::encode_snapshot(&registry, 0);
         let mut newest = std::collections::BTreeMap::new();
         for (at, ((name, change, key), anew)) in steps.into_iter().enumerate() {
             let name = format!("t{name}");
             let key = key.map(|key| (format!("k{key}"), Digest::of(format!("{name}{change:?}").as_bytes())));
-            let asked = Command { key, ..command(&name, Expect::Any, change) };
-            if let Ok(Decision::Make(made)) = registry.decide(at as u64, &asked) {
-                prop_assert_eq!(made.seq, registry.seq() + 1);
-                text.extend(record::change(&made));
+            let asked = Command { key, ..command(&name, Precondition::Any, change) };
+            if let Ok(Decision::Commit(made)) = registry.decide(at as u64, &asked) {
+                prop_assert_eq!(made.seq, registry.last_sequence() + 1);
+                text.extend(record::encode_change(&made));
                 registry.commit(&made);
                 let to = made.to.expect("a tenant");
                 let before = newest.insert(to.name.clone(), to.version);
                 prop_assert!(before.is_none_or(|before| before < to.version));
             }
             if at % 3 == 0 {
-                while let Some(gone) = registry.drained(at as u64) {
-                    text.extend(record::change(&gone));
+                while let Some(gone) = registry.next_drained(at as u64) {
+                    text.extend(record::encode_change(&gone));
                     registry.commit(&gone);
                 }
             }
             if anew {
-                text = record::snapshot(&registry, 0);
+                text = record::encode_snapshot(&registry, 0);
             }
             let numbers: BTreeSet<_> = registry.entries().map(|entry| entry.number).collect();
             prop_assert_eq!(numbers.len(), registry.len());
             let read = recover(&classes(), Some(&text), Some(&text)).expect("readable");
-            prop_assert_eq!(&read.kept, &registry.kept());
-            prop_assert!(read.lost == 0 && !read.spoilt);
+            prop_assert_eq!(&read.state, &registry.persisted_state());
+            prop_assert!(read.lost_changes == 0 && !read.needs_repair);
         }
     }
 }
--- a/crates/tenancy/tests/shares.rs
+++ b/crates/tenancy/tests/shares.rs
@@ -6,7 +6,7 @@
 use policy::types::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use tenancy::{Shares, MOST_CLOCKS};
+use tenancy::{FairQueueScheduler, MAX_DESTINATION_CLOCKS};
 
 const MS: Micros = 1000;
 
@@ -40,8 +40,8 @@
     }
 }
 
-fn with_weights(slots: usize, weights: &[u32]) -> Shares {
-    let mut shares = Shares::new(slots);
+fn with_weights(slots: usize, weights: &[u32]) -> FairQueueScheduler {
+    let mut shares = FairQueueScheduler::new(slots);
     for (tenant, weight) in (0..).zip(weights) {
         shares.update_tenant(
             0,
@@ -58,7 +58,7 @@
 /// Rounds in which each tenant asks for so many calls of its own length at one destination that takes so many
 /// a round, and all slots are wanted; tells how many calls, and how much slot time, each got.
 fn contend(
-    shares: &mut Shares,
+    shares: &mut FairQueueScheduler,
     asks: &[(usize, Micros, f64)],
     a_round: usize,
     rounds: usize,
@@ -175,7 +175,7 @@
     /// any changes of terms.
     #[test]
     fn the_hold_is_counted(steps in prop::collection::vec((0u16..6, 0u8..5, 1u32..30), 1..400)) {
-        let mut shares = Shares::new(8);
+        let mut shares = FairQueueScheduler::new(8);
         let mut terms: BTreeMap<TenantId, u32> = BTreeMap::new();
         let mut held: BTreeMap<TenantId, usize> = BTreeMap::new();
         let mut counting: BTreeSet<TenantId> = BTreeSet::new();
@@ -222,7 +222,7 @@
 
 #[test]
 fn a_tenant_keeps_to_its_caps_and_its_standing() {
-    let mut shares = Shares::new(8);
+    let mut shares = FairQueueScheduler::new(8);
     let active = TenantTerms {
         max_queued: 2,
         max_in_flight: 1,
@@ -263,7 +263,7 @@
 
 #[test]
 fn a_rate_binds_at_the_door_and_is_counted_when_a_message_is_taken() {
-    let mut shares = Shares::new(8);
+    let mut shares = FairQueueScheduler::new(8);
     let rate = Some(RateLimit {
         per_second: 10.0,
         burst: 2.0,
@@ -301,5 +301,5 @@
         shares.call_started(&message(&offers[0]), MS);
         shares.round_ended(false);
     }
-    assert_eq!(shares.destinations(), MOST_CLOCKS);
+    assert_eq!(shares.destinations(), MAX_DESTINATION_CLOCKS);
 }
--- a/crates/tenancy/tests/stored_format.rs
+++ b/crates/tenancy/tests/stored_format.rs
@@ -7,9 +7,9 @@
 use serde_json::json;
 use tenancy::audit::Entry;
 use tenancy::record::{self, recover};
-use tenancy::registry::{Actor, Change, Command, Decision, Expect, Record};
+use tenancy::registry::{Actor, Change, ChangeRecord, Command, Decision, Precondition};
 use tenancy::secret::Digest;
-use tenancy::spec::{OnRemoval, RateSpec, Spec};
+use tenancy::spec::{OnRemoval, RateSpec, TenantSpec};
 use tenancy::Registry;
 
 fn golden(name: &str) -> Vec<u8> {
@@ -23,8 +23,8 @@
     vec!["payout".into(), "update".into()]
 }
 
-fn full_spec() -> Spec {
-    Spec {
+fn full_spec() -> TenantSpec {
+    TenantSpec {
         weight: 7,
         rate: Some(RateSpec {
             per_second: 2.5,
@@ -42,7 +42,7 @@
 }
 
 /// A registry after changes of every kind, and their records.
-fn changed() -> (Registry, Vec<Record>) {
+fn changed() -> (Registry, Vec<ChangeRecord>) {
     let mut registry = Registry::new(classes());
     let mut records = Vec::new();
     let secret = || Change::AddSecret {
@@ -50,7 +50,7 @@
         sha256: Digest::of(b"secret"),
     };
     let changes = [
-        ("acme", Change::Create(Spec::default())),
+        ("acme", Change::Create(TenantSpec::default())),
         ("beta", Change::Create(full_spec())),
         ("acme", secret()),
         ("acme", Change::Pause),
@@ -73,10 +73,10 @@
             request,
             key,
             name: name.into(),
-            expect: Expect::Any,
+            precondition: Precondition::Any,
             change,
         };
-        let Ok(Decision::Make(record)) = registry.decide(1_790_000_000_123 + at as u64, &command)
+        let Ok(Decision::Commit(record)) = registry.decide(1_790_000_000_123 + at as u64, &command)
         else {
             panic!("{command:?}")
         };
@@ -84,7 +84,7 @@
         records.push(*record);
     }
     let gone = registry
-        .drained(1_790_000_000_999)
+        .next_drained(1_790_000_000_999)
         .expect("one that is owed nothing");
     registry.commit(&gone);
     records.push(gone);
@@ -92,11 +92,11 @@
 }
 
 fn written_changes() -> Vec<u8> {
-    let mut text = record::snapshot(&Registry::new(classes()), 0);
+    let mut text = record::encode_snapshot(&Registry::new(classes()), 0);
     changed()
         .1
         .iter()
-        .for_each(|change| text.extend(record::change(change)));
+        .for_each(|change| text.extend(record::encode_change(change)));
     text
 }
 
@@ -104,7 +104,7 @@
 fn registry_is_written_as_before() {
     assert_eq!(written_changes(), golden("tenants.changes"));
     assert_eq!(
-        record::snapshot(&changed().0, 2),
+        record::encode_snapshot(&changed().0, 2),
         golden("tenants.snapshot")
     );
 }
@@ -115,21 +115,21 @@
     let (registry, records) = changed();
     let read = recover(&classes(), Some(&changes), Some(&changes)).expect("readable");
     assert_eq!(
-        (read.kept, read.lost, read.spoilt),
-        (registry.kept(), 0, false)
+        (read.state, read.lost_changes, read.needs_repair),
+        (registry.persisted_state(), 0, false)
     );
     assert_eq!(read.changes.into_values().collect::<Vec<_>>(), records);
     let read = recover(&classes(), Some(&snapshot), Some(&snapshot)).expect("readable");
     assert_eq!(
-        (read.kept, read.lost, read.spoilt),
-        (registry.kept(), 2, false)
+        (read.state, read.lost_changes, read.needs_repair),
+        (registry.persisted_state(), 2, false)
     );
     // The first copy is torn within its last change, the second one heals it.
     let torn = &changes[..changes.len() - 30];
     let read = recover(&classes(), Some(torn), Some(&changes)).expect("readable");
     assert_eq!(
-        (read.kept, read.lost, read.spoilt),
-        (registry.kept(), 0, true)
+        (read.state, read.lost_changes, read.needs_repair),
+        (registry.persisted_state(), 0, true)
     );
 }
 
--- a/crates/undeliverable/src/record.rs
+++ b/crates/undeliverable/src/record.rs
@@ -1,7 +1,7 @@
 //! What is kept of a message that was given up, and how its state changes.
 
 use serde::{Deserialize, Serialize};
-use tenancy::registry::name_of;
+use tenancy::registry::tenant_name;
 
 use crate::Micros;
 
@@ -231,7 +231,7 @@
     /// The tenant's name, without the generation that the journal adds.
     #[must_use]
     pub fn tenant_name(&self) -> &str {
-        name_of(&self.tenant)
+        tenant_name(&self.tenant)
     }
 }
 
