--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -84,7 +84,10 @@
     ) -> Result<undeliverable::UndeliverableResponse, Problem> {
         let (reply, answer) = oneshot::channel();
         let call = undeliverable::UndeliverableEvent::UndeliverableCall(
-            undeliverable::UndeliverableCall { ask, reply },
+            undeliverable::UndeliverableCall {
+                request: ask,
+                reply,
+            },
         );
         let gone = || Problem::unavailable("the relay is coming to its end");
         self.driver
@@ -96,12 +99,15 @@
 
     async fn ask(&self, ask: TenantRequest) -> Result<TenantResponse, Problem> {
         let (reply, answer) = oneshot::channel();
-        let call = RelayEvent::Tenants(TenantCall { ask, reply });
+        let call = RelayEvent::Tenants(TenantCall {
+            request: ask,
+            reply,
+        });
         let gone = || Problem::unavailable("the relay is coming to its end");
         self.driver.send(call).await.map_err(|_| gone())?;
         match answer.await.map_err(|_| gone())? {
             TenantResponse::Refused(why) => Err(why.into()),
-            TenantResponse::NotKept(why) => Err(Problem::unavailable(why)),
+            TenantResponse::NotPersisted(why) => Err(Problem::unavailable(why)),
             told => Ok(told),
         }
     }
@@ -110,7 +116,11 @@
     async fn change(&self, command: Command, done: StatusCode) -> Result<Response, Problem> {
         let (shown, status, again) =
             match self.ask(TenantRequest::Change(Box::new(command))).await? {
-                TenantResponse::Changed { shown, again, .. } => (shown, done, again),
+                TenantResponse::Changed {
+                    view: shown,
+                    is_replay: again,
+                    ..
+                } => (shown, done, again),
                 TenantResponse::Unchanged(shown) => (
                     shown,
                     if done == StatusCode::ACCEPTED {
--- a/crates/admin/src/model.rs
+++ b/crates/admin/src/model.rs
@@ -156,9 +156,9 @@
             refused: usage.counts.refused,
             failed: usage.counts.failed,
             rejected: usage.counts.rejected,
-            held: usage.held,
+            held: usage.queued,
             in_flight: usage.in_flight,
-            owed: usage.owed,
+            owed: usage.unacknowledged,
             draining: Vec::new(),
         }
     }
@@ -194,8 +194,8 @@
         RegistryStatus {
             tenants: status.tenants,
             changes: status.seq,
-            lost_changes: status.lost,
-            unwritten_audit_entries: status.untold,
+            lost_changes: status.lost_changes,
+            unwritten_audit_entries: status.unlogged_changes,
             since: rfc3339(status.since_ms),
         }
     }
--- a/crates/admin/src/undeliverable.rs
+++ b/crates/admin/src/undeliverable.rs
@@ -13,9 +13,9 @@
 use serde::{Deserialize, Serialize};
 use tenancy::audit::rfc3339;
 use tenancy::Scope;
-use undeliverable::batch::{self, Batch, Order, Spec};
-use undeliverable::record::{self, By, Effect, Says, Statement};
-use undeliverable::store::By as Group;
+use undeliverable::batch::{self, Batch, BatchCommand, BatchSpec};
+use undeliverable::record::{self, Attestation, Attester, ExecutionClaim, Idempotency};
+use undeliverable::store::GroupBy as Group;
 use undeliverable::{Attempt, Filter, Micros, Reason, Record, RecordId};
 use utoipa::{IntoParams, ToSchema};
 use utoipa_axum::router::OpenApiRouter;
@@ -45,34 +45,34 @@
 }
 
 /// What went wrong with a record.
-fn refused(refusal: record::Refusal) -> Problem {
-    use record::Refusal;
+fn refused(refusal: record::RecordError) -> Problem {
+    use record::RecordError;
     let detail = refusal.to_string();
     let problem = |status, kind| Problem::new(status, kind, detail.clone());
     match refusal {
-        Refusal::NoRecord => problem(StatusCode::NOT_FOUND, "no-such-record"),
-        Refusal::Version(current) => Problem::stale(current.to_string(), detail),
-        Refusal::Claimed(_) => problem(StatusCode::LOCKED, "record-claimed"),
-        Refusal::Sending => problem(StatusCode::CONFLICT, "record-sending"),
-        Refusal::Closed(_) => problem(StatusCode::CONFLICT, "record-closed"),
-        Refusal::Need(need) => problem(StatusCode::CONFLICT, need.word()),
-        Refusal::Resting => problem(StatusCode::TOO_MANY_REQUESTS, "record-resting"),
-        Refusal::NotHandedOver => problem(StatusCode::CONFLICT, "not-handed-over"),
-        Refusal::Malformed(_) => problem(StatusCode::UNPROCESSABLE_ENTITY, "invalid-value"),
+        RecordError::NoRecord => problem(StatusCode::NOT_FOUND, "no-such-record"),
+        RecordError::Version(current) => Problem::stale(current.to_string(), detail),
+        RecordError::Claimed(_) => problem(StatusCode::LOCKED, "record-claimed"),
+        RecordError::Sending => problem(StatusCode::CONFLICT, "record-sending"),
+        RecordError::Closed(_) => problem(StatusCode::CONFLICT, "record-closed"),
+        RecordError::ResendBlocked(need) => problem(StatusCode::CONFLICT, need.word()),
+        RecordError::Settling => problem(StatusCode::TOO_MANY_REQUESTS, "record-resting"),
+        RecordError::NotAccepted => problem(StatusCode::CONFLICT, "not-handed-over"),
+        RecordError::Malformed(_) => problem(StatusCode::UNPROCESSABLE_ENTITY, "invalid-value"),
     }
 }
 
-fn batch_refused(refusal: batch::Refusal) -> Problem {
-    use batch::Refusal;
+fn batch_refused(refusal: batch::BatchError) -> Problem {
+    use batch::BatchError;
     let detail = refusal.to_string();
     let problem = |status, kind| Problem::new(status, kind, detail.clone());
     match refusal {
-        Refusal::Exists => problem(StatusCode::CONFLICT, "batch-exists"),
-        Refusal::None => problem(StatusCode::NOT_FOUND, "no-such-batch"),
-        Refusal::TooMany => problem(StatusCode::CONFLICT, "too-many"),
-        Refusal::Version(current) => Problem::stale(current.to_string(), detail),
-        Refusal::Over(_) => problem(StatusCode::CONFLICT, "batch-over"),
-        Refusal::Malformed(_) => problem(StatusCode::UNPROCESSABLE_ENTITY, "invalid-value"),
+        BatchError::Exists => problem(StatusCode::CONFLICT, "batch-exists"),
+        BatchError::None => problem(StatusCode::NOT_FOUND, "no-such-batch"),
+        BatchError::TooMany => problem(StatusCode::CONFLICT, "too-many"),
+        BatchError::Version(current) => Problem::stale(current.to_string(), detail),
+        BatchError::Over(_) => problem(StatusCode::CONFLICT, "batch-over"),
+        BatchError::Malformed(_) => problem(StatusCode::UNPROCESSABLE_ENTITY, "invalid-value"),
     }
 }
 
@@ -100,7 +100,7 @@
         if caller.scope.covers(shown.record.origin.tenant_name()) {
             Ok(*shown)
         } else {
-            Err(refused(record::Refusal::NoRecord))
+            Err(refused(record::RecordError::NoRecord))
         }
     }
 
@@ -116,7 +116,7 @@
         self.seen(&asked.caller, id).await?;
         let ask = UndeliverableRequest::RecordAction {
             id,
-            act,
+            action: act,
             who: asked.caller.name.clone(),
             version,
         };
@@ -136,7 +136,7 @@
         Ok(batches)
     }
 
-    async fn order(&self, asked: &Asked, name: String, order: Order) -> Answer {
+    async fn order(&self, asked: &Asked, name: String, order: BatchCommand) -> Answer {
         asked.caller.may(Role::Operator)?;
         let version = asked.expect_number()?;
         if !self
@@ -145,12 +145,12 @@
             .iter()
             .any(|batch| batch.spec.name == name)
         {
-            return Err(batch_refused(batch::Refusal::None));
+            return Err(batch_refused(batch::BatchError::None));
         }
         let UndeliverableResponse::Batch(batch) = self
-            .told(UndeliverableRequest::Order {
+            .told(UndeliverableRequest::BatchCommand {
                 name,
-                order,
+                command: order,
                 version,
             })
             .await?
@@ -187,7 +187,7 @@
             Json(UndeliverableRecord::new(
                 shown.id,
                 &shown.record,
-                Some(shown.need),
+                Some(shown.blocked),
             )),
         )
             .into_response(),
@@ -238,7 +238,7 @@
     pub operator: Option<String>,
     /// What.
     #[schema(value_type = String, example = "not-applied")]
-    pub says: Says,
+    pub says: ExecutionClaim,
     /// When: what happened after is not covered.
     #[schema(format = DateTime)]
     pub at: String,
@@ -246,15 +246,15 @@
     pub resends: u32,
 }
 
-impl From<&Statement> for UndeliverableStatement {
-    fn from(statement: &Statement) -> Self {
-        let operator = match &statement.by {
-            By::Operator(name) => Some(name.clone()),
-            By::Partner => None,
+impl From<&Attestation> for UndeliverableStatement {
+    fn from(statement: &Attestation) -> Self {
+        let operator = match &statement.attester {
+            Attester::Operator(name) => Some(name.clone()),
+            Attester::Partner => None,
         };
         UndeliverableStatement {
             operator,
-            says: statement.says,
+            says: statement.claim,
             at: at(statement.at),
             resends: statement.resends,
         }
@@ -315,18 +315,22 @@
 }
 
 impl UndeliverableRecord {
-    fn new(id: RecordId, record: &Record, need: Option<Option<undeliverable::Need>>) -> Self {
-        use undeliverable::State;
+    fn new(
+        id: RecordId,
+        record: &Record,
+        need: Option<Option<undeliverable::ResendBlocked>>,
+    ) -> Self {
+        use undeliverable::RecordState;
         let (holder, state_at) = match &record.state {
-            State::Open => (None, None),
-            State::Claimed { by, until } => (Some(by.clone()), Some(at(*until))),
-            State::Sending { by, since } => (Some(by.clone()), Some(at(*since))),
-            State::Closed(_, since) => (None, Some(at(*since))),
+            RecordState::Open => (None, None),
+            RecordState::Claimed { by, until } => (Some(by.clone()), Some(at(*until))),
+            RecordState::Sending { by, since } => (Some(by.clone()), Some(at(*since))),
+            RecordState::Closed(_, since) => (None, Some(at(*since))),
         };
-        let (effect, window) = match record.effect {
-            Effect::Safe => ("safe", None),
-            Effect::Keyed { window } => ("keyed", Some(window as f64 / 1e6)),
-            Effect::Unsafe => ("unsafe", None),
+        let (effect, window) = match record.idempotency {
+            Idempotency::Idempotent => ("safe", None),
+            Idempotency::Keyed { window } => ("keyed", Some(window as f64 / 1e6)),
+            Idempotency::NonIdempotent => ("unsafe", None),
         };
         UndeliverableRecord {
             id,
@@ -338,18 +342,18 @@
             tenant: record.origin.tenant_name().into(),
             class: record.origin.class.clone(),
             destination: record.origin.destination,
-            key: record.origin.key.clone(),
+            key: record.origin.idempotency_key.clone(),
             effect,
             key_window_s: window,
             size: record.size,
-            ended_at: at(record.ended),
-            due_at: at(record.origin.due),
+            ended_at: at(record.given_up_at),
+            due_at: at(record.origin.deadline),
             reason: record.reason,
             may_have_run: record.may_have_run(),
             resends: record.resends,
             attempts: record.attempts.iter().map(Into::into).collect(),
-            statements: record.statements.iter().map(Into::into).collect(),
-            needs: need.map(|need| need.map(undeliverable::Need::word)),
+            statements: record.attestations.iter().map(Into::into).collect(),
+            needs: need.map(|need| need.map(undeliverable::ResendBlocked::word)),
         }
     }
 }
@@ -411,14 +415,14 @@
 
 impl From<StoreReport> for UndeliverableStatus {
     fn from(status: StoreReport) -> Self {
-        let dropped = status.sums.dropped.into_iter();
+        let dropped = status.totals.dropped.into_iter();
         UndeliverableStatus {
-            records: status.sums.records,
-            bytes: status.sums.bytes,
-            unreadable: status.sums.spoilt,
-            lost: status.lost,
-            sending: status.out,
-            trouble: status.trouble,
+            records: status.totals.records,
+            bytes: status.totals.bytes,
+            unreadable: status.totals.unreadable_values,
+            lost: status.unstored_messages,
+            sending: status.resends_in_flight,
+            trouble: status.error,
             dropped: dropped
                 .map(|(tenant, cause, records)| UndeliverableDropped {
                     tenant,
@@ -433,10 +437,12 @@
 /// What somebody says of whether a message took effect.
 #[derive(Debug, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Attestation {
+#[schema(as = Attestation)]
+#[serde(rename = "Attestation")]
+pub struct NewAttestation {
     /// It did (applied), it did not and will not (not-applied), or that can't be told (unknown).
     #[schema(value_type = String, pattern = "^(applied|not-applied|unknown)$")]
-    pub says: Says,
+    pub says: ExecutionClaim,
 }
 
 /// Which records.
@@ -560,7 +566,7 @@
             version: batch.version,
             state: batch.state.word(),
             by: batch.by,
-            made_at: at(batch.made),
+            made_at: at(batch.created_at),
             filter: batch.spec.filter.into(),
             per_second: batch.spec.per_second,
             at_once: batch.spec.at_once,
@@ -850,7 +856,7 @@
     (status = 202, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
     RecordNotChanged))]
 async fn ask_undeliverable(State(api): State<Api>, Path(id): Path<u64>, asked: Asked) -> Answer {
-    api.act(&asked, id, RecordAction::AskPartner, StatusCode::ACCEPTED)
+    api.act(&asked, id, RecordAction::QueryPartner, StatusCode::ACCEPTED)
         .await
 }
 
@@ -869,15 +875,15 @@
 }
 
 /// Say whether a message took effect. Two operators who agree stand for the partner's word. Role: operator.
-#[utoipa::path(post, path = "/v1/undeliverable/{id}/attest", tag = "undeliverable", request_body = Attestation,
+#[utoipa::path(post, path = "/v1/undeliverable/{id}/attest", tag = "undeliverable", request_body = NewAttestation,
     params(("id" = u64, Path), ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
     (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
     (status = 412, description = "It is in another version, which current_version tells.", body = ProblemBody, content_type = "application/problem+json"),
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
     (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn attest_undeliverable(State(api): State<Api>, Path(id): Path<u64>, asked: Asked) -> Answer {
-    let Attestation { says } = asked.json(JSON)?;
-    api.act(&asked, id, RecordAction::State(says), StatusCode::OK)
+    let NewAttestation { says } = asked.json(JSON)?;
+    api.act(&asked, id, RecordAction::Attest(says), StatusCode::OK)
         .await
 }
 
@@ -906,7 +912,7 @@
 async fn plan_batch(State(api): State<Api>, asked: Asked) -> Answer {
     asked.caller.may(Role::Operator)?;
     let new: NewBatch = asked.json(JSON)?;
-    let spec = Spec {
+    let spec = BatchSpec {
         name: new.name,
         filter: new.filter.read(&asked.caller, None)?,
         per_second: new.per_second.unwrap_or(PACE.0),
@@ -940,7 +946,7 @@
         .into_iter()
         .find(|batch| batch.spec.name == name);
     Ok(one_batch(
-        found.ok_or_else(|| batch_refused(batch::Refusal::None))?,
+        found.ok_or_else(|| batch_refused(batch::BatchError::None))?,
         StatusCode::OK,
     ))
 }
@@ -951,7 +957,7 @@
     (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
     BatchNotChanged))]
 async fn run_batch(State(api): State<Api>, Path(name): Path<String>, asked: Asked) -> Answer {
-    api.order(&asked, name, Order::Run).await
+    api.order(&asked, name, BatchCommand::Run).await
 }
 
 /// Send nothing new of a batch for now. Role: operator.
@@ -960,7 +966,7 @@
     (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
     BatchNotChanged))]
 async fn pause_batch(State(api): State<Api>, Path(name): Path<String>, asked: Asked) -> Answer {
-    api.order(&asked, name, Order::Pause).await
+    api.order(&asked, name, BatchCommand::Pause).await
 }
 
 /// Send nothing more of a batch, for good. Role: operator.
@@ -969,7 +975,7 @@
     (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
     BatchNotChanged))]
 async fn cancel_batch(State(api): State<Api>, Path(name): Path<String>, asked: Asked) -> Answer {
-    api.order(&asked, name, Order::Cancel).await
+    api.order(&asked, name, BatchCommand::Cancel).await
 }
 
 /// The routes, with what the document says of them.
--- a/crates/experiments/src/store.rs
+++ b/crates/experiments/src/store.rs
@@ -5,8 +5,8 @@
 use comfy_table::{presets, Table};
 use hdrhistogram::Histogram;
 use runtime::{OsRuntime, Runtime};
-use undeliverable::record::{Effect, Origin};
-use undeliverable::{Attempt, Filter, Outcome, Reason, Record, State, Store};
+use undeliverable::record::{Idempotency, Origin};
+use undeliverable::{Attempt, Filter, Outcome, Reason, Record, RecordState, Store};
 
 use crate::Error;
 
@@ -38,21 +38,21 @@
         tenant: format!("tenant-{:03}", number % 97),
         class: ["payout", "event", "update"][number as usize % 3].into(),
         destination: (number % 200) as u16,
-        key: Some(format!("key-{number:09}")),
-        order: None,
-        due: ended,
+        idempotency_key: Some(format!("key-{number:09}")),
+        ordering_key: None,
+        deadline: ended,
     };
     Record {
         origin,
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         size: BODY as u32,
-        ended,
+        given_up_at: ended,
         reason: Reason::ALL[number as usize % Reason::ALL.len()],
         attempts: (0..1 + number % 4)
             .map(|n| attempt(ended.saturating_sub(n * 1000)))
             .collect(),
-        statements: Vec::new(),
-        state: State::Open,
+        attestations: Vec::new(),
+        state: RecordState::Open,
         version: 1,
         resends: 0,
     }
@@ -94,7 +94,7 @@
             .map(|number| (record(number), &body[..]))
             .collect();
         let one = Instant::now();
-        store.keep(&all).map_err(|e| bad(&e))?;
+        store.insert(&all).map_err(|e| bad(&e))?;
         keeps.saturating_record(one.elapsed().as_micros() as u64);
     }
     let took = began.elapsed().as_secs_f64();
@@ -122,7 +122,9 @@
     for number in 0..PAGE.1 {
         let one = Instant::now();
         let id = 1 + number * 7919 % records;
-        let changed = store.change(id, |record| record.claim("bench", None, record.ended, 1));
+        let changed = store.update(id, |record| {
+            record.claim("bench", None, record.given_up_at, 1)
+        });
         changed.map_err(|e| bad(&e))?;
         changes.saturating_record(one.elapsed().as_micros() as u64);
     }
--- a/crates/relay-events/src/tenants.rs
+++ b/crates/relay-events/src/tenants.rs
@@ -57,12 +57,12 @@
     /// Counters since the relay's start.
     pub counts: TenantCounters,
     /// Messages queued or in flight.
-    pub held: usize,
+    pub queued: usize,
     /// Messages with an open call.
     pub in_flight: usize,
     /// Accepted messages in the journal, including those that only wait for the platform to accept their
     /// notification.
-    pub owed: usize,
+    pub unacknowledged: usize,
 }
 
 /// The state of the registry.
@@ -73,9 +73,9 @@
     /// Sequence number of the last change.
     pub seq: u64,
     /// Changes that were lost to damage of the files.
-    pub lost: u64,
+    pub lost_changes: u64,
     /// Changes that are not in the audit log yet.
-    pub untold: usize,
+    pub unlogged_changes: usize,
     /// When the relay started, in milliseconds since the Unix epoch.
     pub since_ms: u64,
 }
@@ -86,11 +86,11 @@
     /// The tenant was changed.
     Changed {
         /// The tenant after the change.
-        shown: Box<TenantView>,
+        view: Box<TenantView>,
         /// The kind of change.
         action: Action,
         /// Whether this repeats the response to an earlier request with the same idempotency key.
-        again: bool,
+        is_replay: bool,
     },
     /// The tenant was as requested already.
     Unchanged(Box<TenantView>),
@@ -108,13 +108,13 @@
     /// The request was refused, or there is nothing to show.
     Refused(RegistryError),
     /// Nothing was changed, as the change could not be written to disk, for this reason.
-    NotKept(String),
+    NotPersisted(String),
 }
 
 /// A request with the channel for its response.
 pub struct TenantCall {
     /// The request.
-    pub ask: TenantRequest,
+    pub request: TenantRequest,
     /// Channel for the response.
     pub reply: oneshot::Sender<TenantResponse>,
 }
--- a/crates/relay-events/src/undeliverable.rs
+++ b/crates/relay-events/src/undeliverable.rs
@@ -1,10 +1,10 @@
 //! Requests of front ends about undeliverable messages, the responses, and the answers of partners.
 
 use tokio::sync::oneshot;
-use undeliverable::batch::{self, Batch, Order, Spec};
-use undeliverable::record::{self, Says};
-use undeliverable::store::{By, Page, Sums};
-use undeliverable::{Filter, Micros, Need, Record, RecordId};
+use undeliverable::batch::{self, Batch, BatchCommand, BatchSpec};
+use undeliverable::record::{self, ExecutionClaim};
+use undeliverable::store::{GroupBy, GroupCounts, Page};
+use undeliverable::{Filter, Micros, Record, RecordId, ResendBlocked};
 
 /// An operator's action on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,9 +16,9 @@
     /// Send it again.
     Resend,
     /// Record what the operator states about the message's effect.
-    State(Says),
+    Attest(ExecutionClaim),
     /// Ask the partner whether the message took effect.
-    AskPartner,
+    QueryPartner,
     /// Close it without another attempt.
     Discard,
 }
@@ -40,7 +40,7 @@
     /// Show the body of a record's message.
     Body(RecordId),
     /// Count the records by the values of a property.
-    Counts(By),
+    Counts(GroupBy),
     /// Show the state of the store.
     StoreReport,
     /// Act on a record.
@@ -48,7 +48,7 @@
         /// The record.
         id: RecordId,
         /// The action.
-        act: RecordAction,
+        action: RecordAction,
         /// The operator who asks.
         who: String,
         /// Precondition: the record's current version.
@@ -59,16 +59,16 @@
     /// Plan a batch: counts what it would do, and does nothing yet.
     Plan {
         /// The batch.
-        spec: Spec,
+        spec: BatchSpec,
         /// The operator who asks.
         who: String,
     },
     /// Run, pause or cancel a batch.
-    Order {
+    BatchCommand {
         /// The batch's name.
         name: String,
         /// Whether to run, pause or cancel it.
-        order: Order,
+        command: BatchCommand,
         /// Precondition: the batch's current version.
         version: Option<u32>,
     },
@@ -82,20 +82,20 @@
     /// The record.
     pub record: Record,
     /// What is missing before it can be resent; none if it could be resent now.
-    pub need: Option<Need>,
+    pub blocked: Option<ResendBlocked>,
 }
 
 /// The state of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreReport {
     /// Totals of what it holds.
-    pub sums: Sums,
+    pub totals: GroupCounts,
     /// Undeliverable messages that could not be stored.
-    pub lost: u64,
+    pub unstored_messages: u64,
     /// Resends in flight.
-    pub out: usize,
+    pub resends_in_flight: usize,
     /// Why the store cannot be written now; none if it can.
-    pub trouble: Option<String>,
+    pub error: Option<String>,
 }
 
 /// A response to an [`UndeliverableRequest`].
@@ -116,9 +116,9 @@
     /// One batch.
     Batch(Box<Batch>),
     /// A record was not changed.
-    Refused(record::Refusal),
+    Refused(record::RecordError),
     /// A batch was not changed.
-    BatchRefused(batch::Refusal),
+    BatchRefused(batch::BatchError),
     /// The store cannot be used now, or the relay has none, for this reason.
     Unavailable(String),
     /// Too much is in progress; retry after so many milliseconds.
@@ -128,7 +128,7 @@
 /// A request with the channel for its response.
 pub struct UndeliverableCall {
     /// The request.
-    pub ask: UndeliverableRequest,
+    pub request: UndeliverableRequest,
     /// Channel for the response.
     pub reply: oneshot::Sender<UndeliverableResponse>,
 }
@@ -138,12 +138,12 @@
     /// A front end's request.
     UndeliverableCall(UndeliverableCall),
     /// A query to a partner, whether a message took effect, has ended.
-    PartnerAnswered {
+    PartnerQueryCompleted {
         /// The record.
         id: RecordId,
         /// When the query was sent, in Unix time in microseconds.
-        asked: Micros,
+        queried_at: Micros,
         /// The partner's statement; none if there was no valid answer.
-        says: Option<Says>,
+        claim: Option<ExecutionClaim>,
     },
 }
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -251,7 +251,7 @@
         let scheduler = self.policy.scheduler();
         let has_spare = self.journal.restore_spare();
         let response = self.tenants.handle_request(
-            call.ask,
+            call.request,
             |tenant| scheduler.usage(tenant),
             &mut self.pending_events,
             has_spare,
--- a/crates/relay/src/event_loop/undeliverable_messages.rs
+++ b/crates/relay/src/event_loop/undeliverable_messages.rs
@@ -3,7 +3,7 @@
 use policy::types::{Event, MessageId, Micros, PastAttempt, TenantId};
 use relay_events::undeliverable::{UndeliverableCall, UndeliverableEvent, UndeliverableResponse};
 use runtime::{log, Runtime};
-use undeliverable::record::Refusal;
+use undeliverable::record::RecordError;
 
 use super::admission::policy_message;
 use super::EventLoop;
@@ -38,7 +38,11 @@
     /// Handles a request to the undeliverable service, or a partner's answer to one of its queries.
     pub(super) fn handle_undeliverable_event(&mut self, event: UndeliverableEvent) {
         match event {
-            UndeliverableEvent::PartnerAnswered { id, asked, says } => {
+            UndeliverableEvent::PartnerQueryCompleted {
+                id,
+                queried_at: asked,
+                claim: says,
+            } => {
                 let now = self.clock.now();
                 if let Some(service) = &mut self.undeliverable {
                     service.partner_answered(id, asked, says, now);
@@ -59,10 +63,10 @@
             return;
         };
         let mut resends = Vec::new();
-        let mut response = service.handle_request(call.ask, now, load, &mut resends);
+        let mut response = service.handle_request(call.request, now, load, &mut resends);
         for resend in resends {
             if self.start_resend(now, resend) == ResendStart::NotStarted {
-                response = UndeliverableResponse::Refused(Refusal::NotHandedOver);
+                response = UndeliverableResponse::Refused(RecordError::NotAccepted);
             }
         }
         // The caller may have gone away.
--- a/crates/relay/src/tenant_service/mod.rs
+++ b/crates/relay/src/tenant_service/mod.rs
@@ -303,10 +303,10 @@
     ) -> TenantResponse {
         match self {
             Tenants::Fixed(_) => {
-                TenantResponse::NotKept("the tenants are those of the settings".into())
+                TenantResponse::NotPersisted("the tenants are those of the settings".into())
             }
             Tenants::Hosted(_) if !room && matches!(ask, TenantRequest::Change(_)) => {
-                TenantResponse::NotKept(
+                TenantResponse::NotPersisted(
                     "the disk is full, what room there is is for the ends of messages".into(),
                 )
             }
@@ -462,8 +462,8 @@
             TenantRequest::RegistryReport => TenantResponse::RegistryReport(RegistryReport {
                 tenants: self.registry.len(),
                 seq: self.registry.last_sequence(),
-                lost: self.store.lost,
-                untold: self.audit.unwritten(),
+                lost_changes: self.store.lost,
+                unlogged_changes: self.audit.unwritten(),
                 since_ms: self.since_ms,
             }),
         }
@@ -479,20 +479,20 @@
             Decision::Replay(answered) => {
                 let shown = self.shown(answered.tenant);
                 TenantResponse::Changed {
-                    shown,
+                    view: shown,
                     action: answered.action,
-                    again: true,
+                    is_replay: true,
                 }
             }
             Decision::Commit(record) => {
                 if let Err(why) = self.make(&record, events) {
-                    return TenantResponse::NotKept(why);
+                    return TenantResponse::NotPersisted(why);
                 }
                 match record.to {
                     Some(tenant) => TenantResponse::Changed {
-                        shown: self.shown(tenant),
+                        view: self.shown(tenant),
                         action: record.action,
-                        again: false,
+                        is_replay: false,
                     },
                     None => TenantResponse::Refused(RegistryError::Gone(command.name)),
                 }
@@ -552,8 +552,8 @@
         name: entry.tenant.name.clone(),
         version: entry.tenant.version,
         counts: entry.counts,
-        held: load.queued,
+        queued: load.queued,
         in_flight: load.in_flight,
-        owed: entry.unacknowledged,
+        unacknowledged: entry.unacknowledged,
     }
 }
--- a/crates/relay/src/tenant_service/store.rs
+++ b/crates/relay/src/tenant_service/store.rs
@@ -6,8 +6,8 @@
 use std::path::{Path, PathBuf};
 
 use runtime::{log, File, Runtime};
-use tenancy::record::{self, SnapshotWriter};
 use tenancy::registry::ChangeRecord;
+use tenancy::registry_file::{self, SnapshotWriter};
 use tenancy::Registry;
 
 /// The files, the leading one first.
@@ -99,7 +99,7 @@
             texts.push(text);
         }
         let fresh = texts.iter().all(Option::is_none);
-        let read = record::recover(classes, texts[0].as_deref(), texts[1].as_deref())
+        let read = registry_file::recover(classes, texts[0].as_deref(), texts[1].as_deref())
             .map_err(|e| e.to_string())?;
         let registry = Registry::restore(classes.to_vec(), read.state);
         let mut store = Store {
@@ -120,7 +120,7 @@
                 read.lost_changes
             );
         }
-        store.snapshot = record::encode_snapshot(&registry, read.lost_changes).len() as u64;
+        store.snapshot = registry_file::encode_snapshot(&registry, read.lost_changes).len() as u64;
         if fresh || read.needs_repair {
             if !fresh {
                 log!(
@@ -164,7 +164,7 @@
 
     /// Keeps a change. Once this returns, it outlasts the process; an error leaves no trace of it.
     pub fn append(&mut self, record: &ChangeRecord) -> io::Result<()> {
-        let text = record::encode_change(record);
+        let text = registry_file::encode_change(record);
         if self.copies[0].length + text.len() as u64 > self.limit {
             self.failed = false;
             return Err(io::Error::new(
@@ -190,11 +190,11 @@
         registry: &Registry,
         untold: &BTreeMap<u64, ChangeRecord>,
     ) -> io::Result<()> {
-        let mut text = record::encode_snapshot(registry, self.lost);
+        let mut text = registry_file::encode_snapshot(registry, self.lost);
         self.snapshot = text.len() as u64;
         untold
             .values()
-            .for_each(|change| text.extend(record::encode_change(change)));
+            .for_each(|change| text.extend(registry_file::encode_change(change)));
         for copy in &mut self.copies {
             let fresh = fresh_path(&copy.path);
             let mut file = self.runtime.create(&fresh)?;
--- a/crates/relay/src/undeliverable_service/mod.rs
+++ b/crates/relay/src/undeliverable_service/mod.rs
@@ -27,12 +27,12 @@
 use relay_events::{DeliveryFailure, RelayEvent};
 use runtime::{log, Runtime};
 use tokio::sync::mpsc;
-use undeliverable::batch::{self, Batch, Counts, Order, Spec};
-use undeliverable::decide::{may_go, Clearance, Need, Terms};
-use undeliverable::record::{self, By, Closed, Origin, Refusal, Says};
-use undeliverable::rules::{Partners, Rules};
-use undeliverable::store::{Error, Sums};
-use undeliverable::{Attempt, Filter, Outcome, Reason, Record, RecordId, State, Store};
+use undeliverable::batch::{self, Batch, BatchCommand, BatchCounts, BatchSpec};
+use undeliverable::record::{self, Attester, ExecutionClaim, Origin, RecordError, Resolution};
+use undeliverable::resend_policy::{check_resend, ResendBlocked, ResendPermit, ResendPolicy};
+use undeliverable::rules::{PartnerHealth, Rules};
+use undeliverable::store::{GroupCounts, StoreError};
+use undeliverable::{Attempt, Filter, Outcome, Reason, Record, RecordId, RecordState, Store};
 
 use crate::journal::{self, AcceptedMessage, PendingMessage, ResendOrigin};
 use partner::Question;
@@ -101,7 +101,7 @@
 impl Out {
     /// Whether a record is the one that is out, and still is.
     fn is(&self, record: &Record) -> bool {
-        let sending = matches!(record.state, State::Sending { .. });
+        let sending = matches!(record.state, RecordState::Sending { .. });
         sending && record.resends == self.again.number && record.origin.name == self.name
     }
 }
@@ -124,7 +124,7 @@
     /// Batches that have changed since they were kept.
     changed: BTreeSet<String>,
     rules: Rules,
-    partners: Partners,
+    partners: PartnerHealth,
     /// Where the rules look next.
     looked: RecordId,
     out: BTreeMap<MessageId, Out>,
@@ -149,15 +149,15 @@
     Back(Vec<Attempt>, Option<Reason>, Box<(Record, Bytes)>),
 }
 
-fn effect(class: &Class) -> record::Effect {
+fn effect(class: &Class) -> record::Idempotency {
     match class.idempotency {
-        Idempotency::Idempotent => record::Effect::Safe,
+        Idempotency::Idempotent => record::Idempotency::Idempotent,
         // Which zone knows a key is not kept: such a one is taken for unsafe.
         Idempotency::Keyed {
             zone_only: true, ..
         }
-        | Idempotency::NonIdempotent => record::Effect::Unsafe,
-        Idempotency::Keyed { window, .. } => record::Effect::Keyed { window },
+        | Idempotency::NonIdempotent => record::Idempotency::NonIdempotent,
+        Idempotency::Keyed { window, .. } => record::Idempotency::Keyed { window },
     }
 }
 
@@ -170,7 +170,7 @@
         AttemptOutcome::Timeout => Outcome::TimedOut,
         AttemptOutcome::ConnectFailed => Outcome::NotConnected,
         AttemptOutcome::Reset | AttemptOutcome::ConnectionLost => Outcome::Broken,
-        AttemptOutcome::Cancelled => Outcome::CalledOff,
+        AttemptOutcome::Cancelled => Outcome::Cancelled,
         AttemptOutcome::Obsolete | AttemptOutcome::NotStarted => Outcome::NotSent,
     }
 }
@@ -246,7 +246,7 @@
             batches: BTreeMap::new(),
             changed: BTreeSet::new(),
             rules,
-            partners: Partners::default(),
+            partners: PartnerHealth::default(),
             looked: 0,
             out: BTreeMap::new(),
             ends: BTreeMap::new(),
@@ -266,7 +266,7 @@
         let pages = self
             .runtime
             .open_random_access(&self.path)
-            .map_err(|e| Error::Database(e.to_string()));
+            .map_err(|e| StoreError::Database(e.to_string()));
         let opened = pages.and_then(|pages| Store::open(pages, self.set.sync));
         let opened = opened.and_then(|store| store.batches().map(|batches| (store, batches)));
         match opened {
@@ -281,7 +281,7 @@
             }
             Err(error) => {
                 self.broken(&error);
-                if matches!(error, Error::Corrupt(_)) {
+                if matches!(error, StoreError::Corrupt(_)) {
                     self.put_aside();
                 }
             }
@@ -289,7 +289,7 @@
     }
 
     /// The store can't be used for now.
-    fn broken(&mut self, error: &Error) {
+    fn broken(&mut self, error: &StoreError) {
         if self.trouble.is_none() {
             log!(self.runtime, "undeliverable: {error}");
         }
@@ -325,11 +325,11 @@
     }
 
     /// What the store gives, or nothing and the trouble is noted.
-    fn with<T>(&mut self, what: impl FnOnce(&Store) -> Result<T, Error>) -> Option<T> {
+    fn with<T>(&mut self, what: impl FnOnce(&Store) -> Result<T, StoreError>) -> Option<T> {
         match what(self.store.as_ref()?) {
             Ok(value) => Some(value),
             // One record that can't be read is no reason to leave the others.
-            Err(Error::Spoilt(id)) => {
+            Err(StoreError::Unreadable(id)) => {
                 log!(self.runtime, "undeliverable: record {id} can't be read");
                 None
             }
@@ -340,13 +340,13 @@
         }
     }
 
-    fn terms(&self, now: Micros) -> Terms {
-        Terms {
+    fn terms(&self, now: Micros) -> ResendPolicy {
+        ResendPolicy {
             now,
-            margin: self.set.margin(),
-            settle: self.set.settle(),
-            fresh: self.set.fresh(),
-            most_resends: self.set.max_resends,
+            key_expiry_margin: self.set.margin(),
+            settle_time: self.set.settle(),
+            attestation_validity: self.set.fresh(),
+            max_resends: self.set.max_resends,
         }
     }
 
@@ -369,17 +369,17 @@
             ..Filter::default()
         };
         let mut after = 0;
-        while let Some(page) = self.with(|store| store.after(&sending, after, 200)) {
+        while let Some(page) = self.with(|store| store.page_after(&sending, after, 200)) {
             for (id, record) in &page.records {
                 if !held.contains(&(*id, record.resends)) {
                     let by = record.state.clone();
                     self.with(|store| {
-                        store.change(*id, |record| {
-                            record.lost_sight(now);
-                            Ok::<_, Refusal>(())
+                        store.update(*id, |record| {
+                            record.record_unknown_outcome(now);
+                            Ok::<_, RecordError>(())
                         })
                     });
-                    if let State::Sending { by, .. } = by {
+                    if let RecordState::Sending { by, .. } = by {
                         self.batch_ended(&by, false);
                     }
                 }
@@ -389,8 +389,8 @@
         }
         let outs: Vec<String> = self.out.values().map(|out| out.by.clone()).collect();
         for batch in self.batches.values_mut() {
-            let sender = batch.sender();
-            batch.restarted(outs.iter().filter(|by| **by == sender).count() as u32, now);
+            let sender = batch.sender_name();
+            batch.resume_after_restart(outs.iter().filter(|by| **by == sender).count() as u32, now);
         }
     }
 
@@ -398,11 +398,11 @@
     pub fn resend_restored(&mut self, id: MessageId, again: ResendOrigin, name: &str, now: Micros) {
         // The journal is right where the store has gone back.
         self.with(|store| {
-            store.change(again.record, |record| {
+            store.update(again.record, |record| {
                 if record.origin.name == name {
-                    record.resume("", again.number, now);
+                    record.continue_resend("", again.number, now);
                 }
-                Ok::<_, Refusal>(())
+                Ok::<_, RecordError>(())
             })
         });
         self.resend_started(id, again, name);
@@ -412,9 +412,9 @@
     pub fn is_closed(&mut self, again: &ResendOrigin, name: &str) -> bool {
         let found = self.with(|store| store.find(again.record)).flatten();
         found.is_some_and(|record| {
-            let sending = matches!(record.state, State::Sending { .. });
+            let sending = matches!(record.state, RecordState::Sending { .. });
             let known = record.resends == again.number && !sending || record.resends > again.number;
-            record.origin.name == name && (known || matches!(record.state, State::Closed(..)))
+            record.origin.name == name && (known || matches!(record.state, RecordState::Closed(..)))
         })
     }
 
@@ -446,19 +446,19 @@
             tenant: taken.tenant.clone(),
             class: taken.class.clone(),
             destination: taken.destination,
-            key: taken.idempotency_key.clone(),
-            order: taken.ordering_key,
-            due: taken.deadline,
+            idempotency_key: taken.idempotency_key.clone(),
+            ordering_key: taken.ordering_key,
+            deadline: taken.deadline,
         };
         Record {
             origin,
-            effect: class.map_or(record::Effect::Unsafe, effect),
+            idempotency: class.map_or(record::Idempotency::NonIdempotent, effect),
             size: taken.body.len() as u32,
-            ended: now,
+            given_up_at: now,
             reason: reason(owed, class, abandoned, most_attempts, now),
             attempts: story(owed),
-            statements: Vec::new(),
-            state: State::Open,
+            attestations: Vec::new(),
+            state: RecordState::Open,
             version: 1,
             resends: 0,
         }
@@ -489,7 +489,7 @@
             .iter()
             .map(|(record, body)| (record.clone(), &body[..]))
             .collect();
-        match self.with(|store| store.keep(&all)) {
+        match self.with(|store| store.insert(&all)) {
             Some(numbers) => self.rest(&numbers),
             None => self.fresh = fresh,
         }
@@ -517,7 +517,7 @@
     pub fn attempt_ended(&mut self, destination: u16, outcome: AttemptOutcome, now: Micros) {
         if !self.rules.is_empty() {
             self.partners
-                .ended(destination, outcome == AttemptOutcome::Delivered, now);
+                .record_call(destination, outcome == AttemptOutcome::Delivered, now);
         }
     }
 
@@ -565,21 +565,23 @@
             let theirs = record.origin.name == out.name;
             if out.is(record) {
                 match &end {
-                    End::Delivered => record.close(Closed::Delivered, now),
-                    End::Back(attempts, why, _) => record.came_back(attempts.clone(), *why),
+                    End::Delivered => record.resolve(Resolution::Delivered, now),
+                    End::Back(attempts, why, _) => {
+                        record.reopen_after_resend(attempts.clone(), *why)
+                    }
                 }
             }
-            Ok::<_, Refusal>(theirs)
+            Ok::<_, RecordError>(theirs)
         };
         let kept = self
             .store
             .as_ref()
-            .map(|store| store.change(again.record, change));
+            .map(|store| store.update(again.record, change));
         match kept {
             Some(Ok(Some(Ok(true)))) => {}
             // The record can't be read, or is gone with a store that was put aside: what is known of the message is
             // kept anew.
-            Some(Ok(_) | Err(Error::Spoilt(_))) => {
+            Some(Ok(_) | Err(StoreError::Unreadable(_))) => {
                 if let End::Back(_, _, kept) = end {
                     self.fresh(kept.0, kept.1);
                     self.flush();
@@ -608,7 +610,7 @@
         else {
             return;
         };
-        if batch.ended(delivered) {
+        if batch.record_outcome(delivered) {
             log!(
                 self.runtime,
                 "undeliverable: batch {} has stopped, as too many fail",
@@ -621,13 +623,13 @@
     /// A resend could not be handed over.
     pub fn resend_not_started(&mut self, again: &ResendOrigin) {
         let by = self.with(|store| {
-            store.change(again.record, |record| {
+            store.update(again.record, |record| {
                 let by = match &record.state {
-                    State::Sending { by, .. } => by.clone(),
+                    RecordState::Sending { by, .. } => by.clone(),
                     _ => String::new(),
                 };
-                record.not_begun();
-                Ok::<_, Refusal>(by)
+                record.abort_resend();
+                Ok::<_, RecordError>(by)
             })
         });
         if let Some(Some(Ok(by))) = by {
@@ -646,7 +648,7 @@
             .with(|store| store.find(again.record))
             .flatten()
             .filter(|record| out.is(record));
-        if let Some(State::Sending { by, .. }) = found.map(|record| record.state) {
+        if let Some(RecordState::Sending { by, .. }) = found.map(|record| record.state) {
             out.by = by;
         }
         self.out.insert(id, out);
@@ -660,39 +662,41 @@
         who: &str,
         version: Option<u32>,
         now: Micros,
-    ) -> Option<Result<Resend, Refusal>> {
+    ) -> Option<Result<Resend, RecordError>> {
         let terms = self.terms(now);
         // A look costs much less than a change that is not made.
         let looked = self.with(|store| store.find(id))?;
         let Some(record) = looked else {
-            return Some(Err(Refusal::NoRecord));
+            return Some(Err(RecordError::NoRecord));
         };
-        let free = record.free(who, version, now);
-        if let Err(refusal) = free.and_then(|()| may_go(&record, &terms).map_err(Refusal::Need)) {
+        let free = record.check_unclaimed(who, version, now);
+        if let Err(refusal) =
+            free.and_then(|()| check_resend(&record, &terms).map_err(RecordError::ResendBlocked))
+        {
             return Some(Err(refusal));
         }
         if self.rests(id) {
-            return Some(Err(Refusal::Resting));
+            return Some(Err(RecordError::Settling));
         }
         let found = self.with(|store| {
             let Some(body) = store.body(id)? else {
                 return Ok(None);
             };
-            let begun = store.change(id, |record| {
-                record.free(who, version, now)?;
-                let clearance = may_go(record, &terms).map_err(Refusal::Need)?;
-                let number = record.begin(sender, now);
+            let begun = store.update(id, |record| {
+                record.check_unclaimed(who, version, now)?;
+                let clearance = check_resend(record, &terms).map_err(RecordError::ResendBlocked)?;
+                let number = record.begin_resend(sender, now);
                 Ok((clearance, number, record.origin.clone()))
             })?;
             Ok(begun.map(|begun| begun.map(|begun| (begun, body))))
         })?;
         let Some(begun) = found else {
-            return Some(Err(Refusal::NoRecord));
+            return Some(Err(RecordError::NoRecord));
         };
         Some(begun.map(|((clearance, number, origin), body)| {
             let past = match clearance {
-                Clearance::Clean => None,
-                Clearance::Keyed { first } => Some(journal::Attempt {
+                ResendPermit::AsNew => None,
+                ResendPermit::Keyed { first } => Some(journal::Attempt {
                     sent_at: first,
                     zone: 0,
                     may_have_executed: true,
@@ -703,8 +707,8 @@
                 tenant,
                 class,
                 destination,
-                key,
-                order,
+                idempotency_key: key,
+                ordering_key: order,
                 ..
             } = origin;
             let body = Bytes::from(body);
@@ -749,7 +753,9 @@
         if self.drop <= at {
             self.drop = at + DROP.0;
             let caps = self.set.caps();
-            if let Some(dropped @ 1..) = self.with(|store| store.drop_past(&caps, now, DROP.1)) {
+            if let Some(dropped @ 1..) =
+                self.with(|store| store.evict_beyond_limits(&caps, now, DROP.1))
+            {
                 log!(
                     self.runtime,
                     "undeliverable: {dropped} records are dropped, past the caps"
@@ -781,12 +787,15 @@
                 let Some(batch) = self.batches.get_mut(&name).filter(|_| room) else {
                     break;
                 };
-                if batch.ready(now).is_err() {
+                if batch.check_pace(now).is_err() {
                     break;
                 }
-                let (filter, looked, upto) =
-                    (batch.spec.filter.of_open(), batch.looked, batch.upto);
-                let Some(page) = self.with(|store| store.after(&filter, looked, 1)) else {
+                let (filter, looked, upto) = (
+                    batch.spec.filter.only_open(),
+                    batch.last_examined,
+                    batch.last_planned,
+                );
+                let Some(page) = self.with(|store| store.page_after(&filter, looked, 1)) else {
                     return;
                 };
                 let Some(batch) = self.batches.get_mut(&name) else {
@@ -795,14 +804,14 @@
                 let next = page.records.first().map(|(id, _)| *id).or(page.next);
                 let Some(id) = next.filter(|id| *id <= upto) else {
                     let before = batch.version;
-                    batch.exhausted();
+                    batch.mark_exhausted();
                     if batch.version != before {
                         self.changed.insert(name.clone());
                     }
                     break;
                 };
                 if page.records.is_empty() {
-                    batch.looked = id;
+                    batch.last_examined = id;
                     continue;
                 }
                 self.changed.insert(name.clone());
@@ -812,17 +821,17 @@
                         self.batches
                             .get_mut(&name)
                             .into_iter()
-                            .for_each(|batch| batch.sent(id));
+                            .for_each(|batch| batch.record_sent(id));
                     }
                     Some(Err(refusal)) => {
                         // The batch waits while the partner is asked, or the last call ends.
-                        if refusal == Refusal::Resting || self.look_into(id, &refusal, now) {
+                        if refusal == RecordError::Settling || self.look_into(id, &refusal, now) {
                             break;
                         }
                         self.batches
                             .get_mut(&name)
                             .into_iter()
-                            .for_each(|batch| batch.passed_over(id));
+                            .for_each(|batch| batch.record_skipped(id));
                     }
                     None => return,
                 }
@@ -831,11 +840,11 @@
     }
 
     fn run_rules(&mut self, now: Micros, resends: &mut Vec<Resend>) {
-        if self.rules.is_empty() || !self.rules.has_room(now) || !self.room(resends) {
+        if self.rules.is_empty() || !self.rules.has_capacity(now) || !self.room(resends) {
             return;
         }
-        let (open, looked) = (Filter::default().of_open(), self.looked);
-        let Some(page) = self.with(|store| store.after(&open, looked, LOOKED_AT)) else {
+        let (open, looked) = (Filter::default().only_open(), self.looked);
+        let Some(page) = self.with(|store| store.page_after(&open, looked, LOOKED_AT)) else {
             return;
         };
         self.looked = page.next.unwrap_or(0);
@@ -847,15 +856,15 @@
             if self.rests(id) {
                 continue;
             }
-            let Some(rule) = self.rules.wanting(&record, &self.partners, now) else {
+            let Some(rule) = self.rules.matching_rule(&record, &self.partners, now) else {
                 continue;
             };
             // Whether it may go is looked at before the rule's turn is used up.
-            if let Err(need) = may_go(&record, &self.terms(now)) {
-                self.look_into(id, &Refusal::Need(need), now);
+            if let Err(need) = check_resend(&record, &self.terms(now)) {
+                self.look_into(id, &RecordError::ResendBlocked(need), now);
                 continue;
             }
-            let sender = self.rules.sent(rule, now);
+            let sender = self.rules.record_resend(rule, now);
             if let Some(Ok(resend)) = self.start(id, &sender, &sender, Some(record.version), now) {
                 resends.push(resend);
             }
@@ -864,10 +873,12 @@
 
     /// Does what can be done about a record that may not go: asks its partner, or closes it. True if its partner is
     /// being asked, so that it may go soon.
-    fn look_into(&mut self, id: RecordId, refusal: &Refusal, now: Micros) -> bool {
+    fn look_into(&mut self, id: RecordId, refusal: &RecordError, now: Micros) -> bool {
         match refusal {
-            Refusal::Need(Need::Word) => self.ask_partner(id, now),
-            Refusal::Need(Need::Applied) => {
+            RecordError::ResendBlocked(ResendBlocked::NeedsAttestation) => {
+                self.ask_partner(id, now)
+            }
+            RecordError::ResendBlocked(ResendBlocked::Applied) => {
                 self.close_applied(id, now);
                 false
             }
@@ -878,12 +889,12 @@
     fn close_applied(&mut self, id: RecordId, now: Micros) {
         let terms = self.terms(now);
         self.with(|store| {
-            store.change(id, |record| {
-                record.free("", None, now)?;
-                if may_go(record, &terms) == Err(Need::Applied) {
-                    record.close(Closed::AppliedBefore, now);
+            store.update(id, |record| {
+                record.check_unclaimed("", None, now)?;
+                if check_resend(record, &terms) == Err(ResendBlocked::Applied) {
+                    record.resolve(Resolution::AppliedBefore, now);
                 }
-                Ok::<_, Refusal>(())
+                Ok::<_, RecordError>(())
             })
         });
     }
@@ -916,14 +927,18 @@
             .retain(|_, at| at.saturating_add(ASK_AGAIN) > now && *at <= now);
         self.asked.insert(id, now);
         self.asking.insert(id);
-        let question = Question::new(partner, &record.origin.name, record.origin.key.as_deref());
+        let question = Question::new(
+            partner,
+            &record.origin.name,
+            record.origin.idempotency_key.as_deref(),
+        );
         let (runtime, inputs) = (self.runtime.clone(), self.inputs.clone());
         self.runtime.spawn(async move {
             let says = question.ask(runtime).await;
-            let word = UndeliverableEvent::PartnerAnswered {
+            let word = UndeliverableEvent::PartnerQueryCompleted {
                 id,
-                asked: now,
-                says,
+                queried_at: now,
+                claim: says,
             };
             drop(inputs.send(RelayEvent::Undeliverable(word)).await);
         });
@@ -935,17 +950,17 @@
         &mut self,
         id: RecordId,
         asked: Micros,
-        says: Option<Says>,
+        says: Option<ExecutionClaim>,
         now: Micros,
     ) {
         self.asking.remove(&id);
         let Some(says) = says else { return };
         self.with(|store| {
-            store.change(id, |record| {
-                record.state_that(By::Partner, says, asked, None, now)
+            store.update(id, |record| {
+                record.attest(Attester::Partner, says, asked, None, now)
             })
         });
-        if says == Says::Applied {
+        if says == ExecutionClaim::Applied {
             self.close_applied(id, now);
         }
         // Whoever waits for it goes on at once.
@@ -964,7 +979,7 @@
             let Some(batch) = self.batches.get(&name).cloned() else {
                 continue;
             };
-            if self.store.is_none() || self.with(|store| store.keep_batch(&batch)).is_none() {
+            if self.store.is_none() || self.with(|store| store.save_batch(&batch)).is_none() {
                 self.changed.insert(name);
             }
         }
@@ -998,19 +1013,19 @@
             UndeliverableRequest::Find(id) => self.shown(id, now),
             UndeliverableRequest::Body(id) => match self.with(|store| store.body(id)) {
                 Some(Some(body)) => UndeliverableResponse::Body(body),
-                Some(None) => UndeliverableResponse::Refused(Refusal::NoRecord),
+                Some(None) => UndeliverableResponse::Refused(RecordError::NoRecord),
                 None => self.unavailable(),
             },
             UndeliverableRequest::Counts(by) => self
                 .with(|store| store.counts(by))
                 .map_or_else(|| self.unavailable(), UndeliverableResponse::Counts),
             UndeliverableRequest::StoreReport => {
-                let sums = self.with(Store::sums).unwrap_or_default();
+                let sums = self.with(Store::totals).unwrap_or_default();
                 UndeliverableResponse::StoreReport(self.status(sums))
             }
             UndeliverableRequest::RecordAction {
                 id,
-                act,
+                action: act,
                 who,
                 version,
             } => self.act(id, act, &who, version, now, live, resends),
@@ -1018,20 +1033,20 @@
                 UndeliverableResponse::Batches(self.batches.values().cloned().collect())
             }
             UndeliverableRequest::Plan { spec, who } => self.plan(spec, &who, now),
-            UndeliverableRequest::Order {
+            UndeliverableRequest::BatchCommand {
                 name,
-                order,
+                command: order,
                 version,
             } => self.order(&name, order, version, now),
         }
     }
 
-    fn status(&self, sums: Sums) -> StoreReport {
+    fn status(&self, sums: GroupCounts) -> StoreReport {
         StoreReport {
-            sums,
-            lost: self.lost,
-            out: self.out.len(),
-            trouble: self.trouble.clone(),
+            totals: sums,
+            unstored_messages: self.lost,
+            resends_in_flight: self.out.len(),
+            error: self.trouble.clone(),
         }
     }
 
@@ -1039,10 +1054,14 @@
         let terms = self.terms(now);
         match self.with(|store| store.find(id)) {
             Some(Some(record)) => {
-                let need = may_go(&record, &terms).err();
-                UndeliverableResponse::Found(Box::new(RecordView { id, record, need }))
+                let need = check_resend(&record, &terms).err();
+                UndeliverableResponse::Found(Box::new(RecordView {
+                    id,
+                    record,
+                    blocked: need,
+                }))
             }
-            Some(None) => UndeliverableResponse::Refused(Refusal::NoRecord),
+            Some(None) => UndeliverableResponse::Refused(RecordError::NoRecord),
             None => self.unavailable(),
         }
     }
@@ -1078,32 +1097,32 @@
         let change = |record: &mut Record| match act {
             RecordAction::Claim => record.claim(who, version, now, lease),
             RecordAction::Release => record.release(who, version, now),
-            RecordAction::State(says) => {
-                record.state_that(By::Operator(who.into()), says, now, version, now)
+            RecordAction::Attest(says) => {
+                record.attest(Attester::Operator(who.into()), says, now, version, now)
             }
             RecordAction::Discard => record
-                .free(who, version, now)
-                .map(|()| record.close(Closed::Discarded, now)),
-            RecordAction::AskPartner => record.free(who, version, now),
+                .check_unclaimed(who, version, now)
+                .map(|()| record.resolve(Resolution::Discarded, now)),
+            RecordAction::QueryPartner => record.check_unclaimed(who, version, now),
             RecordAction::Resend => Ok(()),
         };
-        match self.with(|store| store.change(id, change)) {
+        match self.with(|store| store.update(id, change)) {
             Some(Some(Ok(()))) => {}
             Some(Some(Err(refusal))) => return UndeliverableResponse::Refused(refusal),
-            Some(None) => return UndeliverableResponse::Refused(Refusal::NoRecord),
+            Some(None) => return UndeliverableResponse::Refused(RecordError::NoRecord),
             None => return self.unavailable(),
         }
         match act {
-            RecordAction::State(_) => self.close_applied(id, now),
-            RecordAction::AskPartner
+            RecordAction::Attest(_) => self.close_applied(id, now),
+            RecordAction::QueryPartner
                 if self.asking.len() >= MOST_ASKED && !self.asking.contains(&id) =>
             {
                 return UndeliverableResponse::Busy(COME_AGAIN);
             }
-            RecordAction::AskPartner => {
+            RecordAction::QueryPartner => {
                 self.asked.remove(&id);
                 if !self.ask_partner(id, now) {
-                    return UndeliverableResponse::Refused(Refusal::Malformed(
+                    return UndeliverableResponse::Refused(RecordError::Malformed(
                         "its partner has no way to be asked",
                     ));
                 }
@@ -1114,33 +1133,33 @@
     }
 
     /// A dry run: counts what a batch would find, and keeps the batch, which does nothing before it is run.
-    fn plan(&mut self, spec: Spec, who: &str, now: Micros) -> UndeliverableResponse {
+    fn plan(&mut self, spec: BatchSpec, who: &str, now: Micros) -> UndeliverableResponse {
         if let Err(refusal) = spec.check() {
             return UndeliverableResponse::BatchRefused(refusal);
         }
         if self.batches.contains_key(&spec.name) {
-            return UndeliverableResponse::BatchRefused(batch::Refusal::Exists);
+            return UndeliverableResponse::BatchRefused(batch::BatchError::Exists);
         }
-        if self.batches.len() >= batch::MOST {
+        if self.batches.len() >= batch::MAX_BATCHES {
             let over = self
                 .batches
                 .values()
                 .filter(|batch| batch.state.is_over())
-                .min_by_key(|batch| batch.made);
+                .min_by_key(|batch| batch.created_at);
             let Some(name) = over.map(|batch| batch.spec.name.clone()) else {
-                return UndeliverableResponse::BatchRefused(batch::Refusal::TooMany);
+                return UndeliverableResponse::BatchRefused(batch::BatchError::TooMany);
             };
             self.batches.remove(&name);
-            self.with(|store| store.forget_batch(&name));
+            self.with(|store| store.remove_batch(&name));
         }
-        let (terms, filter) = (self.terms(now), spec.filter.of_open());
+        let (terms, filter) = (self.terms(now), spec.filter.only_open());
         let counted = self.with(|store| {
-            let upto = store.last()?;
-            let (mut counts, mut after) = (Counts::default(), 0);
+            let upto = store.last_id()?;
+            let (mut counts, mut after) = (BatchCounts::default(), 0);
             loop {
-                let page = store.after(&filter, after, 1000)?;
+                let page = store.page_after(&filter, after, 1000)?;
                 for (_, record) in page.records.iter().filter(|(id, _)| *id <= upto) {
-                    counts.book(may_go(record, &terms).map(|_| ()));
+                    counts.count_planned(check_resend(record, &terms).map(|_| ()));
                 }
                 let Some(next) = page
                     .next
@@ -1158,7 +1177,7 @@
             Ok(batch) => batch,
             Err(refusal) => return UndeliverableResponse::BatchRefused(refusal),
         };
-        if self.with(|store| store.keep_batch(&batch)).is_none() {
+        if self.with(|store| store.save_batch(&batch)).is_none() {
             return self.unavailable();
         }
         self.batches.insert(batch.spec.name.clone(), batch.clone());
@@ -1168,18 +1187,18 @@
     fn order(
         &mut self,
         name: &str,
-        order: Order,
+        order: BatchCommand,
         version: Option<u32>,
         now: Micros,
     ) -> UndeliverableResponse {
         let Some(batch) = self.batches.get(name) else {
-            return UndeliverableResponse::BatchRefused(batch::Refusal::None);
+            return UndeliverableResponse::BatchRefused(batch::BatchError::None);
         };
         let mut after = batch.clone();
-        if let Err(refusal) = after.order(order, version, now) {
+        if let Err(refusal) = after.apply_command(order, version, now) {
             return UndeliverableResponse::BatchRefused(refusal);
         }
-        if self.with(|store| store.keep_batch(&after)).is_none() {
+        if self.with(|store| store.save_batch(&after)).is_none() {
             return self.unavailable();
         }
         self.batches.insert(name.into(), after.clone());
--- a/crates/relay/src/undeliverable_service/partner.rs
+++ b/crates/relay/src/undeliverable_service/partner.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use runtime::{Runtime, Stream, Task};
-use undeliverable::record::Says;
+use undeliverable::record::ExecutionClaim;
 
 use super::settings::Partner;
 
@@ -41,7 +41,7 @@
     }
 
     /// Asks; none if no answer that can be read came in time.
-    pub async fn ask<R: Runtime>(self, runtime: R) -> Option<Says> {
+    pub async fn ask<R: Runtime>(self, runtime: R) -> Option<ExecutionClaim> {
         let asked = async {
             let stream = runtime.connect(self.address).await.ok()?;
             stream.set_nodelay().ok()?;
@@ -71,9 +71,9 @@
 }
 
 /// What an answer says; none for one that says nothing that was agreed on.
-fn read(partner: &Partner, status: StatusCode, body: &[u8]) -> Option<Says> {
+fn read(partner: &Partner, status: StatusCode, body: &[u8]) -> Option<ExecutionClaim> {
     if status == StatusCode::NOT_FOUND {
-        return partner.absent_is_404.then_some(Says::NotApplied);
+        return partner.absent_is_404.then_some(ExecutionClaim::NotApplied);
     }
     if status != StatusCode::OK {
         return None;
@@ -83,9 +83,9 @@
     let among = |words: &[String]| words.iter().any(|known| known == word);
     Some(
         match (among(&partner.applied), among(&partner.not_applied)) {
-            (true, _) => Says::Applied,
-            (_, true) => Says::NotApplied,
-            _ => Says::Unknown,
+            (true, _) => ExecutionClaim::Applied,
+            (_, true) => ExecutionClaim::NotApplied,
+            _ => ExecutionClaim::Unknown,
         },
     )
 }
@@ -124,9 +124,18 @@
                 body.as_bytes(),
             )
         };
-        assert_eq!(said(200, r#"{"status":"done"}"#), Some(Says::Applied));
-        assert_eq!(said(200, r#"{"status":"none"}"#), Some(Says::NotApplied));
-        assert_eq!(said(200, r#"{"status":"queued"}"#), Some(Says::Unknown));
+        assert_eq!(
+            said(200, r#"{"status":"done"}"#),
+            Some(ExecutionClaim::Applied)
+        );
+        assert_eq!(
+            said(200, r#"{"status":"none"}"#),
+            Some(ExecutionClaim::NotApplied)
+        );
+        assert_eq!(
+            said(200, r#"{"status":"queued"}"#),
+            Some(ExecutionClaim::Unknown)
+        );
         for (status, body) in [
             (200, "done"),
             (200, "{}"),
@@ -139,7 +148,7 @@
         }
         assert_eq!(
             read(&partner(true), StatusCode::NOT_FOUND, b""),
-            Some(Says::NotApplied)
+            Some(ExecutionClaim::NotApplied)
         );
     }
 
--- a/crates/relay/src/undeliverable_service/settings.rs
+++ b/crates/relay/src/undeliverable_service/settings.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use undeliverable::rules::{Rule, When};
-use undeliverable::store::Caps;
+use undeliverable::rules::{Rule, RuleTrigger};
+use undeliverable::store::StoreLimits;
 use undeliverable::{Filter, Reason};
 
 /// Partners and rules that may be set.
@@ -137,8 +137,8 @@
 
 impl Settings {
     /// What the store holds at most.
-    pub fn caps(&self) -> Caps {
-        Caps {
+    pub fn caps(&self) -> StoreLimits {
+        StoreLimits {
             bytes: self.max_mb << 20,
             tenant_bytes: self.tenant_max_mb << 20,
             records: self.max_records,
@@ -179,8 +179,8 @@
                 ..Filter::default()
             },
             when: match rule.when {
-                Moment::Recovered => When::Recovered,
-                Moment::After => When::After(micros(rule.after_s.unwrap_or_default())),
+                Moment::Recovered => RuleTrigger::Recovered,
+                Moment::After => RuleTrigger::After(micros(rule.after_s.unwrap_or_default())),
             },
             per_minute: rule.per_minute,
             resends: rule.resends,
--- a/crates/relayctl/tests/ctl.rs
+++ b/crates/relayctl/tests/ctl.rs
@@ -8,8 +8,8 @@
 
 use runtime::{OsRuntime, Runtime};
 use serde_json::{json, Value};
-use undeliverable::record::{Effect, Origin};
-use undeliverable::{Attempt, Outcome, Reason, Record, State, Store};
+use undeliverable::record::{Idempotency, Origin};
+use undeliverable::{Attempt, Outcome, Reason, Record, RecordState, Store};
 
 const CTL: &str = env!("CARGO_BIN_EXE_relayctl");
 
@@ -40,13 +40,13 @@
             tenant: "acme".into(),
             class: "payout".into(),
             destination: 17,
-            key: None,
-            order: None,
-            due: 1_000_000 * number,
+            idempotency_key: None,
+            ordering_key: None,
+            deadline: 1_000_000 * number,
         },
-        effect: Effect::Unsafe,
+        idempotency: Idempotency::NonIdempotent,
         size: 4,
-        ended: u64::from(u32::MAX) * 1_000_000,
+        given_up_at: u64::from(u32::MAX) * 1_000_000,
         reason: Reason::OutOfTime,
         attempts: vec![Attempt {
             sent: 1,
@@ -55,8 +55,8 @@
             may_have_run: number % 2 == 1,
             resend: 0,
         }],
-        statements: Vec::new(),
-        state: State::Open,
+        attestations: Vec::new(),
+        state: RecordState::Open,
         version: 1,
         resends: 0,
     };
@@ -67,7 +67,7 @@
     let records: Vec<(Record, &[u8])> = (1..=count)
         .map(|number| (record(number), &b"body"[..]))
         .collect();
-    store.keep(&records).expect("kept");
+    store.insert(&records).expect("kept");
 }
 
 struct Scene {
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -8,7 +8,7 @@
 use tenancy::registry::{Action, Actor, ChangeRecord, Secret, State, Tenant, Version};
 use tenancy::secret::Digest;
 use tenancy::spec::TenantSpec;
-use tenancy::{record, Registry};
+use tenancy::{registry_file, Registry};
 
 use crate::dice::Dice;
 use crate::peers::clients::{Habit, Plan};
@@ -235,7 +235,7 @@
             to: Some(to),
         });
     }
-    record::encode_snapshot(&registry, 0)
+    registry_file::encode_snapshot(&registry, 0)
 }
 
 /// An errand, or two that belong together: what is paused or removed comes back, so that the day goes on.
--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -11,6 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
 #[cfg_attr(feature = "openapi", schema(as = Image))]
+#[serde(rename = "Image")]
 pub struct TenantSnapshot {
     /// Its generation and revision.
     pub version: String,
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::json;
-use tenancy::record::{self, recover};
 use tenancy::registry::*;
+use tenancy::registry_file::{self, recover};
 use tenancy::secret::{Digest, MAX_SECRETS};
 use tenancy::spec::{OnRemoval, TenantSpec};
 use tenancy::Registry;
@@ -501,7 +501,7 @@
     #[test]
     fn what_is_read_back_is_what_was_there(steps in prop::collection::vec((any_change(), any::<bool>()), 1..60)) {
         let mut registry = Registry::new(classes());
-        let mut text = record::encode_snapshot(&registry, 0);
+        let mut text = registry_file::encode_snapshot(&registry, 0);
         let mut newest = std::collections::BTreeMap::new();
         for (at, ((name, change, key), anew)) in steps.into_iter().enumerate() {
             let name = format!("t{name}");
@@ -509,7 +509,7 @@
             let asked = Command { key, ..command(&name, Precondition::Any, change) };
             if let Ok(Decision::Commit(made)) = registry.decide(at as u64, &asked) {
                 prop_assert_eq!(made.seq, registry.last_sequence() + 1);
-                text.extend(record::encode_change(&made));
+                text.extend(registry_file::encode_change(&made));
                 registry.commit(&made);
                 let to = made.to.expect("a tenant");
                 let before = newest.insert(to.name.clone(), to.version);
@@ -517,12 +517,12 @@
             }
             if at % 3 == 0 {
                 while let Some(gone) = registry.next_drained(at as u64) {
-                    text.extend(record::encode_change(&gone));
+                    text.extend(registry_file::encode_change(&gone));
                     registry.commit(&gone);
                 }
             }
             if anew {
-                text = record::encode_snapshot(&registry, 0);
+                text = registry_file::encode_snapshot(&registry, 0);
             }
             let numbers: BTreeSet<_> = registry.entries().map(|entry| entry.number).collect();
             prop_assert_eq!(numbers.len(), registry.len());
--- a/crates/tenancy/tests/stored_format.rs
+++ b/crates/tenancy/tests/stored_format.rs
@@ -6,8 +6,8 @@
 
 use serde_json::json;
 use tenancy::audit::Entry;
-use tenancy::record::{self, recover};
 use tenancy::registry::{Actor, Change, ChangeRecord, Command, Decision, Precondition};
+use tenancy::registry_file::{self, recover};
 use tenancy::secret::Digest;
 use tenancy::spec::{OnRemoval, RateSpec, TenantSpec};
 use tenancy::Registry;
@@ -92,11 +92,11 @@
 }
 
 fn written_changes() -> Vec<u8> {
-    let mut text = record::encode_snapshot(&Registry::new(classes()), 0);
+    let mut text = registry_file::encode_snapshot(&Registry::new(classes()), 0);
     changed()
         .1
         .iter()
-        .for_each(|change| text.extend(record::encode_change(change)));
+        .for_each(|change| text.extend(registry_file::encode_change(change)));
     text
 }
 
@@ -104,7 +104,7 @@
 fn registry_is_written_as_before() {
     assert_eq!(written_changes(), golden("tenants.changes"));
     assert_eq!(
-        record::encode_snapshot(&changed().0, 2),
+        registry_file::encode_snapshot(&changed().0, 2),
         golden("tenants.snapshot")
     );
 }
--- a/crates/undeliverable/src/batch.rs
+++ b/crates/undeliverable/src/batch.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::Need;
 use crate::filter::Filter;
-use crate::record::{RecordId, LONGEST_NAME};
+use crate::record::{RecordId, MAX_NAME_BYTES};
+use crate::resend_policy::ResendBlocked;
 use crate::Micros;
 
 const SECOND: f64 = 1e6;
 /// Batches that a store holds at most; past that the oldest that has ended gives way, or a new one is refused.
-pub const MOST: usize = 256;
+pub const MAX_BATCHES: usize = 256;
 /// Bounds of a batch's rate, in records a second.
 pub const RATE: (f64, f64) = (0.01, 1000.0);
 /// Bounds of the records that it has out at once.
@@ -19,7 +19,7 @@
 
 /// What somebody asks for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct BatchSpec {
     /// Its name: letters, digits, `.`, `_` and `-`.
     pub name: String,
     /// Which records.
@@ -34,7 +34,7 @@
 
 /// Where a batch stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum BatchState {
     /// Counted, not begun.
     Planned,
     /// Records are sent.
@@ -49,30 +49,30 @@
     Cancelled,
 }
 
-impl State {
+impl BatchState {
     /// Its word.
     #[must_use]
     pub fn word(&self) -> &'static str {
         match self {
-            State::Planned => "planned",
-            State::Running => "running",
-            State::Paused => "paused",
-            State::Stopped => "stopped",
-            State::Done => "done",
-            State::Cancelled => "cancelled",
+            BatchState::Planned => "planned",
+            BatchState::Running => "running",
+            BatchState::Paused => "paused",
+            BatchState::Stopped => "stopped",
+            BatchState::Done => "done",
+            BatchState::Cancelled => "cancelled",
         }
     }
 
     /// Whether nothing more comes of it.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        matches!(self, State::Done | State::Cancelled)
+        matches!(self, BatchState::Done | BatchState::Cancelled)
     }
 }
 
 /// What an operator wants of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum BatchCommand {
     /// Begin, or go on.
     Run,
     /// Send nothing new.
@@ -83,7 +83,7 @@
 
 /// What a dry run found, and what came of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct BatchCounts {
     /// Records that fit and are open, when the batch was planned.
     pub found: u64,
     /// Of those, the ones that could go then.
@@ -100,9 +100,9 @@
     pub skipped: u64,
 }
 
-impl Counts {
+impl BatchCounts {
     /// Books a record of a dry run.
-    pub fn book(&mut self, may_go: Result<(), Need>) {
+    pub fn count_planned(&mut self, may_go: Result<(), ResendBlocked>) {
         self.found += 1;
         match may_go {
             Ok(()) => self.may_go += 1,
@@ -115,21 +115,21 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
     /// What was asked for.
-    pub spec: Spec,
+    pub spec: BatchSpec,
     /// By whom.
     pub by: String,
     /// When, in Unix time.
-    pub made: Micros,
+    pub created_at: Micros,
     /// Where it stands.
-    pub state: State,
+    pub state: BatchState,
     /// Counts.
-    pub counts: Counts,
+    pub counts: BatchCounts,
     /// Grows with every order.
     pub version: u32,
     /// The last record that was looked at.
-    pub looked: RecordId,
+    pub last_examined: RecordId,
     /// The last record that there was when it was planned; later ones are not meant.
-    pub upto: RecordId,
+    pub last_planned: RecordId,
     recent: VecDeque<bool>,
     out: u32,
     tokens: f64,
@@ -138,7 +138,7 @@
 
 /// Why a batch is not made, or an order not followed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum BatchError {
     /// There is one of this name.
     #[error("there is a batch of this name")]
     Exists,
@@ -146,7 +146,7 @@
     #[error("there is no such batch")]
     None,
     /// There are too many.
-    #[error("there are {MOST} batches; cancel one that waits")]
+    #[error("there are {MAX_BATCHES} batches; cancel one that waits")]
     TooMany,
     /// It has changed since.
     #[error("the batch is in version {0} by now")]
@@ -159,27 +159,28 @@
     Malformed(&'static str),
 }
 
-impl Spec {
+impl BatchSpec {
     /// Checks all of it.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Malformed`] names the first value out of bounds.
-    pub fn check(&self) -> Result<(), Refusal> {
+    /// [`RecordError::Malformed`] names the first value out of bounds.
+    pub fn check(&self) -> Result<(), BatchError> {
         let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-        if self.name.is_empty() || self.name.len() > LONGEST_NAME || !self.name.bytes().all(plain) {
-            return Err(Refusal::Malformed(
+        if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES || !self.name.bytes().all(plain)
+        {
+            return Err(BatchError::Malformed(
                 "the name is not of 1 to 64 letters, digits, '.', '_' and '-'",
             ));
         }
         if !(RATE.0..=RATE.1).contains(&self.per_second) {
-            return Err(Refusal::Malformed("per_second is not from 0.01 to 1000"));
+            return Err(BatchError::Malformed("per_second is not from 0.01 to 1000"));
         }
         if !(AT_ONCE.0..=AT_ONCE.1).contains(&self.at_once) {
-            return Err(Refusal::Malformed("at_once is not from 1 to 64"));
+            return Err(BatchError::Malformed("at_once is not from 1 to 64"));
         }
         if !(1..=1000).contains(&self.stop_after) {
-            return Err(Refusal::Malformed("stop_after is not from 1 to 1000"));
+            return Err(BatchError::Malformed("stop_after is not from 1 to 1000"));
         }
         Ok(())
     }
@@ -190,24 +191,24 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Malformed`] if the specification is out of bounds.
+    /// [`RecordError::Malformed`] if the specification is out of bounds.
     pub fn plan(
-        spec: Spec,
+        spec: BatchSpec,
         by: &str,
         now: Micros,
         upto: RecordId,
-        counts: Counts,
-    ) -> Result<Self, Refusal> {
+        counts: BatchCounts,
+    ) -> Result<Self, BatchError> {
         spec.check()?;
         Ok(Batch {
             spec,
             by: by.into(),
-            made: now,
-            state: State::Planned,
+            created_at: now,
+            state: BatchState::Planned,
             counts,
             version: 1,
-            looked: 0,
-            upto,
+            last_examined: 0,
+            last_planned: upto,
             recent: VecDeque::new(),
             out: 0,
             tokens: 1.0,
@@ -217,7 +218,7 @@
 
     /// Who sends its records, as their state names it.
     #[must_use]
-    pub fn sender(&self) -> String {
+    pub fn sender_name(&self) -> String {
         format!("batch {}", self.spec.name)
     }
 
@@ -225,29 +226,32 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if the batch has another version or is over.
-    pub fn order(
+    /// A [`RecordError`] if the batch has another version or is over.
+    pub fn apply_command(
         &mut self,
-        order: Order,
+        order: BatchCommand,
         version: Option<u32>,
         now: Micros,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), BatchError> {
         if version.is_some_and(|wanted| wanted != self.version) {
-            return Err(Refusal::Version(self.version));
+            return Err(BatchError::Version(self.version));
         }
         if self.state.is_over() {
-            return Err(Refusal::Over(self.state.word()));
+            return Err(BatchError::Over(self.state.word()));
         }
         let state = match (order, &self.state) {
-            (Order::Run, State::Running)
-            | (Order::Pause, State::Planned | State::Paused | State::Stopped) => return Ok(()),
-            (Order::Run, _) => {
+            (BatchCommand::Run, BatchState::Running)
+            | (
+                BatchCommand::Pause,
+                BatchState::Planned | BatchState::Paused | BatchState::Stopped,
+            ) => return Ok(()),
+            (BatchCommand::Run, _) => {
                 self.recent.clear();
                 (self.tokens, self.tokens_at) = (1.0, now);
-                State::Running
+                BatchState::Running
             }
-            (Order::Pause, _) => State::Paused,
-            (Order::Cancel, _) => State::Cancelled,
+            (BatchCommand::Pause, _) => BatchState::Paused,
+            (BatchCommand::Cancel, _) => BatchState::Cancelled,
         };
         self.state = state;
         self.version += 1;
@@ -259,8 +263,8 @@
     /// # Errors
     ///
     /// The moment at which to ask again.
-    pub fn ready(&mut self, now: Micros) -> Result<(), Micros> {
-        if self.state != State::Running || self.out >= self.spec.at_once {
+    pub fn check_pace(&mut self, now: Micros) -> Result<(), Micros> {
+        if self.state != BatchState::Running || self.out >= self.spec.at_once {
             return Err(Micros::MAX);
         }
         // A clock that was set back fills nothing, and takes nothing away.
@@ -275,21 +279,21 @@
     }
 
     /// A record was looked at and passed over.
-    pub fn passed_over(&mut self, id: RecordId) {
-        self.looked = self.looked.max(id);
+    pub fn record_skipped(&mut self, id: RecordId) {
+        self.last_examined = self.last_examined.max(id);
         self.counts.skipped += 1;
     }
 
     /// A record was sent.
-    pub fn sent(&mut self, id: RecordId) {
-        self.looked = self.looked.max(id);
+    pub fn record_sent(&mut self, id: RecordId) {
+        self.last_examined = self.last_examined.max(id);
         self.tokens -= 1.0;
         self.out += 1;
         self.counts.sent += 1;
     }
 
     /// A record that it sent has ended. True if the batch has stopped by that.
-    pub fn ended(&mut self, delivered: bool) -> bool {
+    pub fn record_outcome(&mut self, delivered: bool) -> bool {
         self.out = self.out.saturating_sub(1);
         if delivered {
             self.counts.delivered += 1
@@ -302,25 +306,25 @@
             self.recent.pop_front();
         }
         let failed = self.recent.iter().filter(|delivered| !**delivered).count();
-        let stops = self.state == State::Running && failed >= self.spec.stop_after as usize;
+        let stops = self.state == BatchState::Running && failed >= self.spec.stop_after as usize;
         if stops {
-            self.state = State::Stopped;
+            self.state = BatchState::Stopped;
             self.version += 1;
         }
         stops
     }
 
     /// Nothing is left to look at.
-    pub fn exhausted(&mut self) {
-        self.looked = self.upto;
-        if self.state == State::Running && self.out == 0 {
-            self.state = State::Done;
+    pub fn mark_exhausted(&mut self) {
+        self.last_examined = self.last_planned;
+        if self.state == BatchState::Running && self.out == 0 {
+            self.state = BatchState::Done;
             self.version += 1;
         }
     }
 
     /// After a restart so many of its records are out.
-    pub fn restarted(&mut self, out: u32, now: Micros) {
+    pub fn resume_after_restart(&mut self, out: u32, now: Micros) {
         (self.out, self.tokens, self.tokens_at) = (out, 0.0, now);
     }
 }
@@ -329,8 +333,8 @@
 mod tests {
     use super::*;
 
-    fn spec() -> Spec {
-        Spec {
+    fn spec() -> BatchSpec {
+        BatchSpec {
             name: "b1".into(),
             filter: Filter::default(),
             per_second: 2.0,
@@ -340,8 +344,10 @@
     }
 
     fn running() -> Batch {
-        let mut batch = Batch::plan(spec(), "ann", 0, 100, Counts::default()).expect("good");
-        batch.order(Order::Run, Some(1), 0).expect("planned");
+        let mut batch = Batch::plan(spec(), "ann", 0, 100, BatchCounts::default()).expect("good");
+        batch
+            .apply_command(BatchCommand::Run, Some(1), 0)
+            .expect("planned");
         batch
     }
 
@@ -349,13 +355,13 @@
     fn it_keeps_its_rate_and_its_number_out_at_once() {
         let (mut batch, mut now, mut sent) = (running(), 0, Vec::new());
         while now < 10_000_000 {
-            if batch.ready(now).is_ok() {
-                batch.sent(sent.len() as u64 + 1);
+            if batch.check_pace(now).is_ok() {
+                batch.record_sent(sent.len() as u64 + 1);
                 sent.push(now);
             }
             if now % 2_000_000 == 0 {
                 while batch.out > 0 {
-                    batch.ended(true);
+                    batch.record_outcome(true);
                 }
             }
             now += 10_000;
@@ -382,89 +388,101 @@
             (false, false),
             (false, true),
         ] {
-            batch.sent(1);
-            assert_eq!(batch.ended(delivered), stops);
+            batch.record_sent(1);
+            assert_eq!(batch.record_outcome(delivered), stops);
         }
         assert_eq!(
-            (batch.state.clone(), batch.ready(99_000_000)),
-            (State::Stopped, Err(Micros::MAX))
+            (batch.state.clone(), batch.check_pace(99_000_000)),
+            (BatchState::Stopped, Err(Micros::MAX))
         );
         batch
-            .order(Order::Run, None, 99_000_000)
+            .apply_command(BatchCommand::Run, None, 99_000_000)
             .expect("stopped is not over");
-        assert!(batch.ready(99_000_000).is_ok());
-        assert!(!batch.ended(false), "what was before counts no more");
+        assert!(batch.check_pace(99_000_000).is_ok());
+        assert!(
+            !batch.record_outcome(false),
+            "what was before counts no more"
+        );
     }
 
     #[test]
     fn orders_name_a_version_and_what_is_over_stays_so() {
         let mut batch = running();
         assert_eq!(
-            batch.order(Order::Pause, Some(1), 0),
-            Err(Refusal::Version(2))
+            batch.apply_command(BatchCommand::Pause, Some(1), 0),
+            Err(BatchError::Version(2))
         );
-        batch.order(Order::Run, Some(2), 0).expect("no change");
+        batch
+            .apply_command(BatchCommand::Run, Some(2), 0)
+            .expect("no change");
         assert_eq!(batch.version, 2);
-        batch.order(Order::Pause, Some(2), 0).expect("running");
-        assert_eq!(batch.ready(5_000_000), Err(Micros::MAX));
-        batch.order(Order::Cancel, Some(3), 0).expect("paused");
+        batch
+            .apply_command(BatchCommand::Pause, Some(2), 0)
+            .expect("running");
+        assert_eq!(batch.check_pace(5_000_000), Err(Micros::MAX));
+        batch
+            .apply_command(BatchCommand::Cancel, Some(3), 0)
+            .expect("paused");
         assert_eq!(
-            batch.order(Order::Run, None, 0),
-            Err(Refusal::Over("cancelled"))
+            batch.apply_command(BatchCommand::Run, None, 0),
+            Err(BatchError::Over("cancelled"))
         );
     }
 
     #[test]
     fn it_is_done_once_all_is_looked_at_and_nothing_is_out() {
         let mut batch = running();
-        batch.sent(7);
-        batch.exhausted();
-        assert_eq!(batch.state, State::Running);
-        batch.ended(true);
-        batch.exhausted();
-        assert_eq!((batch.state.clone(), batch.looked), (State::Done, 100));
+        batch.record_sent(7);
+        batch.mark_exhausted();
+        assert_eq!(batch.state, BatchState::Running);
+        batch.record_outcome(true);
+        batch.mark_exhausted();
+        assert_eq!(
+            (batch.state.clone(), batch.last_examined),
+            (BatchState::Done, 100)
+        );
     }
 
     #[test]
     fn a_clock_that_is_set_back_neither_frees_nor_blocks() {
         let mut batch = running();
-        batch.ready(50_000_000).expect("full");
-        batch.sent(1);
-        assert!(batch.ready(10_000_000).is_err());
-        assert!(batch.ready(10_600_000).is_ok());
+        batch.check_pace(50_000_000).expect("full");
+        batch.record_sent(1);
+        assert!(batch.check_pace(10_000_000).is_err());
+        assert!(batch.check_pace(10_600_000).is_ok());
     }
 
     #[test]
     fn wrong_values_are_refused() {
         let wrong = [
-            Spec {
+            BatchSpec {
                 name: String::new(),
                 ..spec()
             },
-            Spec {
+            BatchSpec {
                 name: "a b".into(),
                 ..spec()
             },
-            Spec {
+            BatchSpec {
                 per_second: f64::NAN,
                 ..spec()
             },
-            Spec {
+            BatchSpec {
                 per_second: 0.0,
                 ..spec()
             },
-            Spec {
+            BatchSpec {
                 at_once: 0,
                 ..spec()
             },
-            Spec {
+            BatchSpec {
                 stop_after: 0,
                 ..spec()
             },
         ];
         for spec in wrong {
             assert!(
-                Batch::plan(spec.clone(), "ann", 0, 1, Counts::default()).is_err(),
+                Batch::plan(spec.clone(), "ann", 0, 1, BatchCounts::default()).is_err(),
                 "{spec:?}"
             );
         }
--- a/crates/undeliverable/src/filter.rs
+++ b/crates/undeliverable/src/filter.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use tenancy::Scope;
 
-use crate::record::{Reason, Record, State};
+use crate::record::{Reason, Record, RecordState};
 use crate::Micros;
 
 /// Records that fit all that is set.
@@ -32,7 +32,7 @@
 impl Filter {
     /// Whether a record fits.
     #[must_use]
-    pub fn fits(&self, record: &Record) -> bool {
+    pub fn matches(&self, record: &Record) -> bool {
         let origin = &record.origin;
         let tenant = origin.tenant_name();
         self.destination
@@ -44,8 +44,8 @@
             && self.reason.is_none_or(|wanted| wanted == record.reason)
             && self.tenant.as_ref().is_none_or(|wanted| wanted == tenant)
             && self.scope.as_ref().is_none_or(|scope| scope.covers(tenant))
-            && self.since.is_none_or(|since| record.ended >= since)
-            && self.until.is_none_or(|until| record.ended < until)
+            && self.since.is_none_or(|since| record.given_up_at >= since)
+            && self.until.is_none_or(|until| record.given_up_at < until)
             && self
                 .may_have_run
                 .is_none_or(|wanted| wanted == record.may_have_run())
@@ -57,9 +57,9 @@
 
     /// The same filter, for records that wait to be sent again.
     #[must_use]
-    pub fn of_open(&self) -> Self {
+    pub fn only_open(&self) -> Self {
         Filter {
-            state: Some(State::Open.word().into()),
+            state: Some(RecordState::Open.word().into()),
             ..self.clone()
         }
     }
@@ -69,11 +69,11 @@
 mod tests {
     use super::*;
     use crate::record::tests::{attempt, record};
-    use crate::record::Effect;
+    use crate::record::Idempotency;
 
     #[test]
     fn a_record_fits_if_it_fits_all_that_is_set() {
-        let one = record(Effect::Unsafe, vec![attempt(1, true)]);
+        let one = record(Idempotency::NonIdempotent, vec![attempt(1, true)]);
         let all = Filter {
             destination: Some(3),
             class: Some("payout".into()),
@@ -85,7 +85,7 @@
             may_have_run: Some(true),
             state: Some("open".into()),
         };
-        assert!(Filter::default().fits(&one) && all.fits(&one));
+        assert!(Filter::default().matches(&one) && all.matches(&one));
         let others = [
             Filter {
                 destination: Some(4),
@@ -128,6 +128,6 @@
                 ..all.clone()
             },
         ];
-        assert!(others.iter().all(|filter| !filter.fits(&one)));
+        assert!(others.iter().all(|filter| !filter.matches(&one)));
     }
 }
--- a/crates/undeliverable/src/lib.rs
+++ b/crates/undeliverable/src/lib.rs
@@ -6,16 +6,18 @@
 //! names the version that was seen, so that of two who ask for the same only one is heard.
 
 pub mod batch;
-pub mod decide;
 pub mod filter;
 pub mod record;
+pub mod resend_policy;
 pub mod rules;
 pub mod store;
 
 /// A moment or a span, in microseconds.
 pub type Micros = u64;
 
-pub use decide::{Clearance, Need, Terms};
 pub use filter::Filter;
-pub use record::{Attempt, Closed, Effect, Outcome, Reason, Record, RecordId, State};
+pub use record::{
+    Attempt, Idempotency, Outcome, Reason, Record, RecordId, RecordState, Resolution,
+};
+pub use resend_policy::{ResendBlocked, ResendPermit, ResendPolicy};
 pub use store::Store;
--- a/crates/undeliverable/src/record.rs
+++ b/crates/undeliverable/src/record.rs
@@ -8,24 +8,24 @@
 /// Names a record in its store; later ones are larger.
 pub type RecordId = u64;
 /// Attempts that are kept of one record; of more the first ones and the newest are.
-pub const MOST_ATTEMPTS: usize = 64;
+pub const MAX_ATTEMPTS: usize = 64;
 /// Statements that are kept of one record.
-pub const MOST_STATEMENTS: usize = 16;
+pub const MAX_ATTESTATIONS: usize = 16;
 /// The longest name of an operator, in bytes.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Whether a message may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Effect {
+pub enum Idempotency {
     /// Repeats do no harm.
-    Safe,
+    Idempotent,
     /// Hosts drop repeats of a key for so long, counted from the first attempt that may have run.
     Keyed {
         /// How long.
         window: Micros,
     },
     /// Must not run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Why a message was given up. The vocabulary is fixed: a word is never given another meaning.
@@ -102,7 +102,8 @@
     /// The connection broke.
     Broken,
     /// Called off.
-    CalledOff,
+    #[serde(rename = "called-off")]
+    Cancelled,
     /// Not sent.
     NotSent,
     /// Delivered.
@@ -127,7 +128,7 @@
 /// What somebody says of whether a message took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Says {
+pub enum ExecutionClaim {
     /// It did.
     Applied,
     /// It did not, and will not.
@@ -138,7 +139,7 @@
 
 /// Who says it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum By {
+pub enum Attester {
     /// The partner, asked by the message's id.
     Partner,
     /// An operator, by name.
@@ -147,11 +148,11 @@
 
 /// A statement on a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Statement {
+pub struct Attestation {
     /// Who.
-    pub by: By,
+    pub attester: Attester,
     /// What.
-    pub says: Says,
+    pub claim: ExecutionClaim,
     /// When it was asked for, in Unix time: what happened after is not covered.
     pub at: Micros,
     /// How many resends the record had then.
@@ -161,7 +162,7 @@
 /// How a record was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Closed {
+pub enum Resolution {
     /// A resend was delivered.
     Delivered,
     /// It had taken effect before.
@@ -172,7 +173,7 @@
 
 /// Where a record stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum RecordState {
     /// Nobody does anything with it.
     Open,
     /// An operator has set it aside until then; others may not change it.
@@ -190,20 +191,20 @@
         since: Micros,
     },
     /// It needs nothing more.
-    Closed(Closed, Micros),
+    Closed(Resolution, Micros),
 }
 
-impl State {
+impl RecordState {
     /// Its word.
     #[must_use]
     pub fn word(&self) -> &'static str {
         match self {
-            State::Open => "open",
-            State::Claimed { .. } => "claimed",
-            State::Sending { .. } => "sending",
-            State::Closed(Closed::Delivered, _) => "delivered",
-            State::Closed(Closed::AppliedBefore, _) => "applied-before",
-            State::Closed(Closed::Discarded, _) => "discarded",
+            RecordState::Open => "open",
+            RecordState::Claimed { .. } => "claimed",
+            RecordState::Sending { .. } => "sending",
+            RecordState::Closed(Resolution::Delivered, _) => "delivered",
+            RecordState::Closed(Resolution::AppliedBefore, _) => "applied-before",
+            RecordState::Closed(Resolution::Discarded, _) => "discarded",
         }
     }
 }
@@ -220,11 +221,11 @@
     /// Its destination.
     pub destination: u16,
     /// Idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Key of its order.
-    pub order: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// When its time was up, in Unix time.
-    pub due: Micros,
+    pub deadline: Micros,
 }
 
 impl Origin {
@@ -241,19 +242,19 @@
     /// The message.
     pub origin: Origin,
     /// Whether it may run more than once.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Bytes of its body.
     pub size: u32,
     /// When it was given up first, in Unix time; a resend that fails does not make it younger.
-    pub ended: Micros,
+    pub given_up_at: Micros,
     /// Why, at the last time.
     pub reason: Reason,
     /// Every attempt, in order.
     pub attempts: Vec<Attempt>,
     /// What was said of it, in order.
-    pub statements: Vec<Statement>,
+    pub attestations: Vec<Attestation>,
     /// Where it stands.
-    pub state: State,
+    pub state: RecordState,
     /// Grows with every change.
     pub version: u32,
     /// How often it was sent again.
@@ -262,7 +263,7 @@
 
 /// Why a change of a record is refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum RecordError {
     /// There is none of this number, or it was dropped.
     #[error("there is no such record")]
     NoRecord,
@@ -280,15 +281,15 @@
     Closed(&'static str),
     /// It may not be sent again as things stand.
     #[error("the message may not be sent again: {0}")]
-    Need(crate::decide::Need),
+    ResendBlocked(crate::resend_policy::ResendBlocked),
     /// The last call of its message may still be on its way to be called off.
     #[error("its last call was given up a moment ago")]
-    Resting,
+    Settling,
     /// The relay could not take it on once more; the record is open again.
     #[error(
         "its class or tenant is gone, a message of its name is in hand, or the journal is full"
     )]
-    NotHandedOver,
+    NotAccepted,
     /// What was given is of no use.
     #[error("{0}")]
     Malformed(&'static str),
@@ -305,23 +306,28 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if the version is another one, or the record is claimed, being sent, or closed.
-    pub fn free(&self, who: &str, version: Option<u32>, now: Micros) -> Result<(), Refusal> {
+    /// A [`RecordError`] if the version is another one, or the record is claimed, being sent, or closed.
+    pub fn check_unclaimed(
+        &self,
+        who: &str,
+        version: Option<u32>,
+        now: Micros,
+    ) -> Result<(), RecordError> {
         if let Some(wanted) = version.filter(|wanted| *wanted != self.version) {
             debug_assert!(wanted != self.version);
-            return Err(Refusal::Version(self.version));
+            return Err(RecordError::Version(self.version));
         }
         match &self.state {
-            State::Claimed { by, until } if by != who && *until > now => {
-                Err(Refusal::Claimed(by.clone()))
+            RecordState::Claimed { by, until } if by != who && *until > now => {
+                Err(RecordError::Claimed(by.clone()))
             }
-            State::Open | State::Claimed { .. } => Ok(()),
-            State::Sending { .. } => Err(Refusal::Sending),
-            closed @ State::Closed(..) => Err(Refusal::Closed(closed.word())),
+            RecordState::Open | RecordState::Claimed { .. } => Ok(()),
+            RecordState::Sending { .. } => Err(RecordError::Sending),
+            closed @ RecordState::Closed(..) => Err(RecordError::Closed(closed.word())),
         }
     }
 
-    fn becomes(&mut self, state: State) {
+    fn becomes(&mut self, state: RecordState) {
         self.state = state;
         self.version = self.version.wrapping_add(1);
     }
@@ -330,21 +336,21 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] as for [`Record::free`], or if the name is empty or too long.
+    /// A [`RecordError`] as for [`Record::check_unclaimed`], or if the name is empty or too long.
     pub fn claim(
         &mut self,
         who: &str,
         version: Option<u32>,
         now: Micros,
         lease: Micros,
-    ) -> Result<(), Refusal> {
-        if who.is_empty() || who.len() > LONGEST_NAME {
-            return Err(Refusal::Malformed(
+    ) -> Result<(), RecordError> {
+        if who.is_empty() || who.len() > MAX_NAME_BYTES {
+            return Err(RecordError::Malformed(
                 "the operator's name is empty or too long",
             ));
         }
-        self.free(who, version, now)?;
-        self.becomes(State::Claimed {
+        self.check_unclaimed(who, version, now)?;
+        self.becomes(RecordState::Claimed {
             by: who.into(),
             until: now.saturating_add(lease),
         });
@@ -355,11 +361,16 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] as for [`Record::free`].
-    pub fn release(&mut self, who: &str, version: Option<u32>, now: Micros) -> Result<(), Refusal> {
-        self.free(who, version, now)?;
-        if matches!(self.state, State::Claimed { .. }) {
-            self.becomes(State::Open);
+    /// A [`RecordError`] as for [`Record::check_unclaimed`].
+    pub fn release(
+        &mut self,
+        who: &str,
+        version: Option<u32>,
+        now: Micros,
+    ) -> Result<(), RecordError> {
+        self.check_unclaimed(who, version, now)?;
+        if matches!(self.state, RecordState::Claimed { .. }) {
+            self.becomes(RecordState::Open);
         }
         Ok(())
     }
@@ -368,33 +379,33 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] as for [`Record::free`], unless the partner itself answers on a claimed record.
-    pub fn state_that(
+    /// A [`RecordError`] as for [`Record::check_unclaimed`], unless the partner itself answers on a claimed record.
+    pub fn attest(
         &mut self,
-        by: By,
-        says: Says,
+        by: Attester,
+        says: ExecutionClaim,
         asked: Micros,
         version: Option<u32>,
         now: Micros,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), RecordError> {
         let who = match &by {
-            By::Operator(name) => name.clone(),
-            By::Partner => String::new(),
+            Attester::Operator(name) => name.clone(),
+            Attester::Partner => String::new(),
         };
         // A partner's word is heard also on a record that an operator has set aside.
         match (&by, &self.state) {
-            (By::Partner, State::Claimed { .. }) => {}
-            _ => self.free(&who, version, now)?,
+            (Attester::Partner, RecordState::Claimed { .. }) => {}
+            _ => self.check_unclaimed(&who, version, now)?,
         }
         let resends = self.resends;
-        self.statements
-            .retain(|old| old.by != by || old.resends != resends || by == By::Partner);
-        if self.statements.len() >= MOST_STATEMENTS {
-            self.statements.remove(0);
+        self.attestations
+            .retain(|old| old.attester != by || old.resends != resends || by == Attester::Partner);
+        if self.attestations.len() >= MAX_ATTESTATIONS {
+            self.attestations.remove(0);
         }
-        self.statements.push(Statement {
-            by,
-            says,
+        self.attestations.push(Attestation {
+            attester: by,
+            claim: says,
             at: asked,
             resends,
         });
@@ -403,13 +414,13 @@
     }
 
     /// It is about to be sent again; returns the number of the resend.
-    pub fn begin(&mut self, by: &str, now: Micros) -> u32 {
+    pub fn begin_resend(&mut self, by: &str, now: Micros) -> u32 {
         debug_assert!(
-            matches!(self.state, State::Open | State::Claimed { .. }),
+            matches!(self.state, RecordState::Open | RecordState::Claimed { .. }),
             "one resend at a time"
         );
         self.resends += 1;
-        self.becomes(State::Sending {
+        self.becomes(RecordState::Sending {
             by: by.into(),
             since: now,
         });
@@ -417,16 +428,16 @@
     }
 
     /// A resend was never handed over: the process ended between. The number is used up.
-    pub fn not_begun(&mut self) {
-        if matches!(self.state, State::Sending { .. }) {
-            self.becomes(State::Open);
+    pub fn abort_resend(&mut self) {
+        if matches!(self.state, RecordState::Sending { .. }) {
+            self.becomes(RecordState::Open);
         }
     }
 
     /// A resend of which nobody knows any more what became of it, since some moment before now: it may have run at
     /// any time between, so that both ends of that span stand in the story.
-    pub fn lost_sight(&mut self, now: Micros) {
-        let State::Sending { since, .. } = self.state else {
+    pub fn record_unknown_outcome(&mut self, now: Micros) {
+        let RecordState::Sending { since, .. } = self.state else {
             return;
         };
         let resend = self.resends;
@@ -437,14 +448,14 @@
             may_have_run: true,
             resend,
         };
-        self.came_back(vec![doubt(since.min(now)), doubt(now)], None);
+        self.reopen_after_resend(vec![doubt(since.min(now)), doubt(now)], None);
     }
 
     /// The store has gone back to before a resend that is under way.
-    pub fn resume(&mut self, by: &str, number: u32, now: Micros) {
-        if self.resends < number && !matches!(self.state, State::Closed(..)) {
+    pub fn continue_resend(&mut self, by: &str, number: u32, now: Micros) {
+        if self.resends < number && !matches!(self.state, RecordState::Closed(..)) {
             self.resends = number;
-            self.becomes(State::Sending {
+            self.becomes(RecordState::Sending {
                 by: by.into(),
                 since: now,
             });
@@ -452,26 +463,26 @@
     }
 
     /// A resend has ended without delivery; its attempts are added to the story.
-    pub fn came_back(&mut self, attempts: Vec<Attempt>, reason: Option<Reason>) {
-        if !matches!(self.state, State::Sending { .. }) {
+    pub fn reopen_after_resend(&mut self, attempts: Vec<Attempt>, reason: Option<Reason>) {
+        if !matches!(self.state, RecordState::Sending { .. }) {
             return;
         }
         for attempt in attempts {
-            if self.attempts.len() >= MOST_ATTEMPTS {
+            if self.attempts.len() >= MAX_ATTEMPTS {
                 // The first half tells how it began; a doubt is never dropped.
-                let middle = (MOST_ATTEMPTS / 2..self.attempts.len())
+                let middle = (MAX_ATTEMPTS / 2..self.attempts.len())
                     .find(|at| !self.attempts[*at].may_have_run);
-                self.attempts.remove(middle.unwrap_or(MOST_ATTEMPTS / 2));
+                self.attempts.remove(middle.unwrap_or(MAX_ATTEMPTS / 2));
             }
             self.attempts.push(attempt);
         }
         self.reason = reason.unwrap_or(self.reason);
-        self.becomes(State::Open);
+        self.becomes(RecordState::Open);
     }
 
     /// It needs nothing more.
-    pub fn close(&mut self, how: Closed, now: Micros) {
-        self.becomes(State::Closed(how, now));
+    pub fn resolve(&mut self, how: Resolution, now: Micros) {
+        self.becomes(RecordState::Closed(how, now));
     }
 }
 
@@ -494,25 +505,25 @@
         }
     }
 
-    pub fn record(effect: Effect, attempts: Vec<Attempt>) -> Record {
+    pub fn record(effect: Idempotency, attempts: Vec<Attempt>) -> Record {
         let origin = Origin {
             name: "m1".into(),
             tenant: "acme/2".into(),
             class: "payout".into(),
             destination: 3,
-            key: Some("k".into()),
-            order: None,
-            due: 5_000_000,
+            idempotency_key: Some("k".into()),
+            ordering_key: None,
+            deadline: 5_000_000,
         };
         Record {
             origin,
-            effect,
+            idempotency: effect,
             size: 10,
-            ended: 5_000_000,
+            given_up_at: 5_000_000,
             reason: Reason::OutOfTime,
             attempts,
-            statements: Vec::new(),
-            state: State::Open,
+            attestations: Vec::new(),
+            state: RecordState::Open,
             version: 1,
             resends: 0,
         }
@@ -520,9 +531,9 @@
 
     #[test]
     fn a_resend_that_is_lost_sight_of_is_a_doubt_from_its_beginning_until_now() {
-        let mut one = record(Effect::Safe, Vec::new());
-        one.begin("ann", 100);
-        one.lost_sight(900);
+        let mut one = record(Idempotency::Idempotent, Vec::new());
+        one.begin_resend("ann", 100);
+        one.record_unknown_outcome(900);
         let told: Vec<_> = one
             .attempts
             .iter()
@@ -530,14 +541,14 @@
             .collect();
         assert_eq!(
             (one.state.clone(), told),
-            (State::Open, vec![(100, true, 1), (900, true, 1)])
+            (RecordState::Open, vec![(100, true, 1), (900, true, 1)])
         );
-        one.lost_sight(950);
+        one.record_unknown_outcome(950);
         assert_eq!(one.attempts.len(), 2, "nothing is under way");
-        one.resume("ann", 3, 1000);
+        one.continue_resend("ann", 3, 1000);
         assert_eq!((one.state.word(), one.resends), ("sending", 3));
-        one.close(Closed::Delivered, 1001);
-        one.resume("ann", 4, 1002);
+        one.resolve(Resolution::Delivered, 1001);
+        one.continue_resend("ann", 4, 1002);
         assert_eq!(one.state.word(), "delivered");
     }
 
@@ -551,21 +562,24 @@
 
     #[test]
     fn a_claim_keeps_others_out_until_it_is_over_and_versions_tell_changes() {
-        let mut one = record(Effect::Safe, Vec::new());
+        let mut one = record(Idempotency::Idempotent, Vec::new());
         one.claim("ann", Some(1), 100, 50).expect("free");
         assert_eq!(
             one.claim("bob", None, 120, 50),
-            Err(Refusal::Claimed("ann".into()))
+            Err(RecordError::Claimed("ann".into()))
+        );
+        assert_eq!(
+            one.claim("ann", Some(1), 120, 50),
+            Err(RecordError::Version(2))
         );
-        assert_eq!(one.claim("ann", Some(1), 120, 50), Err(Refusal::Version(2)));
         one.claim("ann", Some(2), 120, 50).expect("its own");
         one.claim("bob", Some(3), 170, 50).expect("over");
         assert_eq!(
             one.release("ann", None, 171),
-            Err(Refusal::Claimed("bob".into()))
+            Err(RecordError::Claimed("bob".into()))
         );
         one.release("bob", None, 171).expect("its own");
-        assert_eq!(one.state, State::Open);
+        assert_eq!(one.state, RecordState::Open);
         assert!(
             one.claim("", None, 0, 1).is_err() && one.claim(&"x".repeat(65), None, 0, 1).is_err()
         );
@@ -573,26 +587,29 @@
 
     #[test]
     fn one_resend_at_a_time_and_a_clock_set_back_frees_nothing_early() {
-        let mut one = record(Effect::Safe, Vec::new());
+        let mut one = record(Idempotency::Idempotent, Vec::new());
         one.claim("ann", None, 1000, 500).expect("free");
         // The clock is set back: the claim lasts longer, never shorter.
-        assert!(one.free("bob", None, 10).is_err());
-        assert_eq!(one.begin("ann", 1000), 1);
-        assert_eq!(one.free("ann", None, 1000), Err(Refusal::Sending));
-        one.came_back(vec![attempt(9, true)], Some(Reason::MayHaveRun));
+        assert!(one.check_unclaimed("bob", None, 10).is_err());
+        assert_eq!(one.begin_resend("ann", 1000), 1);
         assert_eq!(
-            (one.attempts.len(), one.reason, one.ended),
+            one.check_unclaimed("ann", None, 1000),
+            Err(RecordError::Sending)
+        );
+        one.reopen_after_resend(vec![attempt(9, true)], Some(Reason::MayHaveRun));
+        assert_eq!(
+            (one.attempts.len(), one.reason, one.given_up_at),
             (1, Reason::MayHaveRun, 5_000_000)
         );
-        assert_eq!(one.begin("bob", 1001), 2);
-        one.not_begun();
-        assert_eq!((one.state.clone(), one.resends), (State::Open, 2));
-        one.close(Closed::Delivered, 1002);
+        assert_eq!(one.begin_resend("bob", 1001), 2);
+        one.abort_resend();
+        assert_eq!((one.state.clone(), one.resends), (RecordState::Open, 2));
+        one.resolve(Resolution::Delivered, 1002);
         assert_eq!(
-            one.free("ann", None, 1003),
-            Err(Refusal::Closed("delivered"))
+            one.check_unclaimed("ann", None, 1003),
+            Err(RecordError::Closed("delivered"))
         );
-        one.came_back(vec![attempt(9, true)], None);
+        one.reopen_after_resend(vec![attempt(9, true)], None);
         assert_eq!(
             one.attempts.len(),
             1,
@@ -603,19 +620,19 @@
     #[test]
     fn the_story_is_bound_and_keeps_every_doubt() {
         let mut one = record(
-            Effect::Unsafe,
+            Idempotency::NonIdempotent,
             (0..40).map(|at| attempt(at, false)).collect(),
         );
         for round in 0..10 {
-            one.begin("ann", round);
-            one.came_back(
+            one.begin_resend("ann", round);
+            one.reopen_after_resend(
                 (0..12)
                     .map(|at| attempt(100 * round + at, at == 3))
                     .collect(),
                 None,
             );
         }
-        assert_eq!(one.attempts.len(), MOST_ATTEMPTS);
+        assert_eq!(one.attempts.len(), MAX_ATTEMPTS);
         assert_eq!(
             one.attempts
                 .iter()
@@ -629,26 +646,44 @@
 
     #[test]
     fn a_partners_word_is_heard_while_an_operator_has_the_record() {
-        let mut one = record(Effect::Unsafe, vec![attempt(1, true)]);
+        let mut one = record(Idempotency::NonIdempotent, vec![attempt(1, true)]);
         one.claim("ann", None, 10, 100).expect("free");
-        one.state_that(By::Partner, Says::Applied, 11, None, 12)
+        one.attest(Attester::Partner, ExecutionClaim::Applied, 11, None, 12)
             .expect("heard");
         assert!(one
-            .state_that(By::Operator("bob".into()), Says::Applied, 11, None, 12)
+            .attest(
+                Attester::Operator("bob".into()),
+                ExecutionClaim::Applied,
+                11,
+                None,
+                12
+            )
             .is_err());
-        one.state_that(By::Operator("ann".into()), Says::Unknown, 11, None, 12)
-            .expect("its own");
-        one.state_that(By::Operator("ann".into()), Says::Applied, 13, None, 13)
-            .expect("its own");
+        one.attest(
+            Attester::Operator("ann".into()),
+            ExecutionClaim::Unknown,
+            11,
+            None,
+            12,
+        )
+        .expect("its own");
+        one.attest(
+            Attester::Operator("ann".into()),
+            ExecutionClaim::Applied,
+            13,
+            None,
+            13,
+        )
+        .expect("its own");
         assert_eq!(
-            one.statements.len(),
+            one.attestations.len(),
             2,
             "the later one of an operator counts"
         );
         for at in 0..40 {
-            one.state_that(By::Partner, Says::Unknown, at, None, 14)
+            one.attest(Attester::Partner, ExecutionClaim::Unknown, at, None, 14)
                 .expect("heard");
         }
-        assert_eq!(one.statements.len(), MOST_STATEMENTS);
+        assert_eq!(one.attestations.len(), MAX_ATTESTATIONS);
     }
 }
--- a/crates/undeliverable/src/store.rs
+++ b/crates/undeliverable/src/store.rs
@@ -2,7 +2,7 @@
 //!
 //! Each value carries a CRC-32 and the version of its form. All that belongs to a change is in one transaction: a
 //! process that ends leaves all of it or nothing. A record of what can't be read counts as none and is told by
-//! [`Store::spoilt`].
+//! [`Store::unreadable_values`].
 //!
 //! Bounds: bytes of all records and of one tenant's, their age, and their number. What is past them is dropped,
 //! the oldest first, and counted by tenant and cause; what is being sent again never is.
@@ -18,7 +18,7 @@
 
 use crate::batch::Batch;
 use crate::filter::Filter;
-use crate::record::{Record, RecordId, State};
+use crate::record::{Record, RecordId, RecordState};
 use crate::Micros;
 
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
@@ -44,7 +44,7 @@
 
 /// By what records are found and counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum By {
+pub enum GroupBy {
     /// The partner.
     Destination,
     /// The class.
@@ -57,14 +57,14 @@
     State,
 }
 
-impl By {
+impl GroupBy {
     /// All of them.
-    pub const ALL: [By; 5] = [
-        By::Destination,
-        By::Class,
-        By::Reason,
-        By::Tenant,
-        By::State,
+    pub const ALL: [GroupBy; 5] = [
+        GroupBy::Destination,
+        GroupBy::Class,
+        GroupBy::Reason,
+        GroupBy::Tenant,
+        GroupBy::State,
     ];
 
     fn kind(self) -> u8 {
@@ -74,21 +74,21 @@
     fn value(self, record: &Record) -> String {
         match self {
             // Of one length, so that their order is that of the numbers.
-            By::Destination => format!("{:05}", record.origin.destination),
-            By::Class => record.origin.class.clone(),
-            By::Reason => record.reason.word().into(),
-            By::Tenant => record.origin.tenant_name().into(),
-            By::State => record.state.word().into(),
+            GroupBy::Destination => format!("{:05}", record.origin.destination),
+            GroupBy::Class => record.origin.class.clone(),
+            GroupBy::Reason => record.reason.word().into(),
+            GroupBy::Tenant => record.origin.tenant_name().into(),
+            GroupBy::State => record.state.word().into(),
         }
     }
 
     fn wanted(self, filter: &Filter) -> Option<String> {
         match self {
-            By::Destination => filter.destination.map(|number| format!("{number:05}")),
-            By::Class => filter.class.clone(),
-            By::Reason => filter.reason.map(|reason| reason.word().into()),
-            By::Tenant => filter.tenant.clone(),
-            By::State => filter.state.clone(),
+            GroupBy::Destination => filter.destination.map(|number| format!("{number:05}")),
+            GroupBy::Class => filter.class.clone(),
+            GroupBy::Reason => filter.reason.map(|reason| reason.word().into()),
+            GroupBy::Tenant => filter.tenant.clone(),
+            GroupBy::State => filter.state.clone(),
         }
     }
 }
@@ -98,7 +98,7 @@
 
 /// What a store holds at most.
 #[derive(Clone, Copy, Debug)]
-pub struct Caps {
+pub struct StoreLimits {
     /// Bytes of all records.
     pub bytes: u64,
     /// Bytes of one tenant's records.
@@ -111,7 +111,7 @@
 
 /// Why something could not be kept or read.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
+pub enum StoreError {
     /// The database or its file gave an error. What was asked for was not done.
     #[error("the store of undeliverable messages: {0}")]
     Database(String),
@@ -120,18 +120,18 @@
     Corrupt(String),
     /// A value can't be read.
     #[error("record {0} can't be read")]
-    Spoilt(RecordId),
+    Unreadable(RecordId),
 }
 
-impl<E: Into<redb::Error>> From<E> for Error {
+impl<E: Into<redb::Error>> From<E> for StoreError {
     fn from(error: E) -> Self {
         use std::io::ErrorKind::{InvalidData, UnexpectedEof};
         match error.into() {
-            redb::Error::Corrupted(what) => Error::Corrupt(what),
+            redb::Error::Corrupted(what) => StoreError::Corrupt(what),
             redb::Error::Io(e) if matches!(e.kind(), InvalidData | UnexpectedEof) => {
-                Error::Corrupt(e.to_string())
+                StoreError::Corrupt(e.to_string())
             }
-            other => Error::Database(other.to_string()),
+            other => StoreError::Database(other.to_string()),
         }
     }
 }
@@ -147,7 +147,7 @@
 
 /// What the whole holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
+pub struct GroupCounts {
     /// Records.
     pub records: u64,
     /// Bytes by which the caps count.
@@ -155,7 +155,7 @@
     /// Records that were dropped, by tenant and cause.
     pub dropped: Vec<(String, String, u64)>,
     /// Values that could not be read since the start.
-    pub spoilt: u64,
+    pub unreadable_values: u64,
 }
 
 /// The records.
@@ -164,9 +164,9 @@
     spoilt: std::cell::Cell<u64>,
 }
 
-fn pack(value: &impl Serialize) -> Result<Vec<u8>, Error> {
+fn pack(value: &impl Serialize) -> Result<Vec<u8>, StoreError> {
     let text =
-        postcard::to_extend(value, vec![0; 5]).map_err(|e| Error::Database(e.to_string()))?;
+        postcard::to_extend(value, vec![0; 5]).map_err(|e| StoreError::Database(e.to_string()))?;
     Ok(sealed(text))
 }
 
@@ -226,13 +226,13 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Corrupt`] if the file is damaged, [`Error::Database`] if it cannot be read or written.
-    pub fn open(pages: impl RandomAccessFile, syncs: bool) -> Result<Self, Error> {
+    /// [`StoreError::Corrupt`] if the file is damaged, [`StoreError::Database`] if it cannot be read or written.
+    pub fn open(pages: impl RandomAccessFile, syncs: bool) -> Result<Self, StoreError> {
         Store::open_on(File { pages, syncs })
     }
 
-    fn open_on(file: impl StorageBackend) -> Result<Self, Error> {
-        let opening = std::panic::AssertUnwindSafe(|| -> Result<Database, Error> {
+    fn open_on(file: impl StorageBackend) -> Result<Self, StoreError> {
+        let opening = std::panic::AssertUnwindSafe(|| -> Result<Database, StoreError> {
             let mut builder = redb::Builder::new();
             builder
                 .set_cache_size(CACHE)
@@ -251,8 +251,11 @@
             Ok(database)
         });
         // A file of noise may be taken for anything.
-        let database = std::panic::catch_unwind(opening)
-            .unwrap_or_else(|_| Err(Error::Corrupt("the file can't be made sense of".into())))?;
+        let database = std::panic::catch_unwind(opening).unwrap_or_else(|_| {
+            Err(StoreError::Corrupt(
+                "the file can't be made sense of".into(),
+            ))
+        })?;
         Ok(Store {
             database,
             spoilt: Default::default(),
@@ -264,8 +267,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails; nothing is changed then.
-    pub fn keep(&self, records: &[(Record, &[u8])]) -> Result<Vec<RecordId>, Error> {
+    /// [`StoreError::Database`] if the database or its file fails; nothing is changed then.
+    pub fn insert(&self, records: &[(Record, &[u8])]) -> Result<Vec<RecordId>, StoreError> {
         let change = self.database.begin_write()?;
         let mut numbers = Vec::with_capacity(records.len());
         for (record, body) in records {
@@ -296,8 +299,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails.
-    pub fn find(&self, id: RecordId) -> Result<Option<Record>, Error> {
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn find(&self, id: RecordId) -> Result<Option<Record>, StoreError> {
         let read = self.database.begin_read()?;
         let table = read.open_table(RECORDS)?;
         let Some(text) = table.get(id)? else {
@@ -306,10 +309,10 @@
         self.read(id, text.value()).map(Some)
     }
 
-    fn read(&self, id: RecordId, text: &[u8]) -> Result<Record, Error> {
+    fn read(&self, id: RecordId, text: &[u8]) -> Result<Record, StoreError> {
         unpack(text).ok_or_else(|| {
             self.spoilt.set(self.spoilt.get() + 1);
-            Error::Spoilt(id)
+            StoreError::Unreadable(id)
         })
     }
 
@@ -317,8 +320,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails.
-    pub fn body(&self, id: RecordId) -> Result<Option<Vec<u8>>, Error> {
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn body(&self, id: RecordId) -> Result<Option<Vec<u8>>, StoreError> {
         let read = self.database.begin_read()?;
         let table = read.open_table(BODIES)?;
         let Some(text) = table.get(id)? else {
@@ -327,7 +330,7 @@
         let body = opened(text.value()).map(<[u8]>::to_vec);
         body.map(Some).ok_or_else(|| {
             self.spoilt.set(self.spoilt.get() + 1);
-            Error::Spoilt(id)
+            StoreError::Unreadable(id)
         })
     }
 
@@ -336,12 +339,12 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database fails, [`Error::Spoilt`] if the record cannot be read. The change's own error is the inner result.
-    pub fn change<T, E>(
+    /// [`StoreError::Database`] if the database fails, [`StoreError::Unreadable`] if the record cannot be read. The change's own error is the inner result.
+    pub fn update<T, E>(
         &self,
         id: RecordId,
         change: impl FnOnce(&mut Record) -> Result<T, E>,
-    ) -> Result<Option<Result<T, E>>, Error> {
+    ) -> Result<Option<Result<T, E>>, StoreError> {
         let writing = self.database.begin_write()?;
         let before = writing
             .open_table(RECORDS)?
@@ -367,13 +370,13 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails.
+    /// [`StoreError::Database`] if the database or its file fails.
     pub fn page(
         &self,
         filter: &Filter,
         before: Option<RecordId>,
         most: usize,
-    ) -> Result<Page, Error> {
+    ) -> Result<Page, StoreError> {
         self.scan(filter, before.unwrap_or(RecordId::MAX), most, true)
     }
 
@@ -381,8 +384,13 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails.
-    pub fn after(&self, filter: &Filter, after: RecordId, most: usize) -> Result<Page, Error> {
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn page_after(
+        &self,
+        filter: &Filter,
+        after: RecordId,
+        most: usize,
+    ) -> Result<Page, StoreError> {
         self.scan(filter, after, most, false)
     }
 
@@ -393,11 +401,11 @@
         from: RecordId,
         most: usize,
         back: bool,
-    ) -> Result<Page, Error> {
+    ) -> Result<Page, StoreError> {
         let read = self.database.begin_read()?;
         let counts = read.open_table(COUNTS)?;
-        let mut narrowest: Option<(u64, By, String)> = None;
-        for by in By::ALL {
+        let mut narrowest: Option<(u64, GroupBy, String)> = None;
+        for by in GroupBy::ALL {
             let Some(value) = by.wanted(filter) else {
                 continue;
             };
@@ -411,12 +419,12 @@
         let records = read.open_table(RECORDS)?;
         let mut page = Page::default();
         let mut looked = 0;
-        let mut take = |id: RecordId, page: &mut Page| -> Result<bool, Error> {
+        let mut take = |id: RecordId, page: &mut Page| -> Result<bool, StoreError> {
             looked += 1;
             if let Some(text) = records.get(id)? {
                 // What can't be read is counted, and passed over.
                 if let Ok(record) = self.read(id, text.value()) {
-                    if filter.fits(&record) {
+                    if filter.matches(&record) {
                         page.records.push((id, record));
                     }
                 }
@@ -465,8 +473,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails.
-    pub fn counts(&self, by: By) -> Result<Vec<(String, u64)>, Error> {
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn counts(&self, by: GroupBy) -> Result<Vec<(String, u64)>, StoreError> {
         let read = self.database.begin_read()?;
         let table = read.open_table(COUNTS)?;
         let mut all = Vec::new();
@@ -483,8 +491,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails.
-    pub fn last(&self) -> Result<RecordId, Error> {
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn last_id(&self) -> Result<RecordId, StoreError> {
         number(&self.database, "last")
     }
 
@@ -492,8 +500,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails.
-    pub fn sums(&self) -> Result<Sums, Error> {
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn totals(&self) -> Result<GroupCounts, StoreError> {
         let read = self.database.begin_read()?;
         let mut dropped = Vec::new();
         for entry in read.open_table(DROPPED)?.iter()? {
@@ -501,11 +509,11 @@
             let (tenant, cause) = key.value();
             dropped.push((tenant.into(), cause.into(), count.value()));
         }
-        Ok(Sums {
+        Ok(GroupCounts {
             records: number(&self.database, "records")?,
             bytes: number(&self.database, "bytes")?,
             dropped,
-            spoilt: self.spoilt.get(),
+            unreadable_values: self.spoilt.get(),
         })
     }
 
@@ -513,11 +521,16 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails; nothing is changed then.
-    pub fn drop_past(&self, caps: &Caps, now: Micros, most: usize) -> Result<u64, Error> {
+    /// [`StoreError::Database`] if the database or its file fails; nothing is changed then.
+    pub fn evict_beyond_limits(
+        &self,
+        caps: &StoreLimits,
+        now: Micros,
+        most: usize,
+    ) -> Result<u64, StoreError> {
         let change = self.database.begin_write()?;
         let mut dropped = 0;
-        let mut drop_one = |id: RecordId, cause: &str| -> Result<bool, Error> {
+        let mut drop_one = |id: RecordId, cause: &str| -> Result<bool, StoreError> {
             let text = change
                 .open_table(RECORDS)?
                 .get(id)?
@@ -526,7 +539,7 @@
             let record: Option<Record> = unpack(&text);
             if record
                 .as_ref()
-                .is_some_and(|record| matches!(record.state, State::Sending { .. }))
+                .is_some_and(|record| matches!(record.state, RecordState::Sending { .. }))
             {
                 return Ok(false);
             }
@@ -551,7 +564,7 @@
                 let (id, text) = entry?;
                 all.push((
                     id.value(),
-                    unpack::<Record>(text.value()).map(|record| record.ended),
+                    unpack::<Record>(text.value()).map(|record| record.given_up_at),
                 ));
             }
             all
@@ -577,7 +590,7 @@
         for tenant in over {
             let ids: Vec<RecordId> = {
                 let index = change.open_table(INDEX)?;
-                let kind = By::Tenant.kind();
+                let kind = GroupBy::Tenant.kind();
                 let range = index
                     .range((kind, tenant.as_str(), 0)..(kind, tenant.as_str(), RecordId::MAX))?;
                 range
@@ -598,7 +611,7 @@
         }
         // By all.
         for (id, _) in &oldest {
-            let sum = |name| -> Result<u64, Error> {
+            let sum = |name| -> Result<u64, StoreError> {
                 Ok(change
                     .open_table(NUMBERS)?
                     .get(name)?
@@ -624,8 +637,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails.
-    pub fn batches(&self) -> Result<Vec<Batch>, Error> {
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn batches(&self) -> Result<Vec<Batch>, StoreError> {
         let read = self.database.begin_read()?;
         let mut all = Vec::new();
         for entry in read.open_table(BATCHES)?.iter()? {
@@ -641,8 +654,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails; nothing is changed then.
-    pub fn keep_batch(&self, batch: &Batch) -> Result<(), Error> {
+    /// [`StoreError::Database`] if the database or its file fails; nothing is changed then.
+    pub fn save_batch(&self, batch: &Batch) -> Result<(), StoreError> {
         let change = self.database.begin_write()?;
         change
             .open_table(BATCHES)?
@@ -654,8 +667,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Database`] if the database or its file fails; nothing is changed then.
-    pub fn forget_batch(&self, name: &str) -> Result<(), Error> {
+    /// [`StoreError::Database`] if the database or its file fails; nothing is changed then.
+    pub fn remove_batch(&self, name: &str) -> Result<(), StoreError> {
         let change = self.database.begin_write()?;
         change.open_table(BATCHES)?.remove(name)?;
         Ok(change.commit()?)
@@ -664,16 +677,16 @@
 
 fn origin_key(record: &Record) -> String {
     let origin = &record.origin;
-    format!("{}\n{}\n{}", origin.tenant, origin.name, origin.due)
+    format!("{}\n{}\n{}", origin.tenant, origin.name, origin.deadline)
 }
 
-fn number(database: &Database, name: &str) -> Result<u64, Error> {
+fn number(database: &Database, name: &str) -> Result<u64, StoreError> {
     let read = database.begin_read()?;
     let table = read.open_table(NUMBERS)?;
     Ok(table.get(name)?.map_or(0, |number| number.value()))
 }
 
-fn add(change: &WriteTransaction, name: &str, by: i64) -> Result<u64, Error> {
+fn add(change: &WriteTransaction, name: &str, by: i64) -> Result<u64, StoreError> {
     let mut table = change.open_table(NUMBERS)?;
     let sum = table
         .get(name)?
@@ -683,7 +696,7 @@
     Ok(sum)
 }
 
-fn count(change: &WriteTransaction, kind: u8, value: &str, by: i64) -> Result<(), Error> {
+fn count(change: &WriteTransaction, kind: u8, value: &str, by: i64) -> Result<(), StoreError> {
     let mut table = change.open_table(COUNTS)?;
     let sum = table
         .get((kind, value))?
@@ -703,7 +716,7 @@
     before: Option<&Record>,
     after: &Record,
     body: usize,
-) -> Result<(), Error> {
+) -> Result<(), StoreError> {
     let text = pack(after)?;
     let old = before
         .map(pack)
@@ -711,7 +724,7 @@
         .map_or(0, |text| text.len() as i64 + body as i64 + BESIDE as i64);
     let bytes = text.len() as i64 + body as i64 + BESIDE as i64 - old;
     change.open_table(RECORDS)?.insert(id, text.as_slice())?;
-    for by in By::ALL {
+    for by in GroupBy::ALL {
         let (old, new) = (before.map(|record| by.value(record)), by.value(after));
         if old.as_ref() == Some(&new) {
             continue;
@@ -735,7 +748,11 @@
 }
 
 /// Takes a record away; of one that can't be read, what is known of it.
-fn remove(change: &WriteTransaction, id: RecordId, record: Option<&Record>) -> Result<(), Error> {
+fn remove(
+    change: &WriteTransaction,
+    id: RecordId,
+    record: Option<&Record>,
+) -> Result<(), StoreError> {
     let text = change
         .open_table(RECORDS)?
         .remove(id)?
@@ -749,7 +766,7 @@
         change
             .open_table(ORIGINS)?
             .remove(origin_key(record).as_str())?;
-        for by in By::ALL {
+        for by in GroupBy::ALL {
             let value = by.value(record);
             change
                 .open_table(INDEX)?
@@ -767,7 +784,7 @@
 mod tests {
     use super::*;
     use crate::record::tests::{attempt, record};
-    use crate::record::{Closed, Effect, Reason, Refusal};
+    use crate::record::{Idempotency, Reason, RecordError, Resolution};
     use redb::backends::InMemoryBackend;
 
     fn store() -> Store {
@@ -776,13 +793,13 @@
 
     fn numbered(number: u64, destination: u16, tenant: &str) -> Record {
         let mut one = record(
-            Effect::Unsafe,
+            Idempotency::NonIdempotent,
             vec![attempt(number, number.is_multiple_of(2))],
         );
         one.origin.name = format!("m{number}");
         one.origin.destination = destination;
         one.origin.tenant = format!("{tenant}/1");
-        one.ended = 1000 + number;
+        one.given_up_at = 1000 + number;
         one
     }
 
@@ -796,13 +813,13 @@
             .map(|record| (record.clone(), &b"0123456789"[..]))
             .collect();
         assert_eq!(
-            store.keep(&kept).expect("kept"),
+            store.insert(&kept).expect("kept"),
             (1..=records).collect::<Vec<_>>()
         );
         store
     }
 
-    const CAPS: Caps = Caps {
+    const CAPS: StoreLimits = StoreLimits {
         bytes: u64::MAX,
         tenant_bytes: u64::MAX,
         records: u64::MAX,
@@ -813,7 +830,7 @@
     fn what_is_kept_is_found_again_and_a_second_hand_over_changes_nothing() {
         let store = filled(10);
         let again = numbered(4, 1, "acme");
-        assert_eq!(store.keep(&[(again, b"other")]).expect("known"), [5]);
+        assert_eq!(store.insert(&[(again, b"other")]).expect("known"), [5]);
         assert_eq!(
             store
                 .find(5)
@@ -828,8 +845,8 @@
         assert_eq!(store.find(99).expect("read"), None);
         assert_eq!(
             (
-                store.sums().expect("read").records,
-                store.last().expect("read")
+                store.totals().expect("read").records,
+                store.last_id().expect("read")
             ),
             (10, 10)
         );
@@ -849,7 +866,7 @@
             seen.extend(page.records.iter().map(|(id, _)| *id));
             // New ones come, of which none is on a later page.
             store
-                .keep(&[(numbered(100 + seen.len() as u64, 1, "beta"), b"x")])
+                .insert(&[(numbered(100 + seen.len() as u64, 1, "beta"), b"x")])
                 .expect("kept");
             let Some(next) = page.next else { break };
             before = Some(next);
@@ -860,7 +877,7 @@
             .rev()
             .collect();
         assert_eq!(seen, wanted);
-        let oldest = store.after(&filter, 0, 3).expect("read");
+        let oldest = store.page_after(&filter, 0, 3).expect("read");
         assert_eq!(
             oldest.records.iter().map(|(id, _)| *id).collect::<Vec<_>>(),
             [2, 8, 11]
@@ -871,10 +888,10 @@
     #[test]
     fn a_change_moves_a_record_in_what_it_is_found_by_and_a_refused_one_writes_nothing() {
         let store = filled(6);
-        let closed = store.change(2, |record| {
-            record.close(Closed::Discarded, 5);
+        let closed = store.update(2, |record| {
+            record.resolve(Resolution::Discarded, 5);
             record.reason = Reason::GivenUp;
-            Ok::<_, Refusal>(())
+            Ok::<_, RecordError>(())
         });
         assert_eq!(closed.expect("written"), Some(Ok(())));
         let of = |state: &str| Filter {
@@ -898,24 +915,26 @@
             5
         );
         assert_eq!(
-            store.counts(By::State).expect("read"),
+            store.counts(GroupBy::State).expect("read"),
             [("discarded".into(), 1), ("open".into(), 5)]
         );
         assert_eq!(
-            store.counts(By::Reason).expect("read"),
+            store.counts(GroupBy::Reason).expect("read"),
             [("given-up".into(), 1), ("out-of-time".into(), 5)]
         );
-        let refused = store.change(1, |record| {
-            record.close(Closed::Discarded, 5);
-            Err::<(), _>(Refusal::Sending)
+        let refused = store.update(1, |record| {
+            record.resolve(Resolution::Discarded, 5);
+            Err::<(), _>(RecordError::Sending)
         });
-        assert_eq!(refused.expect("read"), Some(Err(Refusal::Sending)));
+        assert_eq!(refused.expect("read"), Some(Err(RecordError::Sending)));
         assert_eq!(
             store.find(1).expect("read").map(|record| record.state),
-            Some(State::Open)
+            Some(RecordState::Open)
         );
         assert_eq!(
-            store.change(77, |_| Ok::<_, Refusal>(())).expect("read"),
+            store
+                .update(77, |_| Ok::<_, RecordError>(()))
+                .expect("read"),
             None
         );
     }
@@ -924,44 +943,61 @@
     fn caps_drop_the_oldest_count_them_and_spare_what_is_being_sent() {
         let store = filled(20);
         store
-            .change(1, |record| Ok::<_, Refusal>(record.begin("ann", 1)))
+            .update(1, |record| {
+                Ok::<_, RecordError>(record.begin_resend("ann", 1))
+            })
             .expect("written");
-        let by_records = Caps {
+        let by_records = StoreLimits {
             records: 17,
             ..CAPS
         };
-        assert_eq!(store.drop_past(&by_records, 2000, 100).expect("dropped"), 3);
+        assert_eq!(
+            store
+                .evict_beyond_limits(&by_records, 2000, 100)
+                .expect("dropped"),
+            3
+        );
         assert!(store.find(1).expect("read").is_some() && store.find(4).expect("read").is_none());
-        let by_age = Caps { age: 1000, ..CAPS };
+        let by_age = StoreLimits { age: 1000, ..CAPS };
         // The records of moments 1000 to 1009 are too old at 2009; the first is out.
-        assert_eq!(store.drop_past(&by_age, 2009, 100).expect("dropped"), 6);
-        let bytes = store.sums().expect("read").bytes;
-        let acme = store.counts(By::Tenant).expect("read")[0].clone();
+        assert_eq!(
+            store
+                .evict_beyond_limits(&by_age, 2009, 100)
+                .expect("dropped"),
+            6
+        );
+        let bytes = store.totals().expect("read").bytes;
+        let acme = store.counts(GroupBy::Tenant).expect("read")[0].clone();
         assert_eq!(acme, ("acme".into(), 3));
-        let each = bytes / store.sums().expect("read").records;
-        let by_tenant = Caps {
+        let each = bytes / store.totals().expect("read").records;
+        let by_tenant = StoreLimits {
             tenant_bytes: 4 * each,
             ..CAPS
         };
-        assert!(store.drop_past(&by_tenant, 0, 100).expect("dropped") > 0);
+        assert!(
+            store
+                .evict_beyond_limits(&by_tenant, 0, 100)
+                .expect("dropped")
+                > 0
+        );
         assert_eq!(
-            store.counts(By::Tenant).expect("read")[0],
+            store.counts(GroupBy::Tenant).expect("read")[0],
             ("acme".into(), 3),
             "another tenant's are not touched"
         );
-        let by_bytes = Caps {
+        let by_bytes = StoreLimits {
             bytes: 3 * each,
             ..CAPS
         };
-        while store.drop_past(&by_bytes, 0, 2).expect("dropped") > 0 {}
-        let sums = store.sums().expect("read");
+        while store.evict_beyond_limits(&by_bytes, 0, 2).expect("dropped") > 0 {}
+        let sums = store.totals().expect("read");
         assert!(sums.bytes <= 3 * each + each / 2, "{sums:?}");
         let told: u64 = sums.dropped.iter().map(|(_, _, count)| count).sum();
         assert_eq!(told + sums.records, 20, "{sums:?}");
         assert!(store.find(1).expect("read").is_some());
         // All sums agree with what is there.
         let open: u64 = store
-            .counts(By::Class)
+            .counts(GroupBy::Class)
             .expect("read")
             .iter()
             .map(|(_, count)| count)
--- a/crates/undeliverable/tests/stored_format.rs
+++ b/crates/undeliverable/tests/stored_format.rs
@@ -7,10 +7,12 @@
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use runtime::{OsRuntime, Runtime};
-use undeliverable::batch::{Batch, Counts, Order, Spec};
-use undeliverable::record::{By, Origin, Refusal, Says};
-use undeliverable::store::{self, Caps};
-use undeliverable::{Attempt, Closed, Effect, Filter, Outcome, Reason, Record, State, Store};
+use undeliverable::batch::{Batch, BatchCommand, BatchCounts, BatchSpec};
+use undeliverable::record::{Attester, ExecutionClaim, Origin, RecordError};
+use undeliverable::store::{self, StoreLimits};
+use undeliverable::{
+    Attempt, Filter, Idempotency, Outcome, Reason, Record, RecordState, Resolution, Store,
+};
 
 fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -52,7 +54,7 @@
         Outcome::TimedOut,
         Outcome::NotConnected,
         Outcome::Broken,
-        Outcome::CalledOff,
+        Outcome::Cancelled,
         Outcome::NotSent,
         Outcome::Delivered,
     ];
@@ -66,25 +68,25 @@
             },
             class: ["event", "payout", "update"][number as usize % 3].into(),
             destination: number as u16 % 2,
-            key: (number % 3 == 0).then(|| format!("k-{number}")),
-            order: (number % 3 == 1).then_some(number),
-            due: 1_796_168_056_871_000 + number,
+            idempotency_key: (number % 3 == 0).then(|| format!("k-{number}")),
+            ordering_key: (number % 3 == 1).then_some(number),
+            deadline: 1_796_168_056_871_000 + number,
         },
-        effect: match number % 3 {
-            0 => Effect::Keyed { window: 6_000_000 },
-            1 => Effect::Unsafe,
-            _ => Effect::Safe,
+        idempotency: match number % 3 {
+            0 => Idempotency::Keyed { window: 6_000_000 },
+            1 => Idempotency::NonIdempotent,
+            _ => Idempotency::Idempotent,
         },
         size: 10,
-        ended: 1_796_168_060_000_000 + number,
+        given_up_at: 1_796_168_060_000_000 + number,
         reason,
         attempts: outcomes
             .iter()
             .zip(number * 100..)
             .map(|(outcome, at)| attempt(at, *outcome))
             .collect(),
-        statements: Vec::new(),
-        state: State::Open,
+        attestations: Vec::new(),
+        state: RecordState::Open,
         version: 1,
         resends: 0,
     };
@@ -100,53 +102,62 @@
         .map(|one| (one, &b"\r\n\x00body"[..]))
         .collect();
     assert_eq!(
-        store.keep(&records).expect("kept"),
+        store.insert(&records).expect("kept"),
         (1..=8).collect::<Vec<_>>()
     );
-    let change = |id, change: &dyn Fn(&mut Record) -> Result<(), Refusal>| {
+    let change = |id, change: &dyn Fn(&mut Record) -> Result<(), RecordError>| {
         assert_eq!(
-            store.change(id, |record| change(record)).expect("written"),
+            store.update(id, |record| change(record)).expect("written"),
             Some(Ok(()))
         );
     };
     change(2, &|record| record.claim("ann", Some(1), now, 600_000_000));
     change(3, &|record| {
-        record.begin("batch/nightly", now);
+        record.begin_resend("batch/nightly", now);
         Ok(())
     });
     for (id, closed) in [
-        (4, Closed::Delivered),
-        (5, Closed::AppliedBefore),
-        (6, Closed::Discarded),
+        (4, Resolution::Delivered),
+        (5, Resolution::AppliedBefore),
+        (6, Resolution::Discarded),
     ] {
         change(id, &|record| {
-            record.close(closed, now);
+            record.resolve(closed, now);
             Ok(())
         });
     }
     change(7, &|record| {
-        record.state_that(By::Partner, Says::NotApplied, now, None, now)
+        record.attest(
+            Attester::Partner,
+            ExecutionClaim::NotApplied,
+            now,
+            None,
+            now,
+        )
     });
     change(7, &|record| {
-        record.state_that(
-            By::Operator("ann".into()),
-            Says::Applied,
+        record.attest(
+            Attester::Operator("ann".into()),
+            ExecutionClaim::Applied,
             now + 1,
             None,
             now,
         )
     });
     change(8, &|record| {
-        record.state_that(By::Partner, Says::Unknown, now, None, now)
+        record.attest(Attester::Partner, ExecutionClaim::Unknown, now, None, now)
     });
-    let caps = Caps {
+    let caps = StoreLimits {
         bytes: u64::MAX,
         tenant_bytes: u64::MAX,
         records: 7,
         age: u64::MAX,
     };
-    assert_eq!(store.drop_past(&caps, now, 10).expect("dropped"), 1);
-    let spec = |name: &str| Spec {
+    assert_eq!(
+        store.evict_beyond_limits(&caps, now, 10).expect("dropped"),
+        1
+    );
+    let spec = |name: &str| BatchSpec {
         name: name.into(),
         filter: Filter {
             destination: Some(1),
@@ -157,18 +168,20 @@
         at_once: 4,
         stop_after: 10,
     };
-    let mut counts = Counts {
+    let mut counts = BatchCounts {
         found: 3,
         may_go: 2,
-        ..Counts::default()
+        ..BatchCounts::default()
     };
     counts.needs.insert("key-forgotten".into(), 1);
     let planned = Batch::plan(spec("nightly"), "ann", now, 8, counts).expect("a plan");
-    store.keep_batch(&planned).expect("kept");
+    store.save_batch(&planned).expect("kept");
     let mut running =
-        Batch::plan(spec("weekly"), "bob", now, 8, Counts::default()).expect("a plan");
-    running.order(Order::Run, None, now + 1).expect("runs");
-    store.keep_batch(&running).expect("kept");
+        Batch::plan(spec("weekly"), "bob", now, 8, BatchCounts::default()).expect("a plan");
+    running
+        .apply_command(BatchCommand::Run, None, now + 1)
+        .expect("runs");
+    store.save_batch(&running).expect("kept");
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -287,12 +300,12 @@
     for (expected, id) in records().into_iter().zip(1..).skip(1) {
         let read = store.find(id).expect("read").expect("kept");
         assert_eq!(
-            (&read.origin, read.effect, read.reason),
-            (&expected.origin, expected.effect, expected.reason)
+            (&read.origin, read.idempotency, read.reason),
+            (&expected.origin, expected.idempotency, expected.reason)
         );
         assert_eq!(
-            (&read.attempts, read.ended, read.size),
-            (&expected.attempts, expected.ended, expected.size)
+            (&read.attempts, read.given_up_at, read.size),
+            (&expected.attempts, expected.given_up_at, expected.size)
         );
         assert_eq!(
             store.body(id).expect("read").as_deref(),
@@ -316,16 +329,16 @@
         store
             .find(7)
             .expect("read")
-            .map(|record| record.statements.len()),
+            .map(|record| record.attestations.len()),
         Some(2)
     );
-    let sums = store.sums().expect("read");
-    assert_eq!((sums.records, sums.spoilt), (7, 0));
+    let sums = store.totals().expect("read");
+    assert_eq!((sums.records, sums.unreadable_values), (7, 0));
     assert_eq!(
         sums.dropped,
         [("beta".to_string(), "records".to_string(), 1)]
     );
-    let counts = store.counts(store::By::State).expect("read");
+    let counts = store.counts(store::GroupBy::State).expect("read");
     assert_eq!(counts.iter().map(|(_, count)| count).sum::<u64>(), 7);
     let batches = store.batches().expect("read");
     let batches: Vec<_> = batches
