--- /dev/null
+++ b/crates/relay/tests/configuration_errors.rs
@@ -0,0 +1,71 @@
+//! What the program says to a configuration that cannot be used: every message of its checks, word for word.
+//!
+//! Lines of a case change a good configuration: `set POINTER JSON`, `remove POINTER`, `text TEXT` (the whole file),
+//! `variable NAME VALUE`, `no-variable NAME`, `no-file`.
+
+mod scene;
+mod startup_errors;
+
+use std::fs;
+use std::process::Command;
+
+use scene::Scene;
+use serde_json::Value;
+use startup_errors::Case;
+
+const FILE: &str = "config.json";
+
+/// Sets a value, also under a key that is not there.
+fn set(config: &mut Value, pointer: &str, value: Value) {
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+    match config.pointer_mut(parent).expect("a parent") {
+        Value::Array(list) => list[key.parse::<usize>().expect("an index")] = value,
+        parent => parent[key] = value,
+    }
+}
+
+fn remove(config: &mut Value, pointer: &str) {
+    let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
+    let parent = config.pointer_mut(parent).and_then(Value::as_object_mut);
+    parent.expect("a parent").remove(key).expect("a key");
+}
+
+fn answer(scene: &Scene, case: &Case) -> String {
+    let mut command: Command = scene.command();
+    command.current_dir(&scene.folder);
+    command.env("BALANCER_CONFIG", FILE);
+    command.env_remove("BALANCER_CONTROL");
+    let mut config = scene.config.clone();
+    let mut text = None;
+    let path = scene.folder.join(FILE);
+    let mut is_there = true;
+    for line in &case.input {
+        let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
+        let (first, second) = rest.split_once(' ').unwrap_or((rest, ""));
+        match word {
+            "set" => set(
+                &mut config,
+                first,
+                serde_json::from_str(second).expect("JSON"),
+            ),
+            "remove" => remove(&mut config, first),
+            "text" => text = Some(rest.to_string()),
+            "variable" => drop(command.env(first, second)),
+            "no-variable" => drop(command.env_remove(first)),
+            "no-file" => is_there = false,
+            _ => panic!("{line} says nothing"),
+        }
+    }
+    if is_there {
+        fs::write(&path, text.unwrap_or_else(|| config.to_string())).expect("a file");
+    } else {
+        fs::remove_file(&path).expect("removed");
+    }
+    startup_errors::run(command)
+}
+
+#[test]
+fn every_error_of_the_configuration_is_as_before() {
+    let scene = Scene::new(Vec::new());
+    startup_errors::check("configuration-errors.txt", |case| answer(&scene, case));
+}
--- /dev/null
+++ b/crates/relay/tests/operator_file_errors.rs
@@ -0,0 +1,56 @@
+//! What the program says to an operator file that cannot be used: every message of its checks, word for word.
+//!
+//! Lines of a case are the file's, except those that begin with `%`: `%none` (there is no file), `%folder` (a folder of
+//! that name), `%bytes HEX` (these bytes), and `%repeat COUNT TEXT` (the text that many times, with `{n}` for the number of
+//! each and `\n` for the end of a line).
+
+mod scene;
+mod startup_errors;
+
+use std::fs;
+use std::path::Path;
+
+use scene::Scene;
+
+const FILE: &str = "operator.toml";
+
+fn write_input(path: &Path, input: &[String]) {
+    let mut bytes = Vec::new();
+    for line in input {
+        match line.split_once(' ').unwrap_or((line, "")) {
+            ("%none", _) => return,
+            ("%folder", _) => return fs::create_dir(path).expect("a folder"),
+            ("%bytes", hex) => bytes.extend(hex.split(' ').map(byte)),
+            ("%repeat", rest) => bytes.extend(repeated(rest).bytes()),
+            _ => bytes.extend(format!("{line}\n").bytes()),
+        }
+    }
+    fs::write(path, bytes).expect("a file");
+}
+
+fn byte(hex: &str) -> u8 {
+    u8::from_str_radix(hex, 16).expect("a byte")
+}
+
+fn repeated(rest: &str) -> String {
+    let (count, text) = rest.split_once(' ').expect("a count and a text");
+    let count: u32 = count.parse().expect("a count");
+    let text = text.replace("\\n", "\n");
+    let one = |number: u32| text.replace("{n}", &number.to_string());
+    (0..count).map(one).collect()
+}
+
+#[test]
+fn every_error_of_the_operator_file_is_as_before() {
+    let scene = Scene::new(Vec::new());
+    let path = scene.folder.join(FILE);
+    startup_errors::check("operator-file-errors.txt", |case| {
+        drop(fs::remove_file(&path));
+        drop(fs::remove_dir(&path));
+        write_input(&path, &case.input);
+        let mut command = scene.command();
+        command.current_dir(&scene.folder);
+        command.args(["--operator", FILE]);
+        startup_errors::run(command)
+    });
+}
