--- a/crates/undeliverable/tests/resend_policy.rs
+++ b/crates/undeliverable/tests/resend_policy.rs
@@ -5,10 +5,11 @@
 use std::fs;
 use std::path::Path;
 
-use undeliverable::decide::may_go;
-use undeliverable::record::{By, Origin, Says, Statement};
+use undeliverable::record::{Attestation, Attester, ExecutionClaim, Origin};
+use undeliverable::resend_policy::check_resend;
 use undeliverable::{
-    Attempt, Clearance, Closed, Effect, Need, Outcome, Reason, Record, State, Terms,
+    Attempt, Idempotency, Outcome, Reason, Record, RecordState, ResendBlocked, ResendPermit,
+    ResendPolicy, Resolution,
 };
 
 /// The last column's words, each of which some case has.
@@ -40,31 +41,31 @@
     word.parse().expect("a number")
 }
 
-fn effect(words: &str) -> Effect {
+fn effect(words: &str) -> Idempotency {
     match words.split_once(' ').unwrap_or((words, "")) {
-        ("safe", "") => Effect::Safe,
-        ("keyed", window) => Effect::Keyed {
+        ("safe", "") => Idempotency::Idempotent,
+        ("keyed", window) => Idempotency::Keyed {
             window: moment(window),
         },
-        ("unsafe", "") => Effect::Unsafe,
+        ("unsafe", "") => Idempotency::NonIdempotent,
         _ => panic!("{words} is no effect"),
     }
 }
 
-fn state(words: &str) -> State {
+fn state(words: &str) -> RecordState {
     match words.split(' ').collect::<Vec<_>>()[..] {
-        ["open"] => State::Open,
-        ["claimed", by, until] => State::Claimed {
+        ["open"] => RecordState::Open,
+        ["claimed", by, until] => RecordState::Claimed {
             by: by.into(),
             until: moment(until),
         },
-        ["sending", by, since] => State::Sending {
+        ["sending", by, since] => RecordState::Sending {
             by: by.into(),
             since: moment(since),
         },
-        ["delivered", at] => State::Closed(Closed::Delivered, moment(at)),
-        ["applied-before", at] => State::Closed(Closed::AppliedBefore, moment(at)),
-        ["discarded", at] => State::Closed(Closed::Discarded, moment(at)),
+        ["delivered", at] => RecordState::Closed(Resolution::Delivered, moment(at)),
+        ["applied-before", at] => RecordState::Closed(Resolution::AppliedBefore, moment(at)),
+        ["discarded", at] => RecordState::Closed(Resolution::Discarded, moment(at)),
         _ => panic!("{words} is no state"),
     }
 }
@@ -89,17 +90,17 @@
     }
 }
 
-fn statement(words: &str, resends: u32) -> Statement {
+fn statement(words: &str, resends: u32) -> Attestation {
     let words: Vec<&str> = words.split(' ').collect();
-    Statement {
-        by: match words[0] {
-            "partner" => By::Partner,
-            name => By::Operator(name.into()),
+    Attestation {
+        attester: match words[0] {
+            "partner" => Attester::Partner,
+            name => Attester::Operator(name.into()),
         },
-        says: match words[1] {
-            "applied" => Says::Applied,
-            "not-applied" => Says::NotApplied,
-            "unknown" => Says::Unknown,
+        claim: match words[1] {
+            "applied" => ExecutionClaim::Applied,
+            "not-applied" => ExecutionClaim::NotApplied,
+            "unknown" => ExecutionClaim::Unknown,
             other => panic!("{other} is no statement"),
         },
         at: moment(words[2]),
@@ -124,26 +125,26 @@
             tenant: "acme".into(),
             class: "payout".into(),
             destination: 3,
-            key: Some("k".into()),
-            order: None,
-            due: 5_000_000,
+            idempotency_key: Some("k".into()),
+            ordering_key: None,
+            deadline: 5_000_000,
         },
-        effect: effect(columns[0]),
+        idempotency: effect(columns[0]),
         size: 10,
-        ended: 5_000_000,
+        given_up_at: 5_000_000,
         reason: Reason::OutOfTime,
         attempts: list(columns[1], attempt),
-        statements: list(columns[3], |words| statement(words, resends)),
+        attestations: list(columns[3], |words| statement(words, resends)),
         state: state(columns[4]),
         version: 1,
         resends,
     }
 }
 
-fn outcome(record: &Record, terms: &Terms) -> String {
-    match may_go(record, terms) {
-        Ok(Clearance::Clean) => "may-go".into(),
-        Ok(Clearance::Keyed { first }) => {
+fn outcome(record: &Record, terms: &ResendPolicy) -> String {
+    match check_resend(record, terms) {
+        Ok(ResendPermit::AsNew) => "may-go".into(),
+        Ok(ResendPermit::Keyed { first }) => {
             let (seconds, micros) = (first / 1_000_000, first % 1_000_000);
             assert_eq!(micros, 0, "whole seconds in the file");
             format!("may-go-with-key {seconds}")
@@ -153,18 +154,18 @@
 }
 
 /// `terms: margin 1 settle 2 ...`, up to the next such line.
-fn terms(words: &str, now: u64) -> Terms {
+fn terms(words: &str, now: u64) -> ResendPolicy {
     let words: Vec<&str> = words.split(' ').collect();
     let value = |name: &str| {
         let at = words.iter().position(|word| *word == name);
         words[at.expect("all terms") + 1]
     };
-    Terms {
+    ResendPolicy {
         now,
-        margin: moment(value("margin")),
-        settle: moment(value("settle")),
-        fresh: moment(value("fresh")),
-        most_resends: number(value("most-resends")),
+        key_expiry_margin: moment(value("margin")),
+        settle_time: moment(value("settle")),
+        attestation_validity: moment(value("fresh")),
+        max_resends: number(value("most-resends")),
     }
 }
 
@@ -215,11 +216,11 @@
 resends-spent: it was sent again as often as may be
 ";
     let needs = [
-        Need::Word,
-        Need::Agreement,
-        Need::SecondOperator,
-        Need::Applied,
-        Need::Spent,
+        ResendBlocked::NeedsAttestation,
+        ResendBlocked::NeedsAgreement,
+        ResendBlocked::NeedsSecondOperator,
+        ResendBlocked::Applied,
+        ResendBlocked::ResendsExhausted,
     ];
     let now = needs.map(|need| format!("{}: {need}\n", need.word()));
     assert_eq!(now.concat(), golden);
--- a/crates/undeliverable/tests/store_tables.rs
+++ b/crates/undeliverable/tests/store_tables.rs
@@ -14,14 +14,16 @@
 };
 use runtime::{OsRuntime, Runtime};
 use tenancy::Scope;
-use undeliverable::batch::{Batch, Counts, Order, Spec};
-use undeliverable::record::{By, Origin, Refusal, Says};
-use undeliverable::store::Caps;
-use undeliverable::{Attempt, Closed, Effect, Filter, Outcome, Reason, Record, State, Store};
+use undeliverable::batch::{Batch, BatchCommand, BatchCounts, BatchSpec};
+use undeliverable::record::{Attester, ExecutionClaim, Origin, RecordError};
+use undeliverable::store::StoreLimits;
+use undeliverable::{
+    Attempt, Filter, Idempotency, Outcome, Reason, Record, RecordState, Resolution, Store,
+};
 
 const NOW: u64 = 1_796_168_070_000_000;
 const DAY: u64 = 86_400_000_000;
-const NO_CAPS: Caps = Caps {
+const NO_CAPS: StoreLimits = StoreLimits {
     bytes: u64::MAX,
     tenant_bytes: u64::MAX,
     records: u64::MAX,
@@ -65,7 +67,7 @@
         Outcome::TimedOut,
         Outcome::NotConnected,
         Outcome::Broken,
-        Outcome::CalledOff,
+        Outcome::Cancelled,
         Outcome::NotSent,
         Outcome::Delivered,
     ];
@@ -75,17 +77,17 @@
             tenant: ["acme/2", "beta", "gamma/7"][number as usize % 3].into(),
             class: ["event", "payout"][number as usize % 2].into(),
             destination: number as u16 * 7000,
-            key: number.is_multiple_of(2).then(|| format!("k-{number}")),
-            order: (number % 4 == 1).then_some(u64::MAX - number),
-            due: NOW - 1000 + number,
+            idempotency_key: number.is_multiple_of(2).then(|| format!("k-{number}")),
+            ordering_key: (number % 4 == 1).then_some(u64::MAX - number),
+            deadline: NOW - 1000 + number,
         },
-        effect: [
-            Effect::Safe,
-            Effect::Keyed { window: 6_000_000 },
-            Effect::Unsafe,
+        idempotency: [
+            Idempotency::Idempotent,
+            Idempotency::Keyed { window: 6_000_000 },
+            Idempotency::NonIdempotent,
         ][number as usize % 3],
         size: 4,
-        ended: NOW - DAY + number,
+        given_up_at: NOW - DAY + number,
         reason,
         attempts: outcomes
             .into_iter()
@@ -95,24 +97,24 @@
             .chain((number == 8).then_some((Outcome::Delivered, 8)))
             .map(|(outcome, at)| attempt(at, outcome, at % 2 == 1, 0))
             .collect(),
-        statements: Vec::new(),
-        state: State::Open,
+        attestations: Vec::new(),
+        state: RecordState::Open,
         version: 1,
         resends: 0,
     }
 }
 
-fn change(store: &Store, id: u64, what: impl Fn(&mut Record) -> Result<(), Refusal>) {
-    let changed = store.change(id, |record| what(record)).expect("written");
+fn change(store: &Store, id: u64, what: impl Fn(&mut Record) -> Result<(), RecordError>) {
+    let changed = store.update(id, |record| what(record)).expect("written");
     assert_eq!(changed, Some(Ok(())));
 }
 
-fn says(record: &mut Record, by: &str, says: Says, at: u64) -> Result<(), Refusal> {
+fn says(record: &mut Record, by: &str, says: ExecutionClaim, at: u64) -> Result<(), RecordError> {
     let by = match by {
-        "" => By::Partner,
-        name => By::Operator(name.into()),
+        "" => Attester::Partner,
+        name => Attester::Operator(name.into()),
     };
-    record.state_that(by, says, at, None, NOW)
+    record.attest(by, says, at, None, NOW)
 }
 
 /// Each state, each statement, and resends that ended, were lost from sight, and never began.
@@ -122,42 +124,46 @@
         .zip(1..)
         .map(|(reason, number)| (record(number, reason), &b"\x00\xffab"[..]))
         .collect();
-    let kept = store.keep(&records).expect("kept");
+    let kept = store.insert(&records).expect("kept");
     assert_eq!(kept, (1..=8).collect::<Vec<_>>());
     change(store, 2, |record| record.claim("ann", Some(1), NOW, 600));
     change(store, 3, |record| {
-        record.begin("rule again", NOW);
+        record.begin_resend("rule again", NOW);
         Ok(())
     });
-    let all_closed = [Closed::Delivered, Closed::AppliedBefore, Closed::Discarded];
+    let all_closed = [
+        Resolution::Delivered,
+        Resolution::AppliedBefore,
+        Resolution::Discarded,
+    ];
     for (closed, id) in all_closed.into_iter().zip(4..) {
         change(store, id, |record| {
-            record.close(closed, NOW + id);
+            record.resolve(closed, NOW + id);
             Ok(())
         });
     }
     change(store, 7, |record| {
-        says(record, "", Says::Applied, NOW)?;
-        says(record, "", Says::NotApplied, NOW + 1)?;
-        says(record, "", Says::Unknown, NOW + 2)?;
-        says(record, "ann", Says::Applied, NOW + 3)?;
-        says(record, "bob", Says::NotApplied, NOW + 4)?;
-        says(record, "eve", Says::Unknown, NOW + 5)
+        says(record, "", ExecutionClaim::Applied, NOW)?;
+        says(record, "", ExecutionClaim::NotApplied, NOW + 1)?;
+        says(record, "", ExecutionClaim::Unknown, NOW + 2)?;
+        says(record, "ann", ExecutionClaim::Applied, NOW + 3)?;
+        says(record, "bob", ExecutionClaim::NotApplied, NOW + 4)?;
+        says(record, "eve", ExecutionClaim::Unknown, NOW + 5)
     });
     change(store, 8, |record| {
-        record.begin("ann", NOW);
+        record.begin_resend("ann", NOW);
         let again = attempt(9, Outcome::TimedOut, true, 1);
-        record.came_back(vec![again], Some(Reason::AttemptsSpent));
-        record.begin("batch weekly", NOW + 10);
-        record.lost_sight(NOW + 20);
-        record.begin("bob", NOW + 30);
-        record.not_begun();
-        says(record, "bob", Says::NotApplied, NOW + 40)
+        record.reopen_after_resend(vec![again], Some(Reason::AttemptsSpent));
+        record.begin_resend("batch weekly", NOW + 10);
+        record.record_unknown_outcome(NOW + 20);
+        record.begin_resend("bob", NOW + 30);
+        record.abort_resend();
+        says(record, "bob", ExecutionClaim::NotApplied, NOW + 40)
     });
 }
 
-fn spec(name: &str, filter: Filter) -> Spec {
-    Spec {
+fn spec(name: &str, filter: Filter) -> BatchSpec {
+    BatchSpec {
         name: name.into(),
         filter,
         per_second: 2.5,
@@ -179,10 +185,10 @@
         may_have_run: Some(true),
         state: Some("open".into()),
     };
-    let mut counts = Counts {
+    let mut counts = BatchCounts {
         found: 9,
         may_go: 4,
-        ..Counts::default()
+        ..BatchCounts::default()
     };
     for need in [
         "needs-word",
@@ -199,7 +205,7 @@
             "ann",
             NOW,
             8,
-            Counts::default(),
+            BatchCounts::default(),
         )
         .expect("good")
     };
@@ -207,31 +213,37 @@
     let planned = planned.expect("good");
     let run = |name: &str| {
         let mut batch = plan(name);
-        batch.order(Order::Run, Some(1), NOW + 1).expect("runs");
+        batch
+            .apply_command(BatchCommand::Run, Some(1), NOW + 1)
+            .expect("runs");
         batch
     };
     let mut running = run("2-running");
-    running.sent(3);
-    running.sent(4);
-    running.passed_over(5);
-    assert!(!running.ended(false));
-    assert!(!running.ended(true));
-    running.sent(6);
-    assert!(running.ready(NOW + 500_001).is_err());
+    running.record_sent(3);
+    running.record_sent(4);
+    running.record_skipped(5);
+    assert!(!running.record_outcome(false));
+    assert!(!running.record_outcome(true));
+    running.record_sent(6);
+    assert!(running.check_pace(NOW + 500_001).is_err());
     let mut paused = run("3-paused");
-    paused.order(Order::Pause, Some(2), NOW).expect("pauses");
+    paused
+        .apply_command(BatchCommand::Pause, Some(2), NOW)
+        .expect("pauses");
     let mut stopped = run("4-stopped");
-    assert!(!stopped.ended(false));
-    assert!(stopped.ended(false));
+    assert!(!stopped.record_outcome(false));
+    assert!(stopped.record_outcome(false));
     let mut done = run("5-done");
-    done.exhausted();
+    done.mark_exhausted();
     let mut cancelled = plan("6-cancelled");
-    cancelled.order(Order::Cancel, None, NOW).expect("cancels");
+    cancelled
+        .apply_command(BatchCommand::Cancel, None, NOW)
+        .expect("cancels");
     for batch in [planned, running, paused, stopped, done, cancelled] {
-        store.keep_batch(&batch).expect("kept");
+        store.save_batch(&batch).expect("kept");
     }
-    store.keep_batch(&plan("7-forgotten")).expect("kept");
-    store.forget_batch("7-forgotten").expect("forgotten");
+    store.save_batch(&plan("7-forgotten")).expect("kept");
+    store.remove_batch("7-forgotten").expect("forgotten");
 }
 
 /// A store in which a record was dropped for each cause, one of them unreadable.
@@ -242,7 +254,7 @@
         .zip(1..)
         .map(|(reason, number)| (record(number, reason), &b"\x00\xffab"[..]))
         .collect();
-    store.keep(&records).expect("kept");
+    store.insert(&records).expect("kept");
     drop(store);
     let records: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
     let database = Database::open(path).expect("a database");
@@ -256,28 +268,46 @@
     writing.commit().expect("committed");
     drop(database);
     let store = open(path);
-    let sums = store.sums().expect("read");
-    let by_age = Caps {
+    let sums = store.totals().expect("read");
+    let by_age = StoreLimits {
         age: DAY - 2,
         ..NO_CAPS
     };
-    assert_eq!(store.drop_past(&by_age, NOW, 9).expect("dropped"), 2);
-    let by_tenant = Caps {
+    assert_eq!(
+        store.evict_beyond_limits(&by_age, NOW, 9).expect("dropped"),
+        2
+    );
+    let by_tenant = StoreLimits {
         tenant_bytes: 600,
         ..NO_CAPS
     };
-    assert!(store.drop_past(&by_tenant, NOW, 9).expect("dropped") > 0);
-    let left = store.sums().expect("read");
-    let by_bytes = Caps {
+    assert!(
+        store
+            .evict_beyond_limits(&by_tenant, NOW, 9)
+            .expect("dropped")
+            > 0
+    );
+    let left = store.totals().expect("read");
+    let by_bytes = StoreLimits {
         bytes: left.bytes - 1,
         ..NO_CAPS
     };
-    assert_eq!(store.drop_past(&by_bytes, NOW, 9).expect("dropped"), 1);
-    let by_records = Caps {
+    assert_eq!(
+        store
+            .evict_beyond_limits(&by_bytes, NOW, 9)
+            .expect("dropped"),
+        1
+    );
+    let by_records = StoreLimits {
         records: left.records - 2,
         ..NO_CAPS
     };
-    assert_eq!(store.drop_past(&by_records, NOW, 9).expect("dropped"), 1);
+    assert_eq!(
+        store
+            .evict_beyond_limits(&by_records, NOW, 9)
+            .expect("dropped"),
+        1
+    );
     assert!(left.records < sums.records);
 }
 
@@ -482,6 +512,6 @@
     let batches = read.batches().expect("read");
     assert_eq!(batches.len(), 6);
     assert_eq!(batches, made.batches().expect("read"));
-    assert_eq!(read.sums().expect("read").spoilt, 0);
+    assert_eq!(read.totals().expect("read").unreadable_values, 0);
     fs::remove_dir_all(folder).expect("removed");
 }
