--- a/crates/relayctl/src/client.rs
+++ b/crates/relayctl/src/client.rs
@@ -1,93 +1,61 @@
-//! Requests to the API, over TCP or a Unix socket.
+//! HTTP client of the administration API, over TCP or a Unix socket: one connection per request.
 
+use std::fmt::Display;
 use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, AUTHORIZATION, CONTENT_TYPE, HOST};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue, AUTHORIZATION, CONTENT_TYPE, ETAG, HOST};
 use hyper::{Method, Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde_json::Value;
 use tokio::net::{TcpStream, UnixStream};
 
-/// The longest answer that is read, in bytes.
-const LONGEST: usize = 64 << 20;
-/// A request that could not be made, or was answered 429 or 503, is made so often at most.
-const TRIES: u32 = 5;
-/// The rest before the second try, in milliseconds; twice as long before each further one.
-const REST: u64 = 100;
+use crate::error::CommandError;
 
-/// Why a request came to nothing.
-#[derive(Debug, thiserror::Error)]
-pub enum Failure {
-    /// No answer came.
-    #[error("{0} cannot be reached: {1}")]
-    Unreachable(String, String),
-    /// The answer is an error.
-    #[error("{detail}")]
-    Refused {
-        /// Its status.
-        status: u16,
-        /// What it says.
-        detail: String,
-    },
-    /// The answer is none of the API's.
-    #[error("the answer is none of the administration API's: {0}")]
-    Strange(String),
-    /// What was asked for can't be asked.
-    #[error("{0}")]
-    Usage(String),
-}
+/// Media type of request bodies.
+pub const JSON: &str = "application/json";
+/// Media type of a change of some fields (RFC 7396).
+pub const MERGE_PATCH_JSON: &str = "application/merge-patch+json";
 
-impl Failure {
-    /// The exit code that scripts can tell it by.
-    pub fn code(&self) -> u8 {
-        match self {
-            Failure::Usage(_) => 2,
-            Failure::Refused {
-                status: 404 | 410, ..
-            } => 3,
-            Failure::Refused {
-                status: 409 | 412 | 423,
-                ..
-            } => 4,
-            Failure::Refused {
-                status: 401 | 403, ..
-            } => 5,
-            Failure::Unreachable(..) => 6,
-            Failure::Refused {
-                status: 429 | 503, ..
-            } => 7,
-            Failure::Refused {
-                status: 400..=499, ..
-            } => 8,
-            Failure::Refused { .. } | Failure::Strange(_) => 1,
-        }
-    }
-}
+/// The longest response body that is read, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
+/// How many times a request is sent at most, the first attempt included.
+const MAX_ATTEMPTS: u32 = 5;
+/// The time between the first and the second attempt. It doubles before each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// The `Host` header of requests over a Unix socket.
+const UNIX_SOCKET_HOST: &str = "localhost";
 
-/// An answer.
+/// A successful response.
 #[derive(Debug)]
-pub struct Answer {
-    /// Its body; null if there is none.
+pub struct ApiResponse {
+    /// The body; null if it is empty.
     pub body: Value,
-    /// The entity tag, in its quotes.
-    pub etag: Option<String>,
+    /// The `ETag` header, with its quotes.
+    pub entity_tag: Option<String>,
 }
 
-/// A request.
+/// A body and its media type.
 #[derive(Clone, Debug)]
-pub struct Ask {
+struct RequestBody {
+    media_type: &'static str,
+    content: Value,
+}
+
+/// A request to the API. A change needs an idempotency key or a precondition, because it may be sent several times.
+#[derive(Clone, Debug)]
+pub struct ApiRequest {
     method: Method,
     path: String,
     headers: Vec<(&'static str, String)>,
-    body: Option<(&'static str, Value)>,
+    body: Option<RequestBody>,
 }
 
-impl Ask {
-    /// A request for a path.
+impl ApiRequest {
+    /// A request for a path, which may have a query.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
-        Ask {
+        ApiRequest {
             method,
             path: path.into(),
             headers: Vec::new(),
@@ -95,20 +63,33 @@
         }
     }
 
-    /// The same with a header.
+    /// A `GET` request.
+    pub fn get(path: impl Into<String>) -> Self {
+        ApiRequest::new(Method::GET, path)
+    }
+
+    /// A `POST` request.
+    pub fn post(path: impl Into<String>) -> Self {
+        ApiRequest::new(Method::POST, path)
+    }
+
+    /// Adds a header, whose name is in lower case.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// The same with a body of a type.
-    pub fn body(mut self, kind: &'static str, body: Value) -> Self {
-        self.body = Some((kind, body));
+    /// Sets the body.
+    pub fn body(mut self, media_type: &'static str, content: Value) -> Self {
+        self.body = Some(RequestBody {
+            media_type,
+            content,
+        });
         self
     }
 }
 
-/// Where the API is, and as whom it is asked.
+/// A server and the credentials for it.
 pub struct Client {
     server: String,
     token: Option<String>,
@@ -116,7 +97,7 @@
 }
 
 impl Client {
-    /// An API at an address and port, or at `unix:` and a path.
+    /// A client of the API at an address and port, or at `unix:` and a path. The timeout is that of one attempt.
     pub fn new(server: String, token: Option<String>, timeout: Duration) -> Self {
         Client {
             server,
@@ -125,133 +106,155 @@
         }
     }
 
-    /// Makes a request, again where that is harmless: a change has to carry an idempotency key.
-    pub async fn ask(&self, ask: Ask) -> Result<Answer, Failure> {
-        let mut rest = Duration::from_millis(REST);
-        for tried in 1.. {
-            let answer = match tokio::time::timeout(self.timeout, self.once(&ask)).await {
-                Ok(answer) => answer,
-                Err(_) => Err(Failure::Unreachable(
-                    self.server.clone(),
-                    "no answer in time".into(),
-                )),
-            };
-            let again = matches!(
-                &answer,
-                Err(Failure::Unreachable(..)
-                    | Failure::Refused {
-                        status: 429 | 503,
-                        ..
-                    })
-            );
-            if !again || tried == TRIES {
-                return answer;
+    /// Sends a `GET` request.
+    ///
+    /// # Errors
+    /// As of [`Client::send`].
+    pub async fn get(&self, path: impl Into<String>) -> Result<ApiResponse, CommandError> {
+        self.send(ApiRequest::get(path)).await
+    }
+
+    /// Sends a request, and again while the server is busy or cannot be reached.
+    ///
+    /// # Errors
+    /// The error of the last attempt.
+    pub async fn send(&self, request: ApiRequest) -> Result<ApiResponse, CommandError> {
+        let mut backoff = INITIAL_BACKOFF;
+        for attempt in 1.. {
+            let result = tokio::time::timeout(self.timeout, self.attempt(&request))
+                .await
+                .unwrap_or_else(|_| Err(self.unreachable("no answer in time")));
+            let is_transient = result.as_ref().is_err_and(CommandError::is_transient);
+            if !is_transient || attempt == MAX_ATTEMPTS {
+                return result;
             }
-            tokio::time::sleep(rest).await;
-            rest *= 2;
+            tokio::time::sleep(backoff).await;
+            backoff *= 2;
         }
-        Err(Failure::Strange("no try was made".into()))
+        Err(CommandError::UnexpectedResponse("no try was made".into()))
     }
 
-    async fn once(&self, ask: &Ask) -> Result<Answer, Failure> {
-        let unreachable =
-            |e: &dyn std::fmt::Display| Failure::Unreachable(self.server.clone(), e.to_string());
-        match self.server.strip_prefix("unix:") {
-            Some(path) => {
-                let stream = UnixStream::connect(path)
-                    .await
-                    .map_err(|e| unreachable(&e))?;
-                self.on(TokioIo::new(stream), "localhost", ask).await
-            }
-            None => {
-                let stream = TcpStream::connect(&self.server)
-                    .await
-                    .map_err(|e| unreachable(&e))?;
-                self.on(TokioIo::new(stream), &self.server, ask).await
-            }
+    async fn attempt(&self, request: &ApiRequest) -> Result<ApiResponse, CommandError> {
+        if let Some(path) = self.server.strip_prefix("unix:") {
+            let connected = UnixStream::connect(path).await;
+            let stream = connected.map_err(|e| self.unreachable(e))?;
+            return self
+                .exchange(TokioIo::new(stream), UNIX_SOCKET_HOST, request)
+                .await;
         }
+        let connected = TcpStream::connect(&self.server).await;
+        let stream = connected.map_err(|e| self.unreachable(e))?;
+        self.exchange(TokioIo::new(stream), &self.server, request)
+            .await
     }
 
-    async fn on<T>(&self, stream: T, host: &str, ask: &Ask) -> Result<Answer, Failure>
+    /// Sends a request over a new connection and reads the response.
+    async fn exchange<T>(
+        &self,
+        stream: T,
+        host: &str,
+        request: &ApiRequest,
+    ) -> Result<ApiResponse, CommandError>
     where
         T: hyper::rt::Read + hyper::rt::Write + Unpin + 'static,
     {
-        let unreachable =
-            |e: hyper::Error| Failure::Unreachable(self.server.clone(), e.to_string());
         let (mut sender, connection) = hyper::client::conn::http1::handshake(stream)
             .await
-            .map_err(unreachable)?;
-        let request = self.request(host, ask)?;
-        let answered = async {
-            let response = sender.send_request(request).await.map_err(unreachable)?;
-            let (parts, body) = response.into_parts();
-            let body = Limited::new(body, LONGEST).collect().await;
-            let body =
-                body.map_err(|e| Failure::Unreachable(self.server.clone(), e.to_string()))?;
-            read(parts.status, &parts.headers, &body.to_bytes())
+            .map_err(|e| self.unreachable(e))?;
+        let request = self.http_request(host, request)?;
+        let response = async {
+            let response = sender.send_request(request).await;
+            let (parts, body) = response.map_err(|e| self.unreachable(e))?.into_parts();
+            let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
+            let body = body.map_err(|e| self.unreachable(e))?;
+            read_response(parts.status, &parts.headers, &body.to_bytes())
         };
         tokio::select! {
             biased;
-            answer = answered => answer,
-            // The connection ends only after the answer, or with an error that the request tells.
-            _ = connection => Err(Failure::Unreachable(self.server.clone(), "the connection ended".into())),
+            response = response => response,
+            // The connection ends only after the response, or with an error that the request reports.
+            _ = connection => Err(self.unreachable("the connection ended")),
         }
     }
 
-    fn request(&self, host: &str, ask: &Ask) -> Result<Request<Full<Bytes>>, Failure> {
-        let bad = |what: &str| Failure::Usage(format!("{what} has characters that can't be sent"));
-        let text = ask
-            .body
-            .as_ref()
-            .map_or(Vec::new(), |(_, body)| body.to_string().into_bytes());
-        let request = Request::builder().method(ask.method.clone()).uri(&ask.path);
-        let mut request = request
-            .body(Full::new(text.into()))
-            .map_err(|_| bad("the name"))?;
-        let headers = request.headers_mut();
-        headers.insert(
-            HOST,
-            HeaderValue::from_str(host).map_err(|_| bad("the server"))?,
-        );
+    fn http_request(
+        &self,
+        host: &str,
+        request: &ApiRequest,
+    ) -> Result<Request<Full<Bytes>>, CommandError> {
+        let content = request.body.as_ref().map(|body| body.content.to_string());
+        let mut http_request = Request::builder()
+            .method(request.method.clone())
+            .uri(&request.path)
+            .body(Full::new(content.unwrap_or_default().into()))
+            .map_err(|_| unsendable("the name"))?;
+        let headers = http_request.headers_mut();
+        headers.insert(HOST, header_value("the server", host)?);
         if let Some(token) = &self.token {
-            let value =
-                HeaderValue::from_str(&format!("Bearer {token}")).map_err(|_| bad("the token"))?;
-            headers.insert(AUTHORIZATION, value);
+            let credentials = header_value("the token", &format!("Bearer {token}"))?;
+            headers.insert(AUTHORIZATION, credentials);
         }
-        if let Some((kind, _)) = &ask.body {
-            headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+        if let Some(body) = &request.body {
+            headers.insert(CONTENT_TYPE, HeaderValue::from_static(body.media_type));
         }
-        for (name, value) in &ask.headers {
-            let value = HeaderValue::from_str(value).map_err(|_| bad(name))?;
+        for (name, value) in &request.headers {
+            let value = header_value(name, value)?;
             headers.insert(HeaderName::from_static(name), value);
         }
-        Ok(request)
+        Ok(http_request)
+    }
+
+    fn unreachable(&self, reason: impl Display) -> CommandError {
+        CommandError::Unreachable {
+            server: self.server.clone(),
+            reason: reason.to_string(),
+        }
     }
 }
 
-fn read(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Result<Answer, Failure> {
-    let etag = headers
-        .get("etag")
-        .and_then(|value| value.to_str().ok())
-        .map(String::from);
+fn header_value(description: &str, text: &str) -> Result<HeaderValue, CommandError> {
+    HeaderValue::from_str(text).map_err(|_| unsendable(description))
+}
+
+fn unsendable(description: &str) -> CommandError {
+    CommandError::InvalidInput(format!("{description} has characters that can't be sent"))
+}
+
+fn read_response(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: &[u8],
+) -> Result<ApiResponse, CommandError> {
+    let entity_tag = headers.get(ETAG).and_then(|value| value.to_str().ok());
     let body = match body {
         [] => Value::Null,
-        text => serde_json::from_slice(text).map_err(|e| Failure::Strange(e.to_string()))?,
+        text => serde_json::from_slice(text)
+            .map_err(|e| CommandError::UnexpectedResponse(e.to_string()))?,
     };
     if status.is_success() {
-        return Ok(Answer { body, etag });
-    }
-    let said = |name: &str| body.get(name).and_then(Value::as_str);
-    let title = said("title").unwrap_or(status.canonical_reason().unwrap_or("refused"));
-    let mut detail = match said("detail") {
-        Some(detail) => format!("{title}: {detail}"),
-        None => title.to_string(),
-    };
-    if let Some(field) = said("field") {
-        detail += &format!(" (in {field})");
+        return Ok(ApiResponse {
+            body,
+            entity_tag: entity_tag.map(String::from),
+        });
     }
-    Err(Failure::Refused {
+    Err(CommandError::Rejected {
         status: status.as_u16(),
-        detail,
+        detail: problem_text(status, &body),
     })
 }
+
+/// A problem body (RFC 9457) as one text.
+fn problem_text(status: StatusCode, body: &Value) -> String {
+    let member = |name: &str| body.get(name).and_then(Value::as_str);
+    let mut text = member("title")
+        .or(status.canonical_reason())
+        .unwrap_or("refused")
+        .to_string();
+    if let Some(detail) = member("detail") {
+        text += &format!(": {detail}");
+    }
+    if let Some(field) = member("field") {
+        text += &format!(" (in {field})");
+    }
+    text
+}
--- a/crates/relayctl/src/control.rs
+++ b/crates/relayctl/src/control.rs
@@ -1,32 +1,36 @@
-//! Calls at a relay's door for operators: one line to a connection, and one answer.
+//! The control socket of a relay: arguments, and one command per connection. It needs neither the API nor a token. The
+//! comments on commands and options are the usage texts.
 
-use std::io::{Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
 use clap::{Args, ValueEnum};
 use control::Command;
-use serde_json::{Map, Value};
+use serde_json::{json, Map, Value};
 
-use crate::client::Failure;
+use crate::error::CommandError;
+use crate::output::OutputFormat;
 
-/// No door's answer is longer, in bytes: three figures for each of 256 classes with long names.
-const LONGEST: usize = 1 << 20;
+/// The longest reply that is read, in bytes: three metrics for each of 256 classes with long names are shorter.
+const MAX_REPLY_BYTES: usize = 1 << 20;
+/// The size of the buffer for one read, in bytes.
+const READ_BUFFER_BYTES: usize = 4096;
 
-/// What to say, and where.
+/// The control socket and the command for it.
 #[derive(Args)]
-pub struct Control {
+pub struct ControlArguments {
     /// The door: the address and port at `control` in the relay's configuration.
-    #[arg(long, env = "BALANCER_CONTROL")]
-    at: SocketAddr,
+    #[arg(long = "at", value_name = "AT", env = "BALANCER_CONTROL")]
+    address: SocketAddr,
     /// The call.
-    #[arg(value_enum)]
-    call: Word,
+    #[arg(value_enum, value_name = "CALL")]
+    command: ControlCommand,
 }
 
-/// The calls.
+/// The commands of the control protocol.
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Word {
+pub enum ControlCommand {
     /// Whether the process takes clients.
     Ready,
     /// The figures.
@@ -37,164 +41,107 @@
     Resume,
 }
 
-impl Word {
-    fn call(self) -> Command {
-        match self {
-            Word::Ready => Command::Ready,
-            Word::ShowStat => Command::ShowStat,
-            Word::Drain => Command::Drain,
-            Word::Resume => Command::Resume,
+impl From<ControlCommand> for Command {
+    fn from(command: ControlCommand) -> Command {
+        match command {
+            ControlCommand::Ready => Command::Ready,
+            ControlCommand::ShowStat => Command::ShowStat,
+            ControlCommand::Drain => Command::Drain,
+            ControlCommand::Resume => Command::Resume,
         }
     }
 }
 
-/// Calls, and gives what is to be printed. A door that says `fail` is a refusal that scripts can tell by its exit code.
-pub fn call(control: &Control, json: bool, timeout: Duration) -> Result<String, Failure> {
-    let answer = ask(control.at, control.call.call(), timeout)
-        .map_err(|e| Failure::Unreachable(control.at.to_string(), e.to_string()))?;
-    let (first, rest) = answer
+/// Sends a command and prints the reply.
+///
+/// # Errors
+/// The socket cannot be reached, the relay rejects the command, or its reply is not of the protocol.
+pub fn run(
+    arguments: &ControlArguments,
+    output: OutputFormat,
+    timeout: Duration,
+) -> Result<(), CommandError> {
+    print!("{}", execute(arguments, output, timeout)?);
+    Ok(())
+}
+
+/// Sends a command; what is to be printed. A `fail` reply is an error that scripts know by its exit code.
+fn execute(
+    arguments: &ControlArguments,
+    output: OutputFormat,
+    timeout: Duration,
+) -> Result<String, CommandError> {
+    let reply = exchange(arguments.address, arguments.command.into(), timeout).map_err(|e| {
+        CommandError::Unreachable {
+            server: arguments.address.to_string(),
+            reason: e.to_string(),
+        }
+    })?;
+    let (first_line, metrics) = reply
         .split_once('\n')
-        .ok_or_else(|| Failure::Strange("half a line".into()))?;
-    if let Some(why) = first.strip_prefix("fail") {
-        return Err(Failure::Refused {
-            status: 409,
-            detail: why.trim().into(),
-        });
+        .ok_or_else(|| unexpected("half a line"))?;
+    if let Some(reason) = first_line.strip_prefix("fail") {
+        return Err(CommandError::conflict(reason.trim()));
     }
-    let what = first
+    let text = first_line
         .strip_prefix("ok")
-        .ok_or_else(|| Failure::Strange(first.into()))?
+        .ok_or_else(|| unexpected(first_line))?
         .trim();
-    match control.call {
-        Word::ShowStat => {
-            let figures = rest
-                .strip_suffix("eof\n")
-                .ok_or_else(|| Failure::Strange("no eof".into()))?;
-            Ok(if json {
-                as_json(figures)?
-            } else {
-                figures.into()
-            })
-        }
-        _ if json => Ok(format!("{}\n", serde_json::json!({ "answer": what }))),
-        _ => Ok(format!("{what}\n")),
+    match (arguments.command, output) {
+        (ControlCommand::ShowStat, _) => format_metrics(metrics, output),
+        (_, OutputFormat::Json) => Ok(format!("{}\n", json!({ "answer": text }))),
+        (_, OutputFormat::Table) => Ok(format!("{text}\n")),
     }
 }
 
-fn as_json(figures: &str) -> Result<String, Failure> {
-    let pair = |line: &str| {
+/// The lines `name=value` between the first line and `eof`, as they came or as a JSON object.
+fn format_metrics(metrics: &str, output: OutputFormat) -> Result<String, CommandError> {
+    let metrics = metrics
+        .strip_suffix("eof\n")
+        .ok_or_else(|| unexpected("no eof"))?;
+    if output == OutputFormat::Table {
+        return Ok(metrics.into());
+    }
+    let parse_metric = |line: &str| {
         let (name, value) = line.split_once('=')?;
         Some((name.to_string(), Value::from(value.parse::<u64>().ok()?)))
     };
-    let pairs: Option<Map<String, Value>> = figures.lines().map(pair).collect();
-    let pairs = pairs.ok_or_else(|| Failure::Strange("a line that is no figure".into()))?;
-    Ok(format!("{}\n", Value::from(pairs)))
+    let values: Option<Map<String, Value>> = metrics.lines().map(parse_metric).collect();
+    let values = values.ok_or_else(|| unexpected("a line that is no figure"))?;
+    Ok(format!("{}\n", Value::from(values)))
 }
 
-/// One call; all of it within the time.
-fn ask(at: SocketAddr, call: Command, timeout: Duration) -> std::io::Result<String> {
-    let until = Instant::now() + timeout;
-    let left = || {
-        let left = until.saturating_duration_since(Instant::now());
-        let late = || std::io::Error::new(std::io::ErrorKind::TimedOut, "no answer in time");
-        (!left.is_zero()).then_some(left).ok_or_else(late)
+fn unexpected(reply: &str) -> CommandError {
+    CommandError::UnexpectedResponse(reply.into())
+}
+
+/// Sends one command and reads the reply up to the end of the connection. The timeout is that of all of it.
+fn exchange(address: SocketAddr, command: Command, timeout: Duration) -> io::Result<String> {
+    let deadline = Instant::now() + timeout;
+    let remaining_time = || {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let timed_out = || io::Error::new(ErrorKind::TimedOut, "no answer in time");
+        (!remaining.is_zero())
+            .then_some(remaining)
+            .ok_or_else(timed_out)
     };
-    let mut stream = TcpStream::connect_timeout(&at, left()?)?;
-    stream.set_write_timeout(Some(left()?))?;
-    stream.write_all(format!("{call}\n").as_bytes())?;
-    let mut text = Vec::new();
-    let mut part = [0; 4096];
-    while text.len() <= LONGEST {
-        stream.set_read_timeout(Some(left()?))?;
-        match stream.read(&mut part) {
-            Ok(0) => return String::from_utf8(text).map_err(std::io::Error::other),
-            Ok(n) => text.extend_from_slice(&part[..n]),
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
+    let mut stream = TcpStream::connect_timeout(&address, remaining_time()?)?;
+    stream.set_write_timeout(Some(remaining_time()?))?;
+    stream.write_all(format!("{command}\n").as_bytes())?;
+    let mut reply = Vec::new();
+    let mut buffer = [0; READ_BUFFER_BYTES];
+    while reply.len() <= MAX_REPLY_BYTES {
+        stream.set_read_timeout(Some(remaining_time()?))?;
+        match stream.read(&mut buffer) {
+            Ok(0) => return String::from_utf8(reply).map_err(io::Error::other),
+            Ok(length) => reply.extend_from_slice(&buffer[..length]),
+            // The read timed out; the next turn reports it.
+            Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
     }
-    Err(std::io::Error::other("the answer is too long"))
+    Err(io::Error::other("the answer is too long"))
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::net::TcpListener;
-
-    /// A door that answers with this, and the word that it heard.
-    fn door(answer: &'static str) -> (SocketAddr, std::thread::JoinHandle<String>) {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let at = listener.local_addr().expect("bound");
-        let heard = std::thread::spawn(move || {
-            let (mut stream, _) = listener.accept().expect("a caller");
-            let mut word = [0; 32];
-            let n = stream.read(&mut word).expect("a line");
-            stream.write_all(answer.as_bytes()).expect("answered");
-            String::from_utf8_lossy(&word[..n]).to_string()
-        });
-        (at, heard)
-    }
-
-    fn said(word: Word, answer: &'static str, json: bool) -> (Result<String, Failure>, String) {
-        let (at, heard) = door(answer);
-        let told = call(&Control { at, call: word }, json, Duration::from_secs(20));
-        (told, heard.join().expect("heard"))
-    }
-
-    #[test]
-    fn answers_are_shown_and_refusals_told_by_their_code() {
-        let (told, heard) = said(Word::Drain, "ok is being emptied\n", false);
-        assert_eq!(
-            (told.ok().as_deref(), heard.as_str()),
-            (Some("is being emptied\n"), "drain\n")
-        );
-        let (told, _) = said(Word::Ready, "fail takes no clients: draining\n", false);
-        assert_eq!(told.err().map(|failure| failure.code()), Some(4));
-        let figures = "ok figures\nrelay.success.a=3\nrelay.concurrent=0\neof\n";
-        let (told, heard) = said(Word::ShowStat, figures, false);
-        assert_eq!(
-            told.ok().as_deref(),
-            Some("relay.success.a=3\nrelay.concurrent=0\n")
-        );
-        assert_eq!(heard, "show-stat\n");
-        let (told, _) = said(Word::ShowStat, figures, true);
-        let shown: Value = serde_json::from_str(&told.unwrap_or_default()).expect("JSON");
-        assert_eq!(
-            shown,
-            serde_json::json!({"relay.success.a": 3, "relay.concurrent": 0})
-        );
-    }
-
-    #[test]
-    fn what_is_no_answer_is_none() {
-        for answer in [
-            "",
-            "ok",
-            "perhaps\n",
-            "ok figures\nrelay.success.a=3\n",
-            "ok\nrelay.x=y\neof\n",
-        ] {
-            let (told, _) = said(Word::ShowStat, answer, true);
-            assert_eq!(
-                told.err().map(|failure| failure.code()),
-                Some(1),
-                "{answer:?}"
-            );
-        }
-    }
-
-    #[test]
-    fn a_door_that_says_nothing_is_not_reached_in_time() {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let at = listener.local_addr().expect("bound");
-        let told = call(
-            &Control {
-                at,
-                call: Word::Ready,
-            },
-            false,
-            Duration::from_millis(50),
-        );
-        assert_eq!(told.err().map(|failure| failure.code()), Some(6));
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/relayctl/src/server.rs
@@ -0,0 +1,30 @@
+//! What a server reports of itself: the state of its tenant registry, and the API's document.
+
+use crate::context::CommandContext;
+use crate::error::CommandError;
+use crate::output::fields_table;
+
+/// The state of the tenant registry.
+const STATUS_PATH: &str = "/v1/status";
+/// The OpenAPI document.
+const DOCUMENT_PATH: &str = "/v1/openapi.json";
+
+/// Prints the state of the tenant registry.
+///
+/// # Errors
+/// The request failed.
+pub async fn show_status(context: &CommandContext) -> Result<(), CommandError> {
+    let status = context.client.get(STATUS_PATH).await?;
+    context.print(&status.body, fields_table);
+    Ok(())
+}
+
+/// Prints the API's document, as JSON in each output format.
+///
+/// # Errors
+/// The request failed.
+pub async fn show_document(context: &CommandContext) -> Result<(), CommandError> {
+    let document = context.client.get(DOCUMENT_PATH).await?;
+    println!("{}", document.body);
+    Ok(())
+}
