--- a/crates/relayctl/tests/ctl.rs
+++ b/crates/relayctl/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! The command line against a relay in this process: what it prints, and the exit codes that scripts use.
+//! `relayctl` against a relay in this process: what it prints, and the exit codes that scripts use.
 
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -11,10 +11,10 @@
 use undeliverable::record::{Effect, Origin};
 use undeliverable::{Attempt, Outcome, Reason, Record, State, Store};
 
-const CTL: &str = env!("CARGO_BIN_EXE_relayctl");
+const RELAYCTL: &str = env!("CARGO_BIN_EXE_relayctl");
 
-/// What a relay without hosts is told.
-fn configuration(folder: &Path) -> Value {
+/// The configuration of a relay without hosts.
+fn relay_configuration(folder: &Path) -> Value {
     let free = || {
         TcpListener::bind("127.0.0.1:0")
             .and_then(|l| l.local_addr())
@@ -32,8 +32,8 @@
             "tenants": [{"name": "acme", "share": 0.5}]}})
 }
 
-/// Fills a store with payouts that were given up; every other one may have run.
-fn fill(folder: &Path, count: u64) {
+/// Fills a store with undeliverable payouts; every other one may have executed.
+fn fill_store(folder: &Path, count: u64) {
     let record = |number: u64| Record {
         origin: Origin {
             name: format!("m{number}"),
@@ -70,30 +70,33 @@
     store.keep(&records).expect("kept");
 }
 
-struct Scene {
+struct TestBed {
     folder: tempfile::TempDir,
     server: String,
 }
 
-impl Scene {
-    /// A relay that runs in this process until that ends. The variable that names its configuration is the
-    /// process's, so that one test does it all.
-    fn start() -> Scene {
+impl TestBed {
+    /// Starts a relay that runs until this process ends. The environment variable that names its configuration is the
+    /// process's, so that there is one test.
+    fn start_in_process() -> TestBed {
         let folder = tempfile::tempdir().expect("a folder");
         let at = |name: &str| folder.path().join(name);
         std::fs::create_dir(at("state")).expect("a folder");
         std::fs::create_dir(at("tenants")).expect("a folder");
         std::fs::create_dir(at("kept")).expect("a folder");
-        fill(&at("kept"), 250);
-        std::fs::write(at("config.json"), configuration(&at("state")).to_string())
-            .expect("written");
+        fill_store(&at("kept"), 250);
+        std::fs::write(
+            at("config.json"),
+            relay_configuration(&at("state")).to_string(),
+        )
+        .expect("written");
         let server = format!("unix:{}", at("admin.sock").display());
         let mut text = format!(
             "[tenants]\nfolder = {:?}\n[admin]\nlisten = {server:?}\n",
             at("tenants")
         );
-        for (name, role) in [("root", "admin"), ("eyes", "viewer")] {
-            let made = Command::new(CTL)
+        for (name, role) in [("root", "admin"), ("viewer", "viewer")] {
+            let made = Command::new(RELAYCTL)
                 .args(["--json", "token", name, "--role", role])
                 .output()
                 .expect("runs");
@@ -117,16 +120,16 @@
             let ended = tokio::task::LocalSet::new().block_on(&runtime, run);
             eprintln!("the relay ended: {ended:?}");
         });
-        let scene = Scene { folder, server };
+        let bed = TestBed { folder, server };
         let start = Instant::now();
-        while !scene.path("admin.sock").exists() {
+        while !bed.path("admin.sock").exists() {
             assert!(
                 start.elapsed() < Duration::from_secs(60),
                 "the relay does not start"
             );
             thread::sleep(Duration::from_millis(5));
         }
-        scene
+        bed
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -134,7 +137,7 @@
     }
 
     fn command(&self, token: &str, arguments: &[&str]) -> Command {
-        let mut command = Command::new(CTL);
+        let mut command = Command::new(RELAYCTL);
         command
             .env_remove("MADDERPITCH_TOKEN")
             .env("MADDERPITCH_TOKEN_FILE", self.path(token));
@@ -148,8 +151,8 @@
         self.command("root", arguments).output().expect("runs")
     }
 
-    /// What is printed, of a command that does well.
-    fn good(&self, arguments: &[&str]) -> String {
+    /// What a command prints, which has to succeed.
+    fn stdout(&self, arguments: &[&str]) -> String {
         let output = self.run(arguments);
         assert_eq!(
             output.status.code(),
@@ -160,14 +163,15 @@
         text(&output.stdout)
     }
 
+    /// The JSON that a command prints, which has to succeed.
     fn json(&self, arguments: &[&str]) -> Value {
-        let printed = self.good(&[&["--json"], arguments].concat());
+        let printed = self.stdout(&[&["--json"], arguments].concat());
         serde_json::from_str(&printed).expect("JSON")
     }
 
-    /// The exit code of a command that does not, which prints one line.
-    fn code(&self, arguments: &[&str]) -> Option<i32> {
-        code(&self.run(arguments))
+    /// The exit code of a command, which has to fail with one line on standard error.
+    fn failure_code(&self, arguments: &[&str]) -> Option<i32> {
+        failure_code_of(&self.run(arguments))
     }
 }
 
@@ -175,7 +179,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn code(output: &Output) -> Option<i32> {
+fn failure_code_of(output: &Output) -> Option<i32> {
     let error = text(&output.stderr);
     assert!(
         !output.status.success() && output.stdout.is_empty(),
@@ -190,11 +194,21 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn a_tenants_life_from_a_shell() {
-    let scene = Scene::start();
+fn commands_print_results_and_fail_with_exit_codes() {
+    let bed = TestBed::start_in_process();
+    check_tenant_specifications(&bed);
+    check_tenant_operations(&bed);
+    check_registry_queries(&bed);
+    check_exit_codes(&bed);
+    check_undeliverable_queries(&bed);
+    check_undeliverable_export(&bed);
+    check_undeliverable_changes(&bed);
+    check_resend_batches(&bed);
+}
+
+fn check_tenant_specifications(bed: &TestBed) {
     // The tenant of the settings, with its share as its weight.
-    let listed = scene.good(&["tenants", "list"]);
+    let listed = bed.stdout(&["tenants", "list"]);
     let line: Vec<&str> = listed
         .lines()
         .nth(1)
@@ -202,7 +216,7 @@
         .split_whitespace()
         .collect();
     assert_eq!(line[..4], ["acme", "active", "1.1", "500"]);
-    let made = scene.json(&[
+    let made = bed.json(&[
         "tenants",
         "create",
         "beta",
@@ -222,7 +236,7 @@
         json!({"weight": 7, "rate": {"per_second": 2.5, "burst": 3}, "classes": ["payout"],
             "destinations": ["10-19"], "on_removal": "refuse"})
     );
-    let set = scene.json(&[
+    let set = bed.json(&[
         "tenants",
         "set",
         "beta",
@@ -242,7 +256,7 @@
         (&json!("1.2"), &json!(5), &Value::Null)
     );
     assert_eq!(
-        scene.code(&[
+        bed.failure_code(&[
             "tenants",
             "set",
             "beta",
@@ -254,7 +268,7 @@
         Some(4)
     );
     assert_eq!(
-        scene.json(&[
+        bed.json(&[
             "tenants",
             "set",
             "beta",
@@ -265,19 +279,19 @@
         ])["version"],
         "1.3"
     );
-    std::fs::write(scene.path("spec.json"), "{\"weight\": 9}").expect("written");
-    let spec = scene.path("spec.json").display().to_string();
-    let replaced = scene.json(&["tenants", "replace", "beta", "--from", &spec]);
+    std::fs::write(bed.path("spec.json"), "{\"weight\": 9}").expect("written");
+    let spec = bed.path("spec.json").display().to_string();
+    let replaced = bed.json(&["tenants", "replace", "beta", "--from", &spec]);
     assert_eq!(
         replaced["spec"],
         json!({"weight": 9, "on_removal": "finish"})
     );
-    assert_eq!(scene.json(&["tenants", "pause", "beta"])["state"], "paused");
-    assert_eq!(
-        scene.json(&["tenants", "resume", "beta"])["state"],
-        "active"
-    );
-    let secret = scene.json(&["secrets", "add", "beta", "main"]);
+}
+
+fn check_tenant_operations(bed: &TestBed) {
+    assert_eq!(bed.json(&["tenants", "pause", "beta"])["state"], "paused");
+    assert_eq!(bed.json(&["tenants", "resume", "beta"])["state"], "active");
+    let secret = bed.json(&["secrets", "add", "beta", "main"]);
     assert!(
         secret["secret"]
             .as_str()
@@ -285,76 +299,81 @@
         "{secret}"
     );
     assert_eq!(
-        scene.json(&["tenants", "show", "beta"])["secrets"][0]["id"],
+        bed.json(&["tenants", "show", "beta"])["secrets"][0]["id"],
         "main"
     );
     assert_eq!(
-        scene.json(&["secrets", "remove", "beta", "main"])["secrets"],
+        bed.json(&["secrets", "remove", "beta", "main"])["secrets"],
         json!([])
     );
-    let usage = scene.good(&["tenants", "usage", "beta"]);
+    let usage = bed.stdout(&["tenants", "usage", "beta"]);
     assert!(
         usage.starts_with("VERSION") && usage.contains("IN FLIGHT"),
         "{usage}"
     );
     assert_eq!(
-        scene.json(&["tenants", "remove", "beta", "--wait", "30"])["state"],
+        bed.json(&["tenants", "remove", "beta", "--wait", "30"])["state"],
         "draining"
     );
-    assert_eq!(scene.code(&["tenants", "show", "beta"]), Some(3));
-    let audit = scene.good(&["audit", "--tenant", "beta", "--limit", "3"]);
+    assert_eq!(bed.failure_code(&["tenants", "show", "beta"]), Some(3));
+}
+
+/// The audit log of what the checks before did, the status and the API's document.
+fn check_registry_queries(bed: &TestBed) {
+    let audit = bed.stdout(&["audit", "--tenant", "beta", "--limit", "3"]);
     assert_eq!(audit.lines().count(), 4, "{audit}");
     assert!(
         audit.contains("secret_dropped") && audit.contains("gone"),
         "{audit}"
     );
-    assert!(scene.good(&["audit"]).contains("weight 8 > 9"));
-    assert!(scene.good(&["status"]).contains("lost changes"));
+    assert!(bed.stdout(&["audit"]).contains("weight 8 > 9"));
+    assert!(bed.stdout(&["status"]).contains("lost changes"));
     assert_eq!(
-        serde_json::from_str::<Value>(&scene.good(&["openapi"])).expect("JSON")["openapi"],
+        serde_json::from_str::<Value>(&bed.stdout(&["openapi"])).expect("JSON")["openapi"],
         "3.1.0"
     );
+}
 
-    // The exit codes.
-    assert_eq!(scene.code(&["tenants", "set", "acme"]), Some(2));
-    assert_eq!(scene.code(&["tenants", "show", "a b"]), Some(2));
+fn check_exit_codes(bed: &TestBed) {
+    assert_eq!(bed.failure_code(&["tenants", "set", "acme"]), Some(2));
+    assert_eq!(bed.failure_code(&["tenants", "show", "a b"]), Some(2));
     assert_eq!(
-        scene.code(&["tenants", "replace", "acme", "--from", "/nowhere/at/all"]),
+        bed.failure_code(&["tenants", "replace", "acme", "--from", "/nowhere/at/all"]),
         Some(2)
     );
-    assert_eq!(scene.code(&["tenants", "show", "none"]), Some(3));
-    assert_eq!(scene.code(&["tenants", "pause", "none"]), Some(3));
-    assert_eq!(scene.code(&["tenants", "create", "acme"]), Some(4));
+    assert_eq!(bed.failure_code(&["tenants", "show", "none"]), Some(3));
+    assert_eq!(bed.failure_code(&["tenants", "pause", "none"]), Some(3));
+    assert_eq!(bed.failure_code(&["tenants", "create", "acme"]), Some(4));
     assert_eq!(
-        scene.code(&["tenants", "create", "gamma", "--weight", "0"]),
+        bed.failure_code(&["tenants", "create", "gamma", "--weight", "0"]),
         Some(8)
     );
-    let eyes = scene
-        .command("eyes", &["tenants", "pause", "acme"])
+    let viewer = bed
+        .command("viewer", &["tenants", "pause", "acme"])
         .output()
         .expect("runs");
-    assert_eq!(code(&eyes), Some(5));
-    let nobody = scene
+    assert_eq!(failure_code_of(&viewer), Some(5));
+    let unauthenticated = bed
         .command("spec.json", &["tenants", "list"])
         .output()
         .expect("runs");
-    assert_eq!(code(&nobody), Some(5));
+    assert_eq!(failure_code_of(&unauthenticated), Some(5));
     assert_eq!(
-        scene.code(&["--server", "unix:/nowhere/at/all", "tenants", "list"]),
+        bed.failure_code(&["--server", "unix:/nowhere/at/all", "tenants", "list"]),
         Some(6)
     );
-    assert_eq!(scene.run(&["tenants"]).status.code(), Some(2));
-    assert_eq!(scene.run(&["--help"]).status.code(), Some(0));
-    undeliverable(&scene);
+    assert_eq!(bed.run(&["tenants"]).status.code(), Some(2));
+    assert_eq!(bed.run(&["--help"]).status.code(), Some(0));
+}
+
+fn undeliverable<'a>(rest: &[&'a str]) -> Vec<&'a str> {
+    [&["undeliverable"], rest].concat()
 }
 
-/// Undeliverable messages from the same shell.
-fn undeliverable(scene: &Scene) {
-    let do_with = |rest: &[&'static str]| [&["undeliverable"], rest].concat();
-    let good = |rest: &[&'static str]| scene.good(&do_with(rest));
-    let json = |rest: &[&'static str]| scene.json(&do_with(rest));
-    let fails = |rest: &[&'static str]| scene.code(&do_with(rest));
-    let listed = good(&["list", "--limit", "3"]);
+fn check_undeliverable_queries(bed: &TestBed) {
+    let stdout = |rest: &[&str]| bed.stdout(&undeliverable(rest));
+    let json = |rest: &[&str]| bed.json(&undeliverable(rest));
+    let listed = stdout(&["list", "--limit", "3"]);
     assert_eq!(listed.lines().count(), 4, "{listed}");
     assert!(
         listed.starts_with("ID") && listed.contains("out-of-time"),
@@ -370,17 +389,22 @@
         json(&["list", "--until", "2020-01-01T00:00:00Z"]),
         json!([])
     );
-    let counts = good(&["counts", "--by", "destination"]);
+    let counts = stdout(&["counts", "--by", "destination"]);
     let counted: Vec<&str> = counts.split_whitespace().collect();
     assert_eq!(counted, ["DESTINATION", "RECORDS", "17", "250"]);
-    assert!(good(&["status"]).contains("250"));
-    let story = good(&["show", "1"]);
+    assert!(stdout(&["status"]).contains("250"));
+    let history = stdout(&["show", "1"]);
     assert!(
-        story.contains("needs-word") && story.contains("timed-out") && story.contains("attempts"),
-        "{story}"
+        history.contains("needs-word")
+            && history.contains("timed-out")
+            && history.contains("attempts"),
+        "{history}"
     );
-    // An export is whole, a line a record, and does not write over a file.
-    let exported = good(&["export"]);
+}
+
+/// An export is complete, has one record per line, and does not overwrite a file.
+fn check_undeliverable_export(bed: &TestBed) {
+    let exported = bed.stdout(&["undeliverable", "export"]);
     let lines: Vec<Value> = exported
         .lines()
         .map(|line| serde_json::from_str(line).expect("JSON"))
@@ -389,32 +413,49 @@
         (lines.len(), lines[0]["message"].as_str()),
         (250, Some("m250"))
     );
-    let file = scene.path("export.jsonl").display().to_string();
+    let file = bed.path("export.jsonl").display().to_string();
     let to = ["undeliverable", "export", "--state", "open", "--to", &file];
-    scene.good(&to);
+    bed.stdout(&to);
     assert_eq!(std::fs::read_to_string(&file).expect("written"), exported);
-    assert_eq!(scene.code(&to), Some(2));
-    // Changes and what they are refused with.
+    assert_eq!(bed.failure_code(&to), Some(2));
+}
+
+fn check_undeliverable_changes(bed: &TestBed) {
+    let json = |rest: &[&str]| bed.json(&undeliverable(rest));
+    let failure_code = |rest: &[&str]| bed.failure_code(&undeliverable(rest));
     assert_eq!(json(&["claim", "1"])["holder"], "root");
-    assert_eq!(fails(&["claim", "1", "--if-version", "1"]), Some(4));
-    assert_eq!(fails(&["resend", "1"]), Some(4), "it needs a word");
+    assert_eq!(failure_code(&["claim", "1", "--if-version", "1"]), Some(4));
+    assert_eq!(
+        failure_code(&["resend", "1"]),
+        Some(4),
+        "an attestation is missing"
+    );
     assert_eq!(
         json(&["attest", "1", "--says", "not-applied"])["statements"][0]["operator"],
         "root"
     );
     assert_eq!(json(&["release", "1"])["state"], "open");
-    assert_eq!(fails(&["ask", "1"]), Some(8), "its partner can't be asked");
+    assert_eq!(
+        failure_code(&["ask", "1"]),
+        Some(8),
+        "its partner cannot be queried"
+    );
     assert_eq!(json(&["discard", "1"])["state"], "discarded");
-    assert_eq!(fails(&["discard", "1"]), Some(4));
-    assert_eq!(fails(&["show", "999"]), Some(3));
-    assert_eq!(fails(&["list", "--reason", "none"]), Some(8));
-    assert_eq!(fails(&["list", "--class", "a b"]), Some(2));
-    let eyes = scene
-        .command("eyes", &["undeliverable", "claim", "2"])
+    assert_eq!(failure_code(&["discard", "1"]), Some(4));
+    assert_eq!(failure_code(&["show", "999"]), Some(3));
+    assert_eq!(failure_code(&["list", "--reason", "none"]), Some(8));
+    assert_eq!(failure_code(&["list", "--class", "a b"]), Some(2));
+    let viewer = bed
+        .command("viewer", &["undeliverable", "claim", "2"])
         .output()
         .expect("runs");
-    assert_eq!(code(&eyes), Some(5));
-    // Batches.
+    assert_eq!(failure_code_of(&viewer), Some(5));
+}
+
+fn check_resend_batches(bed: &TestBed) {
+    let stdout = |rest: &[&str]| bed.stdout(&undeliverable(rest));
+    let json = |rest: &[&str]| bed.json(&undeliverable(rest));
+    let failure_code = |rest: &[&str]| bed.failure_code(&undeliverable(rest));
     let planned = json(&[
         "batch",
         "plan",
@@ -432,17 +473,17 @@
         (&planned["may_go"], &planned["needs"]["needs-word"]),
         (&json!(125), &json!(124))
     );
-    assert_eq!(fails(&["batch", "plan", "night"]), Some(4));
+    assert_eq!(failure_code(&["batch", "plan", "night"]), Some(4));
     assert_eq!(
-        fails(&["batch", "plan", "closed", "--state", "discarded"]),
+        failure_code(&["batch", "plan", "closed", "--state", "discarded"]),
         Some(2)
     );
     assert_eq!(json(&["batch", "run", "night"])["state"], "running");
     assert_eq!(json(&["batch", "pause", "night"])["state"], "paused");
     assert_eq!(json(&["batch", "cancel", "night"])["state"], "cancelled");
-    assert_eq!(fails(&["batch", "run", "night"]), Some(4));
-    assert_eq!(fails(&["batch", "show", "none"]), Some(3));
-    let batches = good(&["batch", "list"]);
+    assert_eq!(failure_code(&["batch", "run", "night"]), Some(4));
+    assert_eq!(failure_code(&["batch", "show", "none"]), Some(3));
+    let batches = stdout(&["batch", "list"]);
     assert!(
         batches.contains("night") && batches.contains("cancelled"),
         "{batches}"
--- a/crates/relayctl/tests/transcripts.rs
+++ b/crates/relayctl/tests/transcripts.rs
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn busy_server_is_asked_five_times_as_in_golden_transcript() {
+fn requests_to_busy_server_match_golden_transcript() {
     let mut transcript = Transcript::new();
     for status in [429, 503] {
         let busy = problem(status, "busy", "come again");
