--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,253 +1,289 @@
-//! One job: its states, its kept point, its tries.
+//! The state machine of one job: commands, checkpoints, attempts and restarts.
 
 use serde::{Deserialize, Serialize};
 
-use crate::scheduler::Class;
-use crate::Micros;
-
-/// Names a job; later ones are larger.
-pub type JobId = u64;
-/// Bytes of a kept point at most.
-pub const LONGEST_POINT: usize = 4096;
-/// Bytes of a name at most.
-pub const LONGEST_NAME: usize = 64;
-/// Jobs that one may wait for at most.
-pub const MOST_AFTER: usize = 16;
-/// Bounds of the wait before a try that follows a failure, which doubles from the first to the second.
-pub const WAITS: (Micros, Micros) = (1_000_000, 600_000_000);
-
-/// Whose work it is.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Owner {
-    /// The relay's own.
-    System,
-    /// A tenant's.
-    Tenant(String),
-}
+use crate::job_spec::JobSpec;
+use crate::time::Micros;
 
-/// What is asked for.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spec {
-    /// Its name, for people.
-    pub name: String,
-    /// Whose it is.
-    pub owner: Owner,
-    /// Its class of priority.
-    pub class: Class,
-    /// Not before this moment.
-    pub not_before: Micros,
-    /// Wanted by this moment: until then, of one owner's jobs the earliest goes first. Nothing ends by it.
-    pub deadline: Option<Micros>,
-    /// Done anew so long after its last beginning, for ever.
-    pub period: Option<Micros>,
-    /// Only once these are done.
-    pub after: Vec<JobId>,
-    /// Tries of one slice at most.
-    pub tries: u32,
-    /// A slice that may have run may be done again from the kept point before it.
-    pub repeatable: bool,
-}
+/// Largest checkpoint, in bytes.
+pub const MAX_CHECKPOINT_BYTES: usize = 4096;
+/// Backoff before the second attempt of a slice, in microseconds; it doubles with each further attempt.
+pub const MIN_RETRY_BACKOFF: Micros = 1_000_000;
+/// Longest backoff before an attempt, in microseconds.
+pub const MAX_RETRY_BACKOFF: Micros = 600_000_000;
+
+/// Keeps the doubled backoff within 64 bits; [`MAX_RETRY_BACKOFF`] is reached far earlier.
+const MAX_BACKOFF_DOUBLINGS: u32 = 32;
 
-/// Where a job stands.
+/// The state of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
-    /// To be run at this moment or later.
-    Waiting(Micros),
-    /// A slice of it runs.
+pub enum JobState {
+    /// The next slice may start at this time or later.
+    Waiting {
+        /// When the next slice may start.
+        until: Micros,
+    },
+    /// A slice runs.
     Running,
-    /// Nothing of it runs until it is resumed.
+    /// No slice starts until the job is resumed.
     Paused,
-    /// All of it is done.
-    Done(Micros),
-    /// It has come to nothing, and why.
-    Failed(Cause),
-    /// It was called off.
+    /// All work of the job is done.
+    Completed {
+        /// When its last slice ended.
+        at: Micros,
+    },
+    /// The job has failed.
+    Failed(FailureCause),
+    /// An operator cancelled the job.
     Cancelled,
 }
 
-/// Why a job came to nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Cause {
-    /// A slice failed as often as it may be tried.
-    Tries,
-    /// What it was to come after came to nothing.
-    Dependency,
-    /// The process ended within a slice that must not be done twice.
-    MayHaveRun,
-    /// Its tenant was removed.
-    OwnerGone,
-}
-
-impl State {
-    /// Whether nothing more comes of it.
+impl JobState {
+    /// Whether the job never runs again.
     #[must_use]
-    pub fn is_over(&self) -> bool {
-        matches!(self, State::Done(_) | State::Failed(_) | State::Cancelled)
+    pub fn is_terminal(&self) -> bool {
+        matches!(
+            self,
+            JobState::Completed { .. } | JobState::Failed(_) | JobState::Cancelled
+        )
     }
 }
 
-/// What an operator wants of a job.
+/// Why a job failed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum FailureCause {
+    /// A slice failed in as many attempts as the specification allows.
+    AttemptsExhausted,
+    /// A job that it depends on failed or was cancelled.
+    DependencyFailed,
+    /// The process ended during a slice that is not idempotent.
+    MayHaveExecuted,
+    /// Its owner was removed.
+    OwnerRemoved,
+}
+
+/// What an operator commands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// Run nothing of it for now.
+pub enum JobCommand {
+    /// Start no slice for now.
     Pause,
-    /// Go on.
+    /// Continue a paused job.
     Resume,
-    /// Run nothing more of it.
+    /// Never start another slice.
     Cancel,
 }
 
 /// How a slice ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Slice {
-    /// There is more, from this kept point on.
-    More(Vec<u8>),
-    /// All is done.
-    Done,
-    /// It failed, and is tried again from the last kept point.
+pub enum SliceOutcome {
+    /// Work remains.
+    Progress {
+        /// Where the next slice continues; [`MAX_CHECKPOINT_BYTES`] at most.
+        checkpoint: Vec<u8>,
+    },
+    /// All work of the job, or of its present period, is done.
+    Completed,
+    /// The slice failed, and is attempted again from the last checkpoint.
     Failed,
 }
 
 /// A job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was asked for.
-    pub spec: Spec,
-    /// Where it stands.
-    pub state: State,
-    /// Where the next slice begins; empty at the beginning.
-    pub point: Vec<u8>,
-    /// Tries of the next slice so far.
-    pub tried: u32,
-    /// Slices that ended well.
-    pub slices: u64,
-    /// Time that its slices took.
-    pub spent: Micros,
-    /// When its present round began.
-    pub begun: Option<Micros>,
-    /// Grows with every order and every end.
+    /// What the caller specified.
+    pub spec: JobSpec,
+    /// The present state.
+    pub state: JobState,
+    /// Where the next slice continues; empty at the beginning.
+    pub checkpoint: Vec<u8>,
+    /// Failed attempts of the next slice.
+    pub failed_attempts: u32,
+    /// Slices that ended without failure.
+    pub completed_slices: u64,
+    /// Time that all slices took, in microseconds.
+    pub run_time: Micros,
+    /// When the present period's first slice started.
+    pub started_at: Option<Micros>,
+    /// Increases with every change of the state.
     pub version: u64,
-    /// What is to become of it once its slice has ended.
-    pub(crate) wanted: Option<Wanted>,
-    /// When it was served last, as a number that grows.
-    pub(crate) served: u64,
+    /// The transition that follows the end of the running slice.
+    deferred: Option<DeferredTransition>,
+    /// The sequence number of the last slice among all jobs' slices; 0 before the first.
+    pub(crate) last_slice_number: u64,
 }
 
-/// An order that came within a slice.
+/// A transition that was requested while a slice ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Wanted {
+enum DeferredTransition {
     Pause,
     Cancel,
-    OwnerGone,
+    OwnerRemoved,
+}
+
+impl DeferredTransition {
+    fn target(self) -> JobState {
+        match self {
+            DeferredTransition::Pause => JobState::Paused,
+            DeferredTransition::Cancel => JobState::Cancelled,
+            DeferredTransition::OwnerRemoved => JobState::Failed(FailureCause::OwnerRemoved),
+        }
+    }
 }
 
 impl Job {
-    pub(crate) fn new(spec: Spec) -> Self {
-        let state = State::Waiting(spec.not_before);
+    pub(crate) fn new(spec: JobSpec) -> Self {
+        let state = JobState::Waiting {
+            until: spec.not_before,
+        };
         Job {
             spec,
             state,
-            point: Vec::new(),
-            tried: 0,
-            slices: 0,
-            spent: 0,
-            begun: None,
+            checkpoint: Vec::new(),
+            failed_attempts: 0,
+            completed_slices: 0,
+            run_time: 0,
+            started_at: None,
             version: 1,
-            wanted: None,
-            served: 0,
+            deferred: None,
+            last_slice_number: 0,
         }
     }
 
-    pub(crate) fn becomes(&mut self, state: State) {
+    fn transition_to(&mut self, state: JobState) {
         self.state = state;
         self.version += 1;
     }
 
-    /// Follows an order; false if it is over or the order changes nothing. Within a slice it counts at its end.
-    pub(crate) fn order(&mut self, order: Order, now: Micros) -> bool {
-        match (order, &self.state) {
-            (_, State::Done(_) | State::Failed(_) | State::Cancelled) => return false,
-            (Order::Pause, State::Running) => self.wanted = self.wanted.or(Some(Wanted::Pause)),
-            (Order::Cancel, State::Running) => self.wanted = Some(Wanted::Cancel),
-            (Order::Resume, State::Running) if self.wanted == Some(Wanted::Pause) => {
-                self.wanted = None
+    /// Applies an operator's command, after the present slice if one runs. Returns whether it changes anything.
+    pub(crate) fn apply_command(&mut self, command: JobCommand, now: Micros) -> bool {
+        match (command, &self.state) {
+            (_, state) if state.is_terminal() => return false,
+            (JobCommand::Pause, JobState::Running) => {
+                self.deferred = self.deferred.or(Some(DeferredTransition::Pause));
+            }
+            (JobCommand::Cancel, JobState::Running) => {
+                self.deferred = Some(DeferredTransition::Cancel);
+            }
+            (JobCommand::Resume, JobState::Running)
+                if self.deferred == Some(DeferredTransition::Pause) =>
+            {
+                self.deferred = None;
             }
-            (Order::Pause, State::Waiting(_)) => self.becomes(State::Paused),
-            (Order::Resume, State::Paused) => {
-                self.becomes(State::Waiting(now.max(self.spec.not_before)))
+            (JobCommand::Pause, JobState::Waiting { .. }) => self.transition_to(JobState::Paused),
+            (JobCommand::Resume, JobState::Paused) => {
+                let until = now.max(self.spec.not_before);
+                self.transition_to(JobState::Waiting { until });
             }
-            (Order::Cancel, _) => self.becomes(State::Cancelled),
+            (JobCommand::Cancel, _) => self.transition_to(JobState::Cancelled),
             _ => return false,
         }
         true
     }
 
-    /// A slice has ended, after so long. `spread` is from 0 to 1 and moves a wait, so that jobs which failed together
-    /// do not come again together.
-    pub(crate) fn ended(&mut self, slice: Slice, took: Micros, now: Micros, spread: f64) {
-        self.spent = self.spent.saturating_add(took);
-        let wanted = self.wanted.take();
-        match slice {
-            Slice::More(point) => {
-                // A point that is too long can't be kept: the slice counts as failed.
-                if point.len() > LONGEST_POINT {
-                    self.failed(now, spread);
-                } else {
-                    (self.point, self.tried) = (point, 0);
-                    self.slices += 1;
-                    self.becomes(State::Waiting(now));
-                }
+    /// Fails the job because its owner was removed, after the present slice if one runs.
+    pub(crate) fn remove_owner(&mut self) {
+        match self.state {
+            JobState::Running => self.deferred = Some(DeferredTransition::OwnerRemoved),
+            _ => self.transition_to(JobState::Failed(FailureCause::OwnerRemoved)),
+        }
+    }
+
+    /// Fails the job because one that it depends on failed or was cancelled.
+    pub(crate) fn fail_dependency(&mut self) {
+        self.transition_to(JobState::Failed(FailureCause::DependencyFailed));
+    }
+
+    /// A slice starts, the one of this number among all jobs' slices.
+    pub(crate) fn slice_started(&mut self, number: u64, now: Micros) {
+        self.transition_to(JobState::Running);
+        self.started_at.get_or_insert(now);
+        self.last_slice_number = number;
+    }
+
+    /// The running slice has ended after `elapsed` microseconds. `jitter`, from 0 to 1, places a retry in the upper half
+    /// of its backoff, so that jobs which failed together are not retried together.
+    pub(crate) fn slice_completed(
+        &mut self,
+        outcome: SliceOutcome,
+        elapsed: Micros,
+        now: Micros,
+        jitter: f64,
+    ) {
+        self.run_time = self.run_time.saturating_add(elapsed);
+        let deferred = self.deferred.take();
+        match outcome {
+            // A checkpoint that is too long cannot be stored: the slice counts as failed.
+            SliceOutcome::Progress { checkpoint } if checkpoint.len() > MAX_CHECKPOINT_BYTES => {
+                self.record_failure(now, jitter);
+            }
+            SliceOutcome::Progress { checkpoint } => {
+                self.record_success(checkpoint);
+                self.transition_to(JobState::Waiting { until: now });
             }
-            Slice::Done => {
-                self.slices += 1;
-                (self.point, self.tried) = (Vec::new(), 0);
-                match self.spec.period {
-                    Some(period) => {
-                        // Rounds that were missed are not made up for.
-                        let next = self.begun.take().unwrap_or(now).saturating_add(period);
-                        self.becomes(State::Waiting(next.clamp(now, now.saturating_add(period))));
-                    }
-                    None => self.becomes(State::Done(now)),
-                }
+            SliceOutcome::Completed => {
+                self.record_success(Vec::new());
+                self.complete_period(now);
             }
-            Slice::Failed => self.failed(now, spread),
+            SliceOutcome::Failed => self.record_failure(now, jitter),
         }
-        match wanted {
-            Some(_) if self.state.is_over() => {}
-            Some(Wanted::Pause) => self.becomes(State::Paused),
-            Some(Wanted::Cancel) => self.becomes(State::Cancelled),
-            Some(Wanted::OwnerGone) => self.becomes(State::Failed(Cause::OwnerGone)),
-            None => {}
+        if let Some(deferred) = deferred.filter(|_| !self.state.is_terminal()) {
+            self.transition_to(deferred.target());
         }
     }
 
-    fn failed(&mut self, now: Micros, spread: f64) {
-        self.tried += 1;
-        if self.tried >= self.spec.tries {
-            return self.becomes(State::Failed(Cause::Tries));
+    fn record_success(&mut self, checkpoint: Vec<u8>) {
+        self.completed_slices += 1;
+        self.checkpoint = checkpoint;
+        self.failed_attempts = 0;
+    }
+
+    /// Waits for the next period, or completes a job that has none.
+    fn complete_period(&mut self, now: Micros) {
+        let Some(period) = self.spec.period else {
+            return self.transition_to(JobState::Completed { at: now });
+        };
+        // Periods that were missed are skipped, and a clock that was set back delays the next one by a period at most.
+        let next = self
+            .started_at
+            .take()
+            .unwrap_or(now)
+            .saturating_add(period)
+            .clamp(now, now.saturating_add(period));
+        self.transition_to(JobState::Waiting { until: next });
+    }
+
+    fn record_failure(&mut self, now: Micros, jitter: f64) {
+        self.failed_attempts += 1;
+        if self.failed_attempts >= self.spec.max_attempts {
+            return self.transition_to(JobState::Failed(FailureCause::AttemptsExhausted));
         }
-        let doubled = WAITS
-            .0
-            .saturating_mul(1 << (self.tried - 1).min(32))
-            .min(WAITS.1);
-        let wait = (doubled as f64 * (0.5 + 0.5 * spread.clamp(0.0, 1.0))) as Micros;
-        self.becomes(State::Waiting(now.saturating_add(wait)));
+        let backoff = retry_backoff(self.failed_attempts, jitter);
+        self.transition_to(JobState::Waiting {
+            until: now.saturating_add(backoff),
+        });
     }
 
-    /// The process that ran it is gone.
-    pub(crate) fn restarted(&mut self, now: Micros) {
-        if self.state != State::Running {
+    /// Recovers from the end of the process that ran the job's slice.
+    pub(crate) fn recover(&mut self, now: Micros) {
+        if self.state != JobState::Running {
             return;
         }
-        let wanted = self.wanted.take();
-        if !self.spec.repeatable {
-            return self.becomes(State::Failed(Cause::MayHaveRun));
-        }
-        match wanted {
-            Some(Wanted::Cancel) => self.becomes(State::Cancelled),
-            Some(Wanted::OwnerGone) => self.becomes(State::Failed(Cause::OwnerGone)),
-            Some(Wanted::Pause) => self.becomes(State::Paused),
-            None => self.becomes(State::Waiting(now)),
+        let deferred = self.deferred.take();
+        if !self.spec.is_idempotent {
+            return self.transition_to(JobState::Failed(FailureCause::MayHaveExecuted));
         }
+        self.transition_to(match deferred {
+            Some(deferred) => deferred.target(),
+            None => JobState::Waiting { until: now },
+        });
     }
 }
+
+/// The wait before the attempt that follows `failed_attempts` failures, 1 or more.
+fn retry_backoff(failed_attempts: u32, jitter: f64) -> Micros {
+    let doublings = (failed_attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
+    let backoff = MIN_RETRY_BACKOFF
+        .saturating_mul(1 << doublings)
+        .min(MAX_RETRY_BACKOFF);
+    (backoff as f64 * (0.5 + 0.5 * jitter.clamp(0.0, 1.0))) as Micros
+}
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,15 +1,30 @@
-//! Background work: which job runs next, for how long, and what becomes of it.
+//! The scheduler for background jobs: which job runs next, for how long, and what happens to it afterwards.
 //!
-//! Nothing here has I/O or a clock: the caller tells the time in microseconds, runs the slices, and tells what they
-//! took. [`job`] has the states of one job, [`scheduler`] the choice between many.
+//! Nothing here does I/O or reads a clock. The caller passes the time with every call, runs the slices that
+//! [`Scheduler::next_decision`] chooses, and reports with [`Scheduler::slice_completed`] what they used. A [`Job`] is the
+//! state machine of one job; the [`Scheduler`] chooses between all of them.
 
 #![warn(missing_docs)]
 
-pub mod job;
-pub mod scheduler;
+mod budget;
+mod error;
+mod job;
+mod job_spec;
+mod job_table;
+mod priority_class;
+mod scheduler;
+mod settings;
+mod time;
 
-/// Microseconds: of Unix time where a moment is meant, else a span.
-pub type Micros = u64;
-
-pub use job::{Job, JobId, Order, Owner, Slice, Spec, State};
-pub use scheduler::{Class, Next, Refusal, Settings, Work};
+pub use budget::{Budget, ResourceUsage};
+pub use error::SchedulerError;
+pub use job::{
+    FailureCause, Job, JobCommand, JobState, SliceOutcome, MAX_CHECKPOINT_BYTES, MAX_RETRY_BACKOFF,
+    MIN_RETRY_BACKOFF,
+};
+pub use job_spec::{JobId, JobSpec, Owner, SpecError, MAX_DEPENDENCIES, MAX_NAME_BYTES};
+pub use job_table::MAX_FINISHED_JOBS;
+pub use priority_class::PriorityClass;
+pub use scheduler::{LiveTraffic, Scheduler, SchedulerDecision};
+pub use settings::{Settings, SettingsError};
+pub use time::Micros;
--- /dev/null
+++ b/crates/jobs/src/priority_class.rs
@@ -0,0 +1,35 @@
+//! The classes of priority that share the processor.
+
+use serde::{Deserialize, Serialize};
+
+/// A class of priority. Classes share by weight; none has strict precedence over another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "lowercase")]
+pub enum PriorityClass {
+    /// Maintenance that keeps the relay within its bounds, such as rewriting the journal.
+    Upkeep,
+    /// Work that somebody waits for, such as resends.
+    Prompt,
+    /// Large work, such as exports.
+    Bulk,
+    /// Work without urgency, such as sweeps.
+    Idle,
+}
+
+impl PriorityClass {
+    /// How many classes there are.
+    pub const COUNT: usize = 4;
+
+    /// All classes, in the order of their declaration.
+    pub const ALL: [PriorityClass; Self::COUNT] = [
+        PriorityClass::Upkeep,
+        PriorityClass::Prompt,
+        PriorityClass::Bulk,
+        PriorityClass::Idle,
+    ];
+
+    /// The position in [`PriorityClass::ALL`].
+    pub(crate) fn index(self) -> usize {
+        self as usize
+    }
+}
--- a/crates/jobs/tests/scheduler.rs
+++ b/crates/jobs/tests/scheduler.rs
@@ -1,29 +1,33 @@
-//! The choice between jobs, against what it promises.
+//! What the scheduler promises: shares, budgets, deadlines, retries, restarts and bounds.
 
 use std::collections::BTreeMap;
 
-use jobs::job::{Cause, LONGEST_POINT};
-use jobs::scheduler::{Budget, Used, MOST_OVER};
-use jobs::*;
-use proptest::prelude::*;
+use jobs::{
+    Budget, FailureCause, Job, JobCommand, JobId, JobSpec, JobState, LiveTraffic, Micros, Owner,
+    PriorityClass, ResourceUsage, Scheduler, SchedulerDecision, SchedulerError, Settings,
+    SliceOutcome, SpecError, MAX_CHECKPOINT_BYTES, MAX_DEPENDENCIES, MAX_FINISHED_JOBS,
+};
+use proptest::prelude::{prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 
 const SECOND: Micros = 1_000_000;
+const WAIT_FOR_CHANGE: SchedulerDecision = SchedulerDecision::Wait { until: Micros::MAX };
 
-fn spec(name: &str, class: Class) -> Spec {
-    Spec {
+fn spec(name: &str, class: PriorityClass) -> JobSpec {
+    JobSpec {
         name: name.into(),
         owner: Owner::System,
         class,
         not_before: 0,
         deadline: None,
         period: None,
-        after: Vec::new(),
-        tries: 3,
-        repeatable: true,
+        dependencies: Vec::new(),
+        max_attempts: 3,
+        is_idempotent: true,
     }
 }
 
-fn wide() -> Settings {
+/// Weights 8, 4, 2 and 1, and budgets that bind nothing.
+fn unlimited_settings() -> Settings {
     let budget = |weight| Budget {
         weight,
         time: SECOND,
@@ -36,351 +40,513 @@
     }
 }
 
-fn took(time: Micros) -> Used {
-    Used {
+fn unlimited_scheduler() -> Scheduler {
+    Scheduler::new(unlimited_settings(), 0)
+}
+
+fn time_used(time: Micros) -> ResourceUsage {
+    ResourceUsage {
         time,
-        ..Used::default()
+        ..ResourceUsage::default()
     }
 }
 
-/// Runs slices that use all they are given for a span; what each job got.
-fn run(work: &mut Work, mut now: Micros, span: Micros, busy: bool) -> BTreeMap<JobId, Micros> {
-    let (until, mut got) = (now + span, BTreeMap::new());
-    while now < until {
-        match work.next(now, busy) {
-            Next::Run(id, slice) => {
-                now += slice;
-                *got.entry(id).or_default() += slice;
-                work.ended(Slice::More(Vec::new()), took(slice), now, 0.5);
+fn progress(checkpoint: &[u8]) -> SliceOutcome {
+    SliceOutcome::Progress {
+        checkpoint: checkpoint.to_vec(),
+    }
+}
+
+/// The job and the time of the slice that starts now.
+fn start_slice(scheduler: &mut Scheduler, now: Micros) -> (JobId, Micros) {
+    match scheduler.next_decision(now, LiveTraffic::Idle) {
+        SchedulerDecision::Run { job, time_slice } => (job, time_slice),
+        SchedulerDecision::Wait { until } => panic!("no slice at {now}, wait until {until}"),
+    }
+}
+
+fn state(scheduler: &Scheduler, id: JobId) -> Option<&JobState> {
+    scheduler.get(id).map(|job| &job.state)
+}
+
+/// Runs slices that use all the time they are given; the time that each job got.
+fn run_for(
+    scheduler: &mut Scheduler,
+    mut now: Micros,
+    duration: Micros,
+    traffic: LiveTraffic,
+) -> BTreeMap<JobId, Micros> {
+    let end = now + duration;
+    let mut time_by_job = BTreeMap::new();
+    while now < end {
+        match scheduler.next_decision(now, traffic) {
+            SchedulerDecision::Run { job, time_slice } => {
+                now += time_slice;
+                *time_by_job.entry(job).or_default() += time_slice;
+                scheduler.slice_completed(progress(b""), time_used(time_slice), now, 0.5);
             }
-            Next::Wait(at) => now = at.clamp(now + 1, until),
+            SchedulerDecision::Wait { until } => now = until.clamp(now + 1, end),
         }
     }
-    got
+    time_by_job
 }
 
 #[test]
-fn classes_share_by_weight_and_owners_by_turns() {
-    let mut work = Work::new(wide(), 0);
-    let ids: Vec<JobId> = Class::ALL
-        .iter()
-        .map(|class| work.submit(spec("j", *class)).expect("taken"))
-        .collect();
-    let other = Spec {
-        owner: Owner::Tenant("acme".into()),
-        ..spec("t", Class::Idle)
-    };
-    let other = work.submit(other).expect("taken");
-    let got = run(&mut work, 0, 30 * SECOND, false);
-    let part = |id: JobId| got[&id] as f64 / got.values().sum::<u64>() as f64;
-    for (id, wanted) in ids[..3].iter().zip([8.0 / 15.0, 4.0 / 15.0, 2.0 / 15.0]) {
-        assert!((part(*id) - wanted).abs() < 0.02, "{got:?}");
+fn classes_share_time_by_weight_and_owners_of_a_class_equally() {
+    let mut scheduler = unlimited_scheduler();
+    let ids = PriorityClass::ALL.map(|class| scheduler.submit(spec("j", class)).expect("accepted"));
+    let of_tenant = scheduler
+        .submit(JobSpec {
+            owner: Owner::Tenant("acme".into()),
+            ..spec("t", PriorityClass::Idle)
+        })
+        .expect("accepted");
+    let time_by_job = run_for(&mut scheduler, 0, 30 * SECOND, LiveTraffic::Idle);
+    let total = time_by_job.values().sum::<u64>() as f64;
+    let share = |id: JobId| time_by_job[&id] as f64 / total;
+    for (id, expected) in ids[..3].iter().zip([8.0 / 15.0, 4.0 / 15.0, 2.0 / 15.0]) {
+        assert!((share(*id) - expected).abs() < 0.02, "{time_by_job:?}");
     }
     assert!(
-        (part(ids[3]) - part(other)).abs() < 0.005,
-        "two owners of one class: {got:?}"
+        (share(ids[3]) - share(of_tenant)).abs() < 0.005,
+        "two owners of one class: {time_by_job:?}"
     );
 }
 
 #[test]
-fn a_budget_binds_and_an_overrun_is_paid_back() {
-    let mut set = wide();
-    set.budgets[0].time = 100_000;
-    let mut work = Work::new(set, 0);
-    let first = work.submit(spec("a", Class::Upkeep)).expect("a");
-    work.submit(spec("b", Class::Idle)).expect("b");
-    let got = run(&mut work, 0, 10 * SECOND, false);
-    assert!((1_000_000..=1_150_000).contains(&got[&first]), "{got:?}");
-    // A slice that took 50 times what it was given.
-    let mut work = Work::new(wide(), 0);
+fn class_gets_no_more_time_than_its_budget() {
+    let mut settings = unlimited_settings();
+    settings.budgets[0].time = 100_000;
+    let mut scheduler = Scheduler::new(settings, 0);
+    let limited = scheduler
+        .submit(spec("a", PriorityClass::Upkeep))
+        .expect("accepted");
+    scheduler
+        .submit(spec("b", PriorityClass::Idle))
+        .expect("accepted");
+    let time_by_job = run_for(&mut scheduler, 0, 10 * SECOND, LiveTraffic::Idle);
+    assert!(
+        (1_000_000..=1_150_000).contains(&time_by_job[&limited]),
+        "{time_by_job:?}"
+    );
+}
+
+#[test]
+fn class_whose_slice_overran_waits_until_the_overrun_is_made_up_for() {
+    let mut scheduler = unlimited_scheduler();
     for name in ["a", "b"] {
-        work.submit(spec(name, Class::Upkeep)).expect("taken");
+        scheduler
+            .submit(spec(name, PriorityClass::Upkeep))
+            .expect("accepted");
     }
-    let Next::Run(_, slice) = work.next(0, false) else {
-        panic!("a slice")
-    };
-    work.ended(Slice::More(Vec::new()), took(slice * 50), slice * 50, 0.5);
-    let idle = work.submit(spec("c", Class::Idle)).expect("c");
-    let mut next = Vec::new();
-    let mut now = slice * 50;
+    let (_, time_slice) = start_slice(&mut scheduler, 0);
+    let mut now = time_slice * 50;
+    scheduler.slice_completed(progress(b""), time_used(now), now, 0.5);
+    let idle = scheduler
+        .submit(spec("c", PriorityClass::Idle))
+        .expect("accepted");
+    let mut started = Vec::new();
     for _ in 0..20 {
-        let Next::Run(id, slice) = work.next(now, false) else {
-            panic!("a slice")
-        };
-        now += slice;
-        work.ended(Slice::More(Vec::new()), took(slice), now, 0.5);
-        next.push(id);
+        let (id, time_slice) = start_slice(&mut scheduler, now);
+        now += time_slice;
+        scheduler.slice_completed(progress(b""), time_used(time_slice), now, 0.5);
+        started.push(id);
     }
-    assert!(
-        next[..3].iter().all(|id| *id == idle),
-        "the others wait until it is paid back: {next:?}"
-    );
+    assert!(started[..3].iter().all(|id| *id == idle), "{started:?}");
 }
 
 #[test]
-fn live_calls_come_first_and_nothing_stands_still() {
-    let mut work = Work::new(wide(), 0);
-    for class in Class::ALL {
-        work.submit(spec("j", class)).expect("taken");
+fn busy_live_traffic_leaves_one_short_slice_a_second_and_starves_no_class() {
+    let mut scheduler = unlimited_scheduler();
+    for class in PriorityClass::ALL {
+        scheduler.submit(spec("j", class)).expect("accepted");
     }
-    let got = run(&mut work, 0, 60 * SECOND, true);
-    assert_eq!(got.len(), 4, "{got:?}");
-    let all: Micros = got.values().sum();
-    assert!(all <= 60 * 500, "one least slice a second: {all}");
+    let time_by_job = run_for(&mut scheduler, 0, 60 * SECOND, LiveTraffic::Busy);
+    assert_eq!(time_by_job.len(), 4, "{time_by_job:?}");
+    let total: Micros = time_by_job.values().sum();
+    assert!(total <= 60 * 500, "one least slice a second: {total}");
 }
 
 #[test]
-fn the_earliest_deadline_goes_first_and_what_comes_after_waits() {
-    let mut work = Work::new(wide(), 0);
-    let late = work
-        .submit(Spec {
+fn earliest_deadline_runs_first_and_dependents_run_last() {
+    let mut scheduler = unlimited_scheduler();
+    let late = scheduler
+        .submit(JobSpec {
             deadline: Some(900),
-            ..spec("late", Class::Bulk)
+            ..spec("late", PriorityClass::Bulk)
         })
-        .expect("taken");
-    let soon = work
-        .submit(Spec {
+        .expect("accepted");
+    let soon = scheduler
+        .submit(JobSpec {
             deadline: Some(300),
-            ..spec("soon", Class::Bulk)
+            ..spec("soon", PriorityClass::Bulk)
         })
-        .expect("taken");
-    let last = work
-        .submit(Spec {
-            after: vec![late],
-            ..spec("last", Class::Upkeep)
+        .expect("accepted");
+    let dependent = scheduler
+        .submit(JobSpec {
+            dependencies: vec![late],
+            ..spec("dependent", PriorityClass::Upkeep)
         })
-        .expect("taken");
-    for wanted in [soon, late, last] {
-        let Next::Run(id, _) = work.next(10, false) else {
-            panic!("a slice")
-        };
-        assert_eq!(id, wanted);
-        work.ended(Slice::Done, took(10), 20, 0.5);
+        .expect("accepted");
+    for expected in [soon, late, dependent] {
+        assert_eq!(start_slice(&mut scheduler, 10).0, expected);
+        scheduler.slice_completed(SliceOutcome::Completed, time_used(10), 20, 0.5);
     }
-    assert_eq!(work.next(30, false), Next::Wait(Micros::MAX));
-    let gone = work.submit(spec("gone", Class::Bulk)).expect("taken");
-    let lost = work
-        .submit(Spec {
-            after: vec![gone],
-            ..spec("lost", Class::Bulk)
+    assert_eq!(
+        scheduler.next_decision(30, LiveTraffic::Idle),
+        WAIT_FOR_CHANGE
+    );
+}
+
+#[test]
+fn dependent_of_a_cancelled_job_fails() {
+    let mut scheduler = unlimited_scheduler();
+    let cancelled = scheduler
+        .submit(spec("cancelled", PriorityClass::Bulk))
+        .expect("accepted");
+    let dependent = scheduler
+        .submit(JobSpec {
+            dependencies: vec![cancelled],
+            ..spec("dependent", PriorityClass::Bulk)
         })
-        .expect("taken");
-    work.order(gone, Order::Cancel, Some(1), 40).expect("waits");
-    work.next(50, false);
+        .expect("accepted");
+    scheduler
+        .apply_command(cancelled, JobCommand::Cancel, Some(1), 40)
+        .expect("cancels a waiting job");
+    scheduler.next_decision(50, LiveTraffic::Idle);
     assert_eq!(
-        work.find(lost).map(|job| &job.state),
-        Some(&State::Failed(Cause::Dependency))
+        state(&scheduler, dependent),
+        Some(&JobState::Failed(FailureCause::DependencyFailed))
     );
 }
 
 #[test]
-fn failures_wait_longer_each_time_and_end_with_the_last_try() {
-    let mut work = Work::new(wide(), 0);
-    let id = work.submit(spec("fails", Class::Prompt)).expect("taken");
-    let mut waits = Vec::new();
+fn retry_backoff_doubles_until_the_attempts_are_exhausted() {
+    let mut scheduler = unlimited_scheduler();
+    let id = scheduler
+        .submit(spec("fails", PriorityClass::Prompt))
+        .expect("accepted");
+    let mut backoffs = Vec::new();
     let mut now = 0;
-    while let Next::Run(..) = work.next(now, false) {
-        work.ended(Slice::Failed, took(1), now, 1.0);
-        if let Some(State::Waiting(at)) = work.find(id).map(|job| &job.state) {
-            waits.push(at - now);
-            now = *at;
+    while let SchedulerDecision::Run { .. } = scheduler.next_decision(now, LiveTraffic::Idle) {
+        scheduler.slice_completed(SliceOutcome::Failed, time_used(1), now, 1.0);
+        if let Some(JobState::Waiting { until }) = state(&scheduler, id) {
+            backoffs.push(until - now);
+            now = *until;
         }
     }
-    assert_eq!(waits, [SECOND, 2 * SECOND]);
+    assert_eq!(backoffs, [SECOND, 2 * SECOND]);
     assert_eq!(
-        work.find(id).map(|job| &job.state),
-        Some(&State::Failed(Cause::Tries))
+        state(&scheduler, id),
+        Some(&JobState::Failed(FailureCause::AttemptsExhausted))
     );
-    // A point that is too long can't be kept.
-    let long = work
-        .submit(Spec {
-            tries: 1,
-            ..spec("long", Class::Prompt)
+}
+
+#[test]
+fn checkpoint_over_the_limit_counts_as_a_failed_attempt() {
+    let mut scheduler = unlimited_scheduler();
+    let id = scheduler
+        .submit(JobSpec {
+            max_attempts: 1,
+            ..spec("long", PriorityClass::Prompt)
         })
-        .expect("taken");
-    assert!(matches!(work.next(now, false), Next::Run(..)));
-    work.ended(Slice::More(vec![0; LONGEST_POINT + 1]), took(1), now, 0.0);
+        .expect("accepted");
+    assert_eq!(start_slice(&mut scheduler, 0).0, id);
+    let too_long = progress(&[0; MAX_CHECKPOINT_BYTES + 1]);
+    scheduler.slice_completed(too_long, time_used(1), 0, 0.0);
     assert_eq!(
-        work.find(long).map(|job| &job.state),
-        Some(&State::Failed(Cause::Tries))
+        state(&scheduler, id),
+        Some(&JobState::Failed(FailureCause::AttemptsExhausted))
     );
 }
 
+/// Jobs as a process leaves them that ends within the second slice of its only job.
+fn jobs_of_process_killed_within_slice() -> (JobId, Vec<(JobId, Job)>) {
+    let mut scheduler = unlimited_scheduler();
+    let id = scheduler
+        .submit(spec("j", PriorityClass::Bulk))
+        .expect("accepted");
+    assert_eq!(start_slice(&mut scheduler, 0).0, id);
+    scheduler.slice_completed(progress(b"half"), time_used(5), 5, 0.5);
+    assert_eq!(start_slice(&mut scheduler, 5).0, id);
+    let persisted = scheduler.jobs().map(|(id, job)| (id, job.clone()));
+    (id, persisted.collect())
+}
+
 #[test]
-fn a_restart_goes_on_at_the_kept_point_or_tells_that_a_slice_may_have_run() {
-    let mut work = Work::new(wide(), 0);
-    let again = work.submit(spec("again", Class::Bulk)).expect("taken");
-    assert!(matches!(work.next(0, false), Next::Run(..)));
-    work.ended(Slice::More(b"half".to_vec()), took(5), 5, 0.5);
-    assert!(matches!(work.next(5, false), Next::Run(..)));
-    let kept: Vec<(JobId, Job)> = work.jobs().map(|(id, job)| (id, job.clone())).collect();
-    let restored = Work::restored(wide(), kept.clone(), 100);
-    let job = restored.find(again).expect("kept");
+fn restart_continues_an_idempotent_job_at_its_checkpoint() {
+    let (id, persisted) = jobs_of_process_killed_within_slice();
+    let restored = Scheduler::restore(unlimited_settings(), persisted, 100);
+    let job = restored.get(id).expect("restored");
     assert_eq!(
-        (job.point.as_slice(), &job.state),
-        (&b"half"[..], &State::Waiting(100))
+        (job.checkpoint.as_slice(), &job.state),
+        (&b"half"[..], &JobState::Waiting { until: 100 })
     );
-    let unsafe_one = kept.into_iter().map(|(id, mut job)| {
-        job.spec.repeatable = false;
-        (id, job)
-    });
-    let restored = Work::restored(wide(), unsafe_one, 100);
+}
+
+#[test]
+fn restart_fails_a_running_job_that_is_not_idempotent() {
+    let (id, mut persisted) = jobs_of_process_killed_within_slice();
+    for (_, job) in &mut persisted {
+        job.spec.is_idempotent = false;
+    }
+    let restored = Scheduler::restore(unlimited_settings(), persisted, 100);
     assert_eq!(
-        restored.find(again).map(|job| &job.state),
-        Some(&State::Failed(Cause::MayHaveRun))
+        state(&restored, id),
+        Some(&JobState::Failed(FailureCause::MayHaveExecuted))
     );
 }
 
 #[test]
-fn orders_within_a_slice_count_at_its_end_and_versions_tell_changes() {
-    let mut work = Work::new(wide(), 0);
-    let id = work
-        .submit(Spec {
+fn commands_during_a_slice_take_effect_at_its_end_and_check_the_version() {
+    let mut scheduler = unlimited_scheduler();
+    let id = scheduler
+        .submit(JobSpec {
             owner: Owner::Tenant("acme".into()),
-            ..spec("j", Class::Bulk)
+            ..spec("j", PriorityClass::Bulk)
         })
-        .expect("taken");
+        .expect("accepted");
+    assert_eq!(
+        scheduler.apply_command(id, JobCommand::Resume, None, 0),
+        Err(SchedulerError::NoChange)
+    );
+    assert_eq!(start_slice(&mut scheduler, 0).0, id);
     assert_eq!(
-        work.order(id, Order::Resume, None, 0),
-        Err(Refusal::NoChange)
+        scheduler.apply_command(id, JobCommand::Pause, Some(1), 0),
+        Err(SchedulerError::VersionMismatch { current: 2 })
     );
-    assert!(matches!(work.next(0, false), Next::Run(..)));
+    scheduler
+        .apply_command(id, JobCommand::Pause, Some(2), 0)
+        .expect("pauses a running job");
+    assert_eq!(state(&scheduler, id), Some(&JobState::Running));
+    scheduler.slice_completed(progress(b""), time_used(1), 1, 0.5);
+    assert_eq!(state(&scheduler, id), Some(&JobState::Paused));
+    scheduler
+        .apply_command(id, JobCommand::Resume, None, 2)
+        .expect("resumes a paused job");
+    assert_eq!(start_slice(&mut scheduler, 2).0, id);
+    scheduler.remove_owner(&Owner::Tenant("acme".into()));
+    scheduler.slice_completed(progress(b""), time_used(1), 3, 0.5);
     assert_eq!(
-        work.order(id, Order::Pause, Some(1), 0),
-        Err(Refusal::Version(2))
+        state(&scheduler, id),
+        Some(&JobState::Failed(FailureCause::OwnerRemoved))
     );
-    work.order(id, Order::Pause, Some(2), 0).expect("runs");
-    work.ended(Slice::More(Vec::new()), took(1), 1, 0.5);
-    assert_eq!(work.find(id).map(|job| &job.state), Some(&State::Paused));
-    work.order(id, Order::Resume, None, 2).expect("paused");
-    assert!(matches!(work.next(2, false), Next::Run(..)));
-    work.owner_gone(&Owner::Tenant("acme".into()));
-    work.ended(Slice::More(Vec::new()), took(1), 3, 0.5);
     assert_eq!(
-        work.find(id).map(|job| &job.state),
-        Some(&State::Failed(Cause::OwnerGone))
+        scheduler.apply_command(id, JobCommand::Cancel, None, 4),
+        Err(SchedulerError::NoChange)
     );
     assert_eq!(
-        work.order(id, Order::Cancel, None, 4),
-        Err(Refusal::NoChange)
+        scheduler.apply_command(99, JobCommand::Cancel, None, 4),
+        Err(SchedulerError::JobNotFound)
     );
-    assert_eq!(work.order(99, Order::Cancel, None, 4), Err(Refusal::None));
 }
 
 #[test]
-fn bounds_hold_and_tell_when_to_come_back() {
-    let set = Settings {
-        most: 20,
-        most_of_owner: 5,
-        ..wide()
+fn full_queue_rejects_jobs_with_a_time_to_retry() {
+    let settings = Settings {
+        max_jobs: 20,
+        max_jobs_per_owner: 5,
+        ..unlimited_settings()
+    };
+    let mut scheduler = Scheduler::new(settings, 0);
+    let queue_full = SchedulerError::QueueFull {
+        retry_after: SECOND,
     };
-    let mut work = Work::new(set, 0);
     for number in 0..5 {
-        work.submit(spec(&format!("s{number}"), Class::Bulk))
-            .expect("room");
+        scheduler
+            .submit(spec(&format!("s{number}"), PriorityClass::Bulk))
+            .expect("below the owner's limit");
     }
     assert_eq!(
-        work.submit(spec("more", Class::Bulk)),
-        Err(Refusal::TooMany(SECOND))
+        scheduler.submit(spec("more", PriorityClass::Bulk)),
+        Err(queue_full.clone())
     );
+    let of_tenant = |tenant: String| JobSpec {
+        owner: Owner::Tenant(tenant),
+        ..spec("t", PriorityClass::Bulk)
+    };
     for number in 0..15 {
-        let owner = Owner::Tenant(format!("t{number}"));
-        work.submit(Spec {
-            owner,
-            ..spec("t", Class::Bulk)
-        })
-        .expect("room");
+        scheduler
+            .submit(of_tenant(format!("t{number}")))
+            .expect("below the limit of all owners");
     }
-    let last = Spec {
-        owner: Owner::Tenant("last".into()),
-        ..spec("t", Class::Bulk)
+    assert_eq!(scheduler.submit(of_tenant("last".into())), Err(queue_full));
+}
+
+#[test]
+fn specification_out_of_bounds_is_rejected_with_its_exact_text() {
+    let mut scheduler = unlimited_scheduler();
+    let valid = || spec("x", PriorityClass::Bulk);
+    let name = "a name is empty, over 64 bytes, or has control characters";
+    let zero = "tries or a period of 0";
+    let dependencies = "it is to come after over 16 jobs, or after one that is not there";
+    let first = scheduler.submit(valid()).expect("accepted");
+    let depending_on = |dependencies| JobSpec {
+        dependencies,
+        ..valid()
     };
-    assert_eq!(work.submit(last), Err(Refusal::TooMany(SECOND)));
-    for bad in [
-        spec("", Class::Bulk),
-        Spec {
-            tries: 0,
-            ..spec("x", Class::Bulk)
-        },
-        spec("a\nb", Class::Bulk),
+    for (invalid, error, text) in [
+        (spec("", PriorityClass::Bulk), SpecError::InvalidName, name),
+        (
+            spec("a\nb", PriorityClass::Bulk),
+            SpecError::InvalidName,
+            name,
+        ),
+        (
+            spec(&"x".repeat(65), PriorityClass::Bulk),
+            SpecError::InvalidName,
+            name,
+        ),
+        (
+            JobSpec {
+                max_attempts: 0,
+                ..valid()
+            },
+            SpecError::ZeroAttemptsOrPeriod,
+            zero,
+        ),
+        (
+            JobSpec {
+                period: Some(0),
+                ..valid()
+            },
+            SpecError::ZeroAttemptsOrPeriod,
+            zero,
+        ),
+        (
+            depending_on(vec![first; MAX_DEPENDENCIES + 1]),
+            SpecError::InvalidDependencies,
+            dependencies,
+        ),
+        (
+            depending_on(vec![99]),
+            SpecError::InvalidDependencies,
+            dependencies,
+        ),
     ] {
-        assert!(matches!(work.submit(bad), Err(Refusal::Malformed(_))));
+        let rejected = scheduler.submit(invalid).expect_err(text);
+        assert_eq!(rejected, SchedulerError::InvalidSpec(error));
+        assert_eq!(rejected.to_string(), text);
     }
-    // What is over is forgotten past a bound.
-    let mut work = Work::new(wide(), 0);
-    for _ in 0..MOST_OVER + 50 {
-        let id = work.submit(spec("x", Class::Bulk)).expect("room");
-        work.order(id, Order::Cancel, None, 0).expect("waits");
+}
+
+#[test]
+fn scheduler_errors_have_their_exact_text() {
+    for (error, expected) in [
+        (SchedulerError::JobNotFound, "there is no such job"),
+        (
+            SchedulerError::VersionMismatch { current: 7 },
+            "the job is in version 7 by now",
+        ),
+        (
+            SchedulerError::NoChange,
+            "the job is over, or does so already",
+        ),
+        (
+            SchedulerError::QueueFull { retry_after: 1 },
+            "as many jobs are under way as may be",
+        ),
+    ] {
+        assert_eq!(error.to_string(), expected);
+    }
+}
+
+#[test]
+fn finished_jobs_beyond_the_limit_are_removed() {
+    let mut scheduler = unlimited_scheduler();
+    for _ in 0..MAX_FINISHED_JOBS + 50 {
+        let id = scheduler
+            .submit(spec("x", PriorityClass::Bulk))
+            .expect("accepted");
+        scheduler
+            .apply_command(id, JobCommand::Cancel, None, 0)
+            .expect("cancels a waiting job");
     }
-    assert_eq!(work.jobs().count(), MOST_OVER);
+    assert_eq!(scheduler.jobs().count(), MAX_FINISHED_JOBS);
 }
 
 #[test]
-fn a_period_makes_up_for_nothing_and_a_clock_set_back_delays_by_one_period() {
-    let mut work = Work::new(wide(), 0);
-    let id = work
-        .submit(Spec {
+fn periodic_job_skips_missed_periods_and_waits_one_period_after_a_clock_step_back() {
+    let mut scheduler = unlimited_scheduler();
+    let id = scheduler
+        .submit(JobSpec {
             period: Some(SECOND),
-            ..spec("sweep", Class::Idle)
+            ..spec("sweep", PriorityClass::Idle)
         })
-        .expect("taken");
-    assert!(matches!(work.next(0, false), Next::Run(..)));
-    work.ended(Slice::Done, took(1), 10 * SECOND, 0.5);
+        .expect("accepted");
+    assert_eq!(start_slice(&mut scheduler, 0).0, id);
+    scheduler.slice_completed(SliceOutcome::Completed, time_used(1), 10 * SECOND, 0.5);
     assert_eq!(
-        work.find(id).map(|job| &job.state),
-        Some(&State::Waiting(10 * SECOND))
+        state(&scheduler, id),
+        Some(&JobState::Waiting { until: 10 * SECOND })
     );
-    assert!(matches!(work.next(10 * SECOND, false), Next::Run(..)));
-    work.ended(Slice::Done, took(1), 5 * SECOND, 0.5);
+    assert_eq!(start_slice(&mut scheduler, 10 * SECOND).0, id);
+    scheduler.slice_completed(SliceOutcome::Completed, time_used(1), 5 * SECOND, 0.5);
     assert_eq!(
-        work.find(id).map(|job| &job.state),
-        Some(&State::Waiting(6 * SECOND))
+        state(&scheduler, id),
+        Some(&JobState::Waiting { until: 6 * SECOND })
     );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Whatever is submitted, ordered and run: one slice at a time, nothing runs that is over, paused or not due, no
-    /// job has two ends, and every job that may run gets a slice in bounded time.
+    /// Whatever is submitted, commanded and run: one slice runs at a time, no job runs that is finished, paused or not
+    /// due, a finished job keeps its state, and every job that may run gets a slice in bounded time.
     #[test]
-    fn one_end_each_and_no_job_starves(
+    fn jobs_finish_once_and_none_starves(
         steps in prop::collection::vec((0u8..8, 0usize..4, 0u64..40, 0u64..5_000), 1..200),
     ) {
-        let mut work = Work::new(wide(), 0);
-        let (mut now, mut ends) = (0, BTreeMap::<JobId, State>::new());
-        for (what, class, number, span) in steps {
-            now += span;
-            match what {
+        let mut scheduler = unlimited_scheduler();
+        let mut now = 0;
+        let mut finished = BTreeMap::<JobId, JobState>::new();
+        for (action, choice, number, elapsed) in steps {
+            now += elapsed;
+            match action {
                 0..=2 => {
-                    let owner = Owner::Tenant(format!("t{}", number % 3));
-                    drop(work.submit(Spec { owner, not_before: now + span, ..spec("j", Class::ALL[class]) }));
+                    let submitted = scheduler.submit(JobSpec {
+                        owner: Owner::Tenant(format!("t{}", number % 3)),
+                        not_before: now + elapsed,
+                        ..spec("j", PriorityClass::ALL[choice])
+                    });
+                    prop_assert!(submitted.is_ok(), "below all limits");
                 }
                 3 => {
-                    let order = [Order::Pause, Order::Resume, Order::Cancel][class % 3];
-                    drop(work.order(number, order, None, now));
+                    let commands = [JobCommand::Pause, JobCommand::Resume, JobCommand::Cancel];
+                    // Whether the job exists and the command changes it is left to chance.
+                    drop(scheduler.apply_command(number, commands[choice % 3], None, now));
+                }
+                _ => {
+                    let traffic = if action == 7 { LiveTraffic::Busy } else { LiveTraffic::Idle };
+                    if let SchedulerDecision::Run { job: id, time_slice } = scheduler.next_decision(now, traffic) {
+                        let job = scheduler.get(id).expect("a job that exists");
+                        prop_assert_eq!(&job.state, &JobState::Running);
+                        prop_assert!(job.spec.not_before <= now && time_slice > 0);
+                        let second = scheduler.next_decision(now, LiveTraffic::Idle);
+                        prop_assert_eq!(second, WAIT_FOR_CHANGE, "one slice at a time");
+                        now += elapsed;
+                        let outcome = match number % 4 {
+                            0 => SliceOutcome::Completed,
+                            1 => SliceOutcome::Failed,
+                            _ => progress(&[1]),
+                        };
+                        scheduler.slice_completed(outcome, time_used(elapsed), now, 0.3);
+                    }
                 }
-                _ => if let Next::Run(id, slice) = work.next(now, what == 7) {
-                    let job = work.find(id).expect("a job that is there");
-                    prop_assert_eq!(&job.state, &State::Running);
-                    prop_assert!(job.spec.not_before <= now && slice > 0);
-                    prop_assert_eq!(work.next(now, false), Next::Wait(Micros::MAX), "one at a time");
-                    now += span;
-                    let end = match number % 4 { 0 => Slice::Done, 1 => Slice::Failed, _ => Slice::More(vec![1]) };
-                    work.ended(end, took(span), now, 0.3);
-                },
             }
-            for (id, job) in work.jobs().filter(|(_, job)| job.state.is_over()) {
-                let first = ends.entry(id).or_insert_with(|| job.state.clone());
-                prop_assert_eq!(&*first, &job.state, "one end");
+            for (id, job) in scheduler.jobs().filter(|(_, job)| job.state.is_terminal()) {
+                let first = finished.entry(id).or_insert_with(|| job.state.clone());
+                prop_assert_eq!(&*first, &job.state, "finished once");
             }
         }
-        // From here on all that may run does, within its turn.
-        let waiting: Vec<JobId> = work.jobs()
-            .filter(|(_, job)| matches!(job.state, State::Waiting(_))).map(|(id, _)| id).collect();
-        let got = run(&mut work, now + 600 * SECOND, 20 * SECOND, false);
+        let waiting: Vec<JobId> = scheduler
+            .jobs()
+            .filter(|(_, job)| matches!(job.state, JobState::Waiting { .. }))
+            .map(|(id, _)| id)
+            .collect();
+        let time_by_job = run_for(&mut scheduler, now + 600 * SECOND, 20 * SECOND, LiveTraffic::Idle);
         for id in waiting {
-            prop_assert!(got.contains_key(&id), "job {} got nothing", id);
+            prop_assert!(time_by_job.contains_key(&id), "job {} got no slice", id);
         }
     }
 }
