--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,14 +1,16 @@
 //! `relay-experiments`: counts over a fleet's logs, and experiments on the simulation.
 
 mod chart;
+mod error;
 mod fleet;
-mod sizes;
-mod store;
+mod fleet_sizes;
+mod store_benchmark;
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use fleet::ReportDetail;
 
 /// Counts over a fleet's logs, and experiments on the simulation, as tables and charts.
 #[derive(Parser)]
@@ -54,26 +56,6 @@
     },
 }
 
-/// Why a command came to nothing.
-#[derive(Debug, thiserror::Error)]
-pub enum Error {
-    /// A file or folder can't be used.
-    #[error("cannot use {0}: {1}")]
-    File(PathBuf, std::io::Error),
-    /// There is nothing to count.
-    #[error("{0} holds no log with lines of calls; the operator file's log_calls writes them")]
-    NoLines(PathBuf),
-    /// A chart could not be drawn.
-    #[error("cannot draw the chart: {0}")]
-    Chart(String),
-    /// A number of relays that no day can have.
-    #[error("{0} relays are not from 1 to 200")]
-    Relays(u16),
-    /// The store gave an error.
-    #[error("cannot use a store: {0}")]
-    Store(String),
-}
-
 fn main() -> ExitCode {
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
@@ -87,17 +69,7 @@
             return code;
         }
     };
-    let done = match arguments.command {
-        Command::Fleet { logs, step, brief } => fleet::run(&logs, step, brief),
-        Command::Store { records } => store::run(records),
-        Command::Sizes {
-            relays,
-            seeds,
-            jobs,
-            chart,
-        } => sizes::run(&relays, seeds, jobs, chart.as_deref()),
-    };
-    match done {
+    match run(arguments.command) {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
@@ -108,3 +80,24 @@
         }
     }
 }
+
+/// Runs a command; the text for standard output.
+fn run(command: Command) -> Result<String, error::Error> {
+    match command {
+        Command::Fleet { logs, step, brief } => {
+            let detail = if brief {
+                ReportDetail::TotalsOnly
+            } else {
+                ReportDetail::Intervals
+            };
+            fleet::run(&logs, step, detail)
+        }
+        Command::Store { records } => store_benchmark::run(records),
+        Command::Sizes {
+            relays,
+            seeds,
+            jobs,
+            chart,
+        } => fleet_sizes::run(&relays, seeds, jobs, chart.as_deref()),
+    }
+}
