--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -10,5 +10,4 @@
 pub use protocol::{
     encode_action, parse_batch_header, Adapter, BatchHeader, ProtocolError, BATCH_HEADER_BYTES,
 };
-// The relay calls `adapter::settings`; the second name can go once it calls the first.
-pub use settings::{parse_settings, parse_settings as settings, SettingsError};
+pub use settings::{parse_settings, SettingsError};
--- a/crates/adapter/src/protocol/decode.rs
+++ b/crates/adapter/src/protocol/decode.rs
@@ -8,7 +8,7 @@
 use super::ProtocolError;
 use crate::settings::parse_settings;
 
-/// How many host lists the simulator may keep at the adapter.
+/// How many host lists the simulator may store in the adapter.
 const MAX_HOST_LISTS: usize = 16;
 /// A message's flag: the expected work is valid.
 const FLAG_EXPECTED_WORK_VALID: u8 = 1;
@@ -33,7 +33,7 @@
     pub(super) const HOST_LIST: u8 = 10;
 }
 
-/// How a relay learns of hosts.
+/// Codes of how a relay learns of hosts.
 mod host_update_code {
     pub(super) const CACHED: u8 = 0;
     pub(super) const DISCOVERY_FAILED: u8 = 1;
@@ -41,6 +41,25 @@
     pub(super) const PARTIAL: u8 = 3;
 }
 
+/// Codes of a host's state.
+mod host_state_code {
+    pub(super) const REMOVED: u8 = 0;
+    pub(super) const READY: u8 = 1;
+    pub(super) const DRAINING: u8 = 2;
+}
+
+/// Codes of how an attempt or a probe ended.
+mod outcome_code {
+    pub(super) const DELIVERED: u16 = 0;
+    pub(super) const ERROR: u16 = 1;
+    pub(super) const REJECTED: u16 = 2;
+    pub(super) const TIMEOUT: u16 = 3;
+    pub(super) const CONNECT_FAILED: u16 = 4;
+    pub(super) const RESET: u16 = 5;
+    pub(super) const CANCELLED: u16 = 6;
+    pub(super) const OBSOLETE: u16 = 7;
+}
+
 /// One record of a batch.
 pub(super) enum Record {
     /// A host list, which the decoder keeps for later records.
@@ -170,9 +189,9 @@
 fn decode_host_state(reader: &mut ByteReader<'_>) -> Result<HostState, ProtocolError> {
     let offset = reader.offset();
     match reader.u8()? {
-        0 => Ok(HostState::Removed),
-        1 => Ok(HostState::Ready),
-        2 => Ok(HostState::Draining),
+        host_state_code::REMOVED => Ok(HostState::Removed),
+        host_state_code::READY => Ok(HostState::Ready),
+        host_state_code::DRAINING => Ok(HostState::Draining),
         code => Err(ProtocolError::UnknownHostState { code, offset }),
     }
 }
@@ -217,15 +236,15 @@
     let id = reader.u64()?;
     let attempt = reader.u8()?;
     let host = reader.u32()?;
-    let outcome = decode_outcome_code(reader)?;
+    let outcome = decode_outcome(reader)?;
     let elapsed = Micros::from(reader.u32()?);
     let is_final = reader.u8()? != 0;
-    let retry_after_millis = reader.u32()?;
+    let retry_after = Micros::from(reader.u32()?) * MICROS_PER_MILLI;
     Ok(Event::AttemptEnded(AttemptEnd {
         id,
         attempt,
         host,
-        outcome: attempt_outcome(outcome, retry_after_millis),
+        outcome: with_retry_after(outcome, retry_after),
         elapsed,
         is_final,
         load_report: decode_load_report(reader)?,
@@ -234,7 +253,7 @@
 
 fn decode_probe_end(reader: &mut ByteReader<'_>) -> Result<Event, ProtocolError> {
     let host = reader.u32()?;
-    let outcome = attempt_outcome(decode_outcome_code(reader)?, 0);
+    let outcome = decode_outcome(reader)?;
     let elapsed = Micros::from(reader.u32()?);
     Ok(Event::ProbeEnded {
         host,
@@ -244,27 +263,28 @@
     })
 }
 
-/// Reads an outcome's code, which [`attempt_outcome`] knows.
-fn decode_outcome_code(reader: &mut ByteReader<'_>) -> Result<u16, ProtocolError> {
+/// Decodes an outcome. A rejection has no Retry-After yet, which stands later in the record of an attempt, and is missing
+/// in that of a probe.
+fn decode_outcome(reader: &mut ByteReader<'_>) -> Result<AttemptOutcome, ProtocolError> {
     let offset = reader.offset();
     match reader.u16()? {
-        code @ 0..=7 => Ok(code),
+        outcome_code::DELIVERED => Ok(AttemptOutcome::Delivered),
+        outcome_code::ERROR => Ok(AttemptOutcome::Error),
+        outcome_code::REJECTED => Ok(AttemptOutcome::Rejected { retry_after: 0 }),
+        outcome_code::TIMEOUT => Ok(AttemptOutcome::Timeout),
+        outcome_code::CONNECT_FAILED => Ok(AttemptOutcome::ConnectFailed),
+        outcome_code::RESET => Ok(AttemptOutcome::Reset),
+        outcome_code::CANCELLED => Ok(AttemptOutcome::Cancelled),
+        outcome_code::OBSOLETE => Ok(AttemptOutcome::Obsolete),
         code => Err(ProtocolError::UnknownOutcome { code, offset }),
     }
 }
 
-fn attempt_outcome(code: u16, retry_after_millis: u32) -> AttemptOutcome {
-    match code {
-        0 => AttemptOutcome::Delivered,
-        1 => AttemptOutcome::Error,
-        2 => AttemptOutcome::Rejected {
-            retry_after: Micros::from(retry_after_millis) * MICROS_PER_MILLI,
-        },
-        3 => AttemptOutcome::Timeout,
-        4 => AttemptOutcome::ConnectFailed,
-        5 => AttemptOutcome::Reset,
-        6 => AttemptOutcome::Cancelled,
-        _ => AttemptOutcome::Obsolete,
+/// Sets the Retry-After of a rejection, in microseconds; other outcomes have none.
+fn with_retry_after(outcome: AttemptOutcome, retry_after: Micros) -> AttemptOutcome {
+    match outcome {
+        AttemptOutcome::Rejected { .. } => AttemptOutcome::Rejected { retry_after },
+        other => other,
     }
 }
 
--- a/crates/adapter/tests/common/mod.rs
+++ b/crates/adapter/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests share.
+//! Settings that several test files use.
 
 /// Settings with every key that the parser reads in an unusual way, and one that it does not know.
 pub const SETTINGS: &str = r#"{"services":[{"aim":2000000,"giveUp":24000000,"effect":"dedup","keyScope":"zone",
--- a/crates/adapter/tests/program.rs
+++ b/crates/adapter/tests/program.rs
@@ -15,7 +15,7 @@
         .take()
         .expect("piped")
         .write_all(input)
-        .expect("takes the input");
+        .expect("accepts the input");
     child.wait_with_output().expect("ends")
 }
 
--- a/crates/adapter/tests/protocol.rs
+++ b/crates/adapter/tests/protocol.rs
@@ -1,27 +1,20 @@
-//! The simulator's protocol: the bytes of its specification, and invalid input.
+//! The simulator's protocol: the bytes that its specification gives as examples, and invalid input.
 
 mod common;
+mod hex;
 
 use adapter::{encode_action, parse_batch_header, Adapter, BatchHeader};
 use common::SETTINGS;
+use hex::bytes;
 use policy::types::Action;
 
-fn bytes(hex: &str) -> Vec<u8> {
-    let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
-    let byte = |pair: &[u8]| u8::from_str_radix(&String::from_utf8_lossy(pair), 16);
-    digits
-        .chunks(2)
-        .map(|pair| byte(pair).expect("hex"))
-        .collect()
-}
-
-fn start_record(relay: u16, text: &str) -> Vec<u8> {
-    let mut out = vec![0];
-    out.extend(relay.to_le_bytes());
-    out.extend(9u64.to_le_bytes());
-    out.extend((text.len() as u32).to_le_bytes());
-    out.extend(text.as_bytes());
-    out
+fn start_record(relay: u16, settings: &str) -> Vec<u8> {
+    let mut record = vec![0];
+    record.extend(relay.to_le_bytes());
+    record.extend(9u64.to_le_bytes());
+    record.extend((settings.len() as u32).to_le_bytes());
+    record.extend(settings.as_bytes());
+    record
 }
 
 const HOST_LIST: &str = "0a 00000000 02000000 0000803f 00 00 01 3900 074a1203 0000000000000000
@@ -92,76 +85,79 @@
         (Action::PollDiscovery, "06 0300"),
         (Action::Abort("x".into()), "01 0300 0100 78"),
     ] {
-        let mut out = Vec::new();
-        encode_action(3, &action, &mut out);
-        assert_eq!(out, bytes(hex), "{action:?}");
+        let mut record = Vec::new();
+        encode_action(3, &action, &mut record);
+        assert_eq!(record, bytes(hex), "{action:?}");
     }
 }
 
 #[test]
 fn events_of_each_kind_are_decoded_as_specified() {
     let mut adapter = Adapter::default();
-    let mut frame = start_record(3, SETTINGS);
-    frame.extend(bytes(HOST_LIST));
-    frame.extend(bytes(MESSAGE_RECEIVED));
+    let mut payload = start_record(3, SETTINGS);
+    payload.extend(bytes(HOST_LIST));
+    payload.extend(bytes(MESSAGE_RECEIVED));
     let reply = adapter
-        .handle_batch(0x80_5c5a - 600_000, &frame)
+        .handle_batch(0x80_5c5a - 600_000, &payload)
         .expect("a reply");
     let send = bytes("03 0300 c4913a5df5c50e00");
     assert!(
         reply.windows(send.len()).any(|part| part == send),
-        "the message goes out at once"
+        "the message is sent at once"
     );
-    let more = format!(
+    let events = format!(
         "{ATTEMPT_ENDED} 05 0300 192b6f0e132b0b00 06 0300 4d00000000000000 08 0300 0100 0200 6869
         03 0300 c4913a5df5c50e00 00 074a1203 44480000 07 0300 074a1203 0200 44480000 00
         01 0300 2900000000000000 00000000 01 01 0300 2a00000000000000 00000000 03"
     );
-    assert!(adapter.handle_batch(0x80_5c5a, &bytes(&more)).is_ok());
-    let mut again = bytes("09 0300");
-    again.extend(start_record(3, SETTINGS));
-    again.extend(bytes(HOST_LIST));
-    assert!(adapter.handle_batch(0x80_5c5b, &again).is_ok());
+    assert!(adapter.handle_batch(0x80_5c5a, &bytes(&events)).is_ok());
+    let mut restart = bytes("09 0300");
+    restart.extend(start_record(3, SETTINGS));
+    restart.extend(bytes(HOST_LIST));
+    assert!(adapter.handle_batch(0x80_5c5b, &restart).is_ok());
 }
 
 #[test]
 fn truncated_and_corrupted_payloads_are_errors_without_panic() {
-    let mut frame = start_record(3, SETTINGS);
-    frame.extend(bytes(HOST_LIST));
-    frame.extend(bytes(MESSAGE_RECEIVED));
-    frame.extend(bytes(ATTEMPT_ENDED));
-    let cut_errors = (1..frame.len())
-        .filter(|n| Adapter::default().handle_batch(9, &frame[..*n]).is_err())
+    let mut payload = start_record(3, SETTINGS);
+    payload.extend(bytes(HOST_LIST));
+    payload.extend(bytes(MESSAGE_RECEIVED));
+    payload.extend(bytes(ATTEMPT_ENDED));
+    let truncation_errors = (1..payload.len())
+        .filter(|n| Adapter::default().handle_batch(9, &payload[..*n]).is_err())
         .count();
-    assert!(cut_errors > frame.len() - 8, "only whole records pass");
+    assert!(
+        truncation_errors > payload.len() - 8,
+        "only complete records are valid"
+    );
     let mut state = 1u64;
     for _ in 0..20_000 {
         state = state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        let mut odd = frame.clone();
-        let at = (state >> 33) as usize % odd.len();
-        odd[at] = (state >> 20) as u8;
-        if let Err(error) = Adapter::default().handle_batch(9, &odd) {
+        let mut corrupted = payload.clone();
+        let at = (state >> 33) as usize % corrupted.len();
+        corrupted[at] = (state >> 20) as u8;
+        if let Err(error) = Adapter::default().handle_batch(9, &corrupted) {
             assert!(!error.to_string().contains('\n'));
         }
     }
-    for odd in [
+    for invalid in [
         "63",
         "0b 0300",
         "01 0300 2900000000000000 05000000 00",
         "0a 10000000 00000000",
     ] {
         assert!(
-            Adapter::default().handle_batch(9, &bytes(odd)).is_err(),
-            "{odd}"
+            Adapter::default().handle_batch(9, &bytes(invalid)).is_err(),
+            "{invalid}"
         );
     }
 }
 
 #[test]
 fn protocol_errors_have_their_exact_text() {
-    for (frame, expected) in [
+    for (payload, expected) in [
         ("63", "unknown event code 99 at byte 0 of the frame"),
         ("0b 0300", "unknown event code 11 at byte 0 of the frame"),
         (
@@ -197,8 +193,8 @@
             "settings are not an object at the settings text",
         ),
     ] {
-        let result = Adapter::default().handle_batch(9, &bytes(frame));
-        let error = result.expect_err(frame);
-        assert_eq!(error.to_string(), expected, "{frame}");
+        let result = Adapter::default().handle_batch(9, &bytes(payload));
+        let error = result.expect_err(payload);
+        assert_eq!(error.to_string(), expected, "{payload}");
     }
 }
--- a/crates/adapter/tests/settings.rs
+++ b/crates/adapter/tests/settings.rs
@@ -8,40 +8,40 @@
 
 #[test]
 fn settings_are_parsed_and_unknown_keys_ignored() {
-    let set = parse_settings(SETTINGS.as_bytes()).expect("settings");
+    let settings = parse_settings(SETTINGS.as_bytes()).expect("settings");
     assert_eq!(
-        set.classes[0].idempotency,
+        settings.classes[0].idempotency,
         Idempotency::Keyed {
             window: 6_000_000,
             zone_only: true
         }
     );
-    assert_eq!(set.classes[1].idempotency, Idempotency::NonIdempotent);
+    assert_eq!(settings.classes[1].idempotency, Idempotency::NonIdempotent);
     assert!(
-        set.classes[0].is_ordered
-            && set.polls_discovery
-            && set.kinds[1].has_host_routes
-            && set.can_probe
+        settings.classes[0].is_ordered
+            && settings.polls_discovery
+            && settings.kinds[1].has_host_routes
+            && settings.can_probe
     );
     assert_eq!(
         (
-            set.max_calls,
-            set.max_queued,
-            set.max_attempts,
-            set.replicas
+            settings.max_calls,
+            settings.max_queued,
+            settings.max_attempts,
+            settings.replicas
         ),
         (8, 100, 12, 2)
     );
     assert_eq!(
         (
-            set.kinds[1].max_messages_per_call,
-            set.decay,
-            set.weight_source
+            settings.kinds[1].max_messages_per_call,
+            settings.decay,
+            settings.weight_source
         ),
         (4, ValueDecay::Halving, WeightSource::Rough)
     );
     assert_eq!(
-        set.report_fields,
+        settings.report_fields,
         [
             ReportField::LimitPerSecond,
             ReportField::Other,
@@ -50,9 +50,9 @@
     );
     assert_eq!(
         (
-            set.rules.ordering_delay,
-            set.max_retry_after,
-            set.zone_fees[0]
+            settings.rules.ordering_delay,
+            settings.max_retry_after,
+            settings.zone_fees[0]
         ),
         (9, 7, 0.5)
     );
@@ -60,7 +60,7 @@
 
 #[test]
 fn invalid_settings_are_reported_with_reason_and_path() {
-    for (text, say) in [
+    for (text, expected) in [
         ("{", "not JSON"),
         ("[]", "not an object"),
         ("{}", "/services"),
@@ -87,7 +87,7 @@
     ] {
         let error = parse_settings(text.as_bytes()).expect_err(text).to_string();
         assert!(
-            error.contains(say) && !error.contains('\n'),
+            error.contains(expected) && !error.contains('\n'),
             "{text}: {error}"
         );
     }
--- a/crates/adapter/tests/transcript.rs
+++ b/crates/adapter/tests/transcript.rs
@@ -1,15 +1,13 @@
-//! A transcript of the simulator's wire: 900 batches to two instances, through outages, limits and drains, and the
+//! A transcript of the simulator's protocol: 900 batches to two relays, with outages, limits and draining hosts, and the
 //! replies of the version that wrote the golden file. No test rewrites it.
 
+mod hex;
+
 use std::fs;
 use std::path::Path;
 
 use adapter::Adapter;
-
-fn bytes(hex: &str) -> Vec<u8> {
-    let byte = |pair: &[u8]| u8::from_str_radix(&String::from_utf8_lossy(pair), 16).expect("hex");
-    hex.as_bytes().chunks(2).map(byte).collect()
-}
+use hex::bytes;
 
 #[test]
 fn replies_are_as_in_the_golden_transcript() {
