--- a/crates/fault-injection/src/calls.rs
+++ b/crates/fault-injection/src/calls.rs
@@ -1,14 +1,14 @@
-//! The functions of the C library that are replaced. Each does the system call itself, or fails as Linux documents.
+//! The functions of the C library that are replaced. Each makes the system call itself, or fails as Linux documents.
 
 use std::sync::atomic::Ordering::Relaxed;
 
-use libc::{c_int, c_void, iovec, sockaddr, socklen_t, ssize_t};
+use libc::{c_int, c_long, c_void, iovec, sockaddr, socklen_t, ssize_t};
 
 use crate::control::Control;
-use crate::{fail, strikes};
+use crate::{draw_fault, fail_with};
 
-/// The most parts of a vectored write that are looked at; more are passed on whole.
-const MAX_PARTS: usize = 16;
+/// Most buffers of a vectored write that can be shortened; one with more is passed to the system unchanged.
+const MAX_SHORTENED_BUFFERS: usize = 16;
 const MS_PER_SECOND: i64 = 1000;
 const NS_PER_MS: i64 = 1_000_000;
 const NS_PER_SECOND: i64 = 1_000_000_000;
@@ -18,28 +18,51 @@
 const SOCKET_ERRORS: [c_int; 2] = [libc::ENFILE, libc::ENOBUFS];
 const WRITE_ERRORS: [c_int; 2] = [libc::ENOSPC, libc::EIO];
 
-fn pick(errors: &[c_int]) -> isize {
-    fail(errors[Control::get().random(errors.len() as u64) as usize])
+/// Fails with one of the errors, chosen at random.
+fn fail_with_any_of(errors: &[c_int]) -> isize {
+    fail_with(errors[Control::get().random(errors.len() as u64) as usize])
 }
 
+/// Decides at random whether a network call fails.
 fn network_call_fails() -> bool {
-    strikes(Control::get().network_failures_percent.load(Relaxed))
+    draw_fault(Control::get().network_failures_percent.load(Relaxed))
 }
 
-/// The length that a transfer of `length` bytes is cut to.
+/// The length of a transfer that was requested with `length` bytes: all of it, or a random part.
 fn transfer_length(length: usize) -> usize {
-    if length > 1 && strikes(Control::get().short_transfers_percent.load(Relaxed)) {
+    if length > 1 && draw_fault(Control::get().short_transfers_percent.load(Relaxed)) {
         1 + Control::get().random(length as u64 - 1) as usize
     } else {
         length
     }
 }
 
+/// Transfers on a connected socket: makes a system call that could also take an address, without one.
+unsafe fn transfer(
+    call: c_long,
+    socket: c_int,
+    buffer: *const c_void,
+    length: usize,
+    flags: c_int,
+) -> ssize_t {
+    let no_address = 0usize;
+    let no_address_length = 0usize;
+    libc::syscall(
+        call,
+        socket,
+        buffer,
+        length,
+        flags,
+        no_address,
+        no_address_length,
+    ) as ssize_t
+}
+
 fn is_socket(descriptor: c_int) -> bool {
     file_type(descriptor) == libc::S_IFSOCK
 }
 
-/// Whether writes to a descriptor may fail. The log does not count.
+/// Whether writes to a descriptor may fail: those to regular files, but not to the log on a standard stream.
 fn is_stored_file(descriptor: c_int) -> bool {
     descriptor > libc::STDERR_FILENO && file_type(descriptor) == libc::S_IFREG
 }
@@ -82,16 +105,7 @@
         0 => transfer_length(length),
         _ => length,
     };
-    let (address, address_length) = (0usize, 0usize);
-    libc::syscall(
-        libc::SYS_recvfrom,
-        socket,
-        buffer,
-        length,
-        flags,
-        address,
-        address_length,
-    ) as ssize_t
+    transfer(libc::SYS_recvfrom, socket, buffer, length, flags)
 }
 
 /// # Safety
@@ -104,39 +118,29 @@
     flags: c_int,
 ) -> ssize_t {
     let length = transfer_length(length);
-    let (address, address_length) = (0usize, 0usize);
-    libc::syscall(
-        libc::SYS_sendto,
-        socket,
-        buffer,
-        length,
-        flags,
-        address,
-        address_length,
-    ) as ssize_t
+    transfer(libc::SYS_sendto, socket, buffer, length, flags)
 }
 
 /// # Safety
 /// As `writev` of the C library.
 #[no_mangle]
-pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    let whole = || libc::syscall(libc::SYS_writev, descriptor, parts, count) as ssize_t;
+pub unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     let count = count as usize;
-    if !(1..=MAX_PARTS).contains(&count) || !is_socket(descriptor) {
-        return whole();
+    if !(1..=MAX_SHORTENED_BUFFERS).contains(&count) || !is_socket(descriptor) {
+        return libc::syscall(libc::SYS_writev, descriptor, buffers, count) as ssize_t;
     }
-    let mut cut = [iovec {
+    let mut shortened = [iovec {
         iov_base: std::ptr::null_mut(),
         iov_len: 0,
-    }; MAX_PARTS];
-    std::ptr::copy_nonoverlapping(parts, cut.as_mut_ptr(), count);
-    let total = cut.iter().map(|part| part.iov_len).sum();
-    let mut left = transfer_length(total);
-    for part in &mut cut[..count] {
-        part.iov_len = part.iov_len.min(left);
-        left -= part.iov_len;
+    }; MAX_SHORTENED_BUFFERS];
+    std::ptr::copy_nonoverlapping(buffers, shortened.as_mut_ptr(), count);
+    let total = shortened.iter().map(|buffer| buffer.iov_len).sum();
+    let mut remaining = transfer_length(total);
+    for buffer in &mut shortened[..count] {
+        buffer.iov_len = buffer.iov_len.min(remaining);
+        remaining -= buffer.iov_len;
     }
-    libc::syscall(libc::SYS_writev, descriptor, cut.as_ptr(), count) as ssize_t
+    libc::syscall(libc::SYS_writev, descriptor, shortened.as_ptr(), count) as ssize_t
 }
 
 /// # Safety
@@ -145,10 +149,10 @@
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: usize) -> ssize_t {
     let control = Control::get();
     let mut length = length;
-    if strikes(control.file_failures_percent.load(Relaxed)) && is_stored_file(descriptor) {
-        // Half of the failures write a part, after which the rest fails or the process is killed.
+    if draw_fault(control.file_failures_percent.load(Relaxed)) && is_stored_file(descriptor) {
+        // Half of the faults fail the call, the other half write a part: the caller may then fail on the rest, or be killed.
         if length < 2 || control.random(2) == 0 {
-            return pick(&WRITE_ERRORS);
+            return fail_with_any_of(&WRITE_ERRORS);
         }
         length = 1 + control.random(length as u64 - 1) as usize;
     }
@@ -165,7 +169,7 @@
     flags: c_int,
 ) -> c_int {
     if network_call_fails() {
-        return pick(&ACCEPT_ERRORS) as c_int;
+        return fail_with_any_of(&ACCEPT_ERRORS) as c_int;
     }
     libc::syscall(libc::SYS_accept4, socket, address, length, flags) as c_int
 }
@@ -179,7 +183,7 @@
     length: socklen_t,
 ) -> c_int {
     if network_call_fails() {
-        return pick(&CONNECT_ERRORS) as c_int;
+        return fail_with_any_of(&CONNECT_ERRORS) as c_int;
     }
     libc::syscall(libc::SYS_connect, socket, address, length) as c_int
 }
@@ -189,7 +193,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if network_call_fails() {
-        return pick(&SOCKET_ERRORS) as c_int;
+        return fail_with_any_of(&SOCKET_ERRORS) as c_int;
     }
     libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int
 }
@@ -204,16 +208,17 @@
     timeout: c_int,
 ) -> c_int {
     if network_call_fails() {
-        return fail(libc::EINTR) as c_int;
+        return fail_with(libc::EINTR) as c_int;
     }
-    let (signals, signals_size) = (0usize, 0usize);
+    let no_signals = 0usize;
+    let no_signals_size = 0usize;
     libc::syscall(
         libc::SYS_epoll_pwait,
         epoll,
         events,
         count,
         timeout,
-        signals,
-        signals_size,
+        no_signals,
+        no_signals_size,
     ) as c_int
 }
--- a/crates/fault-injection/src/control.rs
+++ b/crates/fault-injection/src/control.rs
@@ -1,29 +1,30 @@
-//! The control file: numbers that a test sets while the process runs.
+//! The control file, by which a test sets the rates of faults while the process runs.
 
 use std::ffi::CString;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// Names the control file.
+/// The environment variable that names the control file.
 const CONTROL_VARIABLE: &str = "FAULT_INJECTION_CONTROL";
 
-/// The content of the control file, in native byte order. `relay/tests/scene/faults.rs` writes it.
+/// The content of the control file, in native byte order. The relay's tests write it (`faults.rs`), by the offsets of
+/// the fields: their order and size must not change.
 #[repr(C)]
 pub struct Control {
-    /// What the wall clock is ahead, in milliseconds; negative if it is behind.
+    /// How far the wall clock is ahead, in milliseconds; negative if it is behind.
     pub wall_clock_step_ms: AtomicI64,
-    /// Of a hundred transfers on sockets, how many are cut to a random part.
+    /// Of a hundred transfers on sockets, how many are shortened to a random length.
     pub short_transfers_percent: AtomicI64,
-    /// Of a hundred calls of accept, connect, socket and epoll_wait, how many fail for the moment.
+    /// Of a hundred calls of accept, connect, socket and epoll_wait, how many fail with an error that is temporary.
     pub network_failures_percent: AtomicI64,
-    /// Of a hundred writes to files, how many fail or are half done.
+    /// Of a hundred writes to files, how many fail or write only a part.
     pub file_failures_percent: AtomicI64,
-    /// State of the generator of random numbers.
+    /// State of the random number generator; a test writes its seed here.
     random_state: AtomicU64,
 }
 
 impl Control {
-    /// The mapped control file; all zero, which is no fault, in a process without one.
+    /// The mapped control file, or [`NO_FAULTS`] in a process without one.
     pub fn get() -> &'static Control {
         static CONTROL: OnceLock<&'static Control> = OnceLock::new();
         CONTROL.get_or_init(|| map_control_file().unwrap_or(&NO_FAULTS))
@@ -40,6 +41,7 @@
     }
 }
 
+/// What applies in a process without a control file.
 static NO_FAULTS: Control = Control {
     wall_clock_step_ms: AtomicI64::new(0),
     short_transfers_percent: AtomicI64::new(0),
@@ -48,6 +50,7 @@
     random_state: AtomicU64::new(0),
 };
 
+/// Maps the file that the environment names; none if it cannot be opened or mapped.
 fn map_control_file() -> Option<&'static Control> {
     let path = CString::new(std::env::var(CONTROL_VARIABLE).ok()?).ok()?;
     // SAFETY: the path is a valid C string, and the descriptor is used here alone.
