--- a/crates/jobs/src/job_table.rs
+++ b/crates/jobs/src/job_table.rs
@@ -76,11 +76,12 @@
             .filter(move |(_, job)| job.spec.owner == *owner)
     }
 
-    /// Has to follow each change of a job's state: removes the oldest finished jobs beyond the bound.
-    pub(crate) fn evict_finished(&mut self, changed: JobId) {
-        let is_finished = self.get(changed).is_some_and(|job| job.state.is_terminal());
-        if is_finished && !self.finished.contains(&changed) {
-            self.finished.push_back(changed);
+    /// Has to be called after each change of a job's state: a finished job is listed, and the oldest ones beyond
+    /// [`MAX_FINISHED_JOBS`] are removed.
+    pub(crate) fn record_state_change(&mut self, id: JobId) {
+        let is_finished = self.get(id).is_some_and(|job| job.state.is_terminal());
+        if is_finished && !self.finished.contains(&id) {
+            self.finished.push_back(id);
         }
         while self.finished.len() > MAX_FINISHED_JOBS {
             if let Some(oldest) = self.finished.pop_front() {
@@ -94,8 +95,8 @@
         let mut status = DependencyStatus::Met;
         for id in &job.spec.dependencies {
             match self.get(*id).map(|dependency| &dependency.state) {
-                // A finished job that was removed had completed: one that fails takes its dependents with it at the
-                // next decision.
+                // A finished job that was removed counts as completed: the dependents of a failed one fail at the next
+                // decision, which is normally before a thousand further jobs have finished.
                 None | Some(JobState::Completed { .. }) => {}
                 Some(JobState::Failed(_) | JobState::Cancelled) => {
                     return DependencyStatus::Failed;
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -68,6 +68,18 @@
     next_start: Micros,
 }
 
+impl Candidates {
+    /// When the decision may change, if no candidate can run for want of budget.
+    fn next_decision_at(&self, now: Micros) -> Micros {
+        let has_work = self.first_by_class.iter().any(Option::is_some);
+        if has_work {
+            self.next_start.min(now + BUDGET_POLL_INTERVAL)
+        } else {
+            self.next_start
+        }
+    }
+}
+
 /// All jobs, and the choice between them.
 #[derive(Debug)]
 pub struct Scheduler {
@@ -172,7 +184,7 @@
         if !job.apply_command(command, now) {
             return Err(SchedulerError::NoChange);
         }
-        self.jobs.evict_finished(id);
+        self.jobs.record_state_change(id);
         Ok(())
     }
 
@@ -182,7 +194,7 @@
         for id in owned {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.remove_owner();
-                self.jobs.evict_finished(id);
+                self.jobs.record_state_change(id);
             }
         }
         self.last_slice_by_owner
@@ -200,14 +212,14 @@
         }
         self.fail_dependents();
         let candidates = self.candidates(now);
-        let runnable = self.within_budget(&candidates);
+        let runnable = self.runnable_jobs(&candidates);
         if runnable.iter().all(Option::is_none) {
             return SchedulerDecision::Wait {
-                until: next_start(&candidates, now),
+                until: candidates.next_decision_at(now),
             };
         }
         self.drop_unused_deficits(&candidates);
-        let job = self.take_turns(&runnable);
+        let job = self.advance_round_robin(&runnable);
         let time_slice = self.time_slice(traffic);
         self.start_slice(job, now);
         SchedulerDecision::Run { job, time_slice }
@@ -247,7 +259,7 @@
             if let Some(job) = self.jobs.get_mut(id) {
                 job.fail_dependency();
             }
-            self.jobs.evict_finished(id);
+            self.jobs.record_state_change(id);
         }
     }
 
@@ -290,7 +302,7 @@
     }
 
     /// The candidates of those classes that have not used up their budgets.
-    fn within_budget(&self, candidates: &Candidates) -> [Option<JobId>; PriorityClass::COUNT] {
+    fn runnable_jobs(&self, candidates: &Candidates) -> [Option<JobId>; PriorityClass::COUNT] {
         std::array::from_fn(|class| {
             candidates.first_by_class[class]
                 .filter(|_| self.remaining[class].allows_slice())
@@ -307,9 +319,9 @@
         }
     }
 
-    /// Continues the round robin up to the next class that has a job to run and a positive deficit. At least one class
-    /// must have a job to run.
-    fn take_turns(&mut self, runnable: &[Option<JobId>; PriorityClass::COUNT]) -> JobId {
+    /// Continues the round robin up to the next class that has a job to run and a positive deficit, and returns that job.
+    /// At least one class must have a job to run: its deficit grows with each round.
+    fn advance_round_robin(&mut self, runnable: &[Option<JobId>; PriorityClass::COUNT]) -> JobId {
         loop {
             let class = self.current_class;
             if let Some(job) = runnable[class].filter(|_| self.remaining[class].deficit > 0) {
@@ -366,16 +378,6 @@
         let class = job.spec.class.index();
         self.remaining[class].charge(&self.settings.budgets[class], usage);
         job.slice_completed(outcome, usage.time, now, jitter);
-        self.jobs.evict_finished(id);
-    }
-}
-
-/// When a decision may differ if no candidate's class has budget left.
-fn next_start(candidates: &Candidates, now: Micros) -> Micros {
-    let has_work = candidates.first_by_class.iter().any(Option::is_some);
-    if has_work {
-        candidates.next_start.min(now + BUDGET_POLL_INTERVAL)
-    } else {
-        candidates.next_start
+        self.jobs.record_state_change(id);
     }
 }
