--- a/crates/control/src/lifecycle.rs
+++ b/crates/control/src/lifecycle.rs
@@ -59,10 +59,10 @@
     Drain,
     /// An operator ends the drain.
     Resume,
-    /// Another process takes over.
-    HandOver,
-    /// That process is gone, or the hand-over failed: this process owns everything again.
-    TakenBack,
+    /// Another process requests the state directory.
+    HandoverRequested,
+    /// That process has exited, or the handover failed: this process owns everything again.
+    Reclaimed,
     /// SIGTERM.
     Stop,
     /// A process that stops has nothing left to do.
@@ -108,7 +108,7 @@
     /// An operator drained the relay. A successor inherits this.
     is_drained: bool,
     /// Another process takes over, or has taken over.
-    is_handed_over: bool,
+    has_successor: bool,
     /// The process stops and has nothing left to do: connections that wait at the port are served, and no more accepted.
     is_idle: bool,
 }
@@ -119,7 +119,7 @@
             state: LifecycleState::Starting,
             since: Duration::ZERO,
             is_drained: false,
-            is_handed_over: false,
+            has_successor: false,
             is_idle: false,
         }
     }
@@ -145,8 +145,8 @@
         match event {
             LifecycleEvent::Drain => self.is_drained = true,
             LifecycleEvent::Resume => self.is_drained = false,
-            LifecycleEvent::HandOver => self.is_handed_over = true,
-            LifecycleEvent::TakenBack => self.is_handed_over = false,
+            LifecycleEvent::HandoverRequested => self.has_successor = true,
+            LifecycleEvent::Reclaimed => self.has_successor = false,
             LifecycleEvent::Started | LifecycleEvent::Stop | LifecycleEvent::Idle => {}
         }
         self.state = next;
@@ -158,14 +158,15 @@
     fn next_state(&self, event: LifecycleEvent) -> Option<LifecycleState> {
         match (self.state, event) {
             (LifecycleState::Starting, LifecycleEvent::Started)
-            | (LifecycleState::HandingOver, LifecycleEvent::TakenBack) => {
+            | (LifecycleState::HandingOver, LifecycleEvent::Reclaimed) => {
                 Some(self.working_state())
             }
             (LifecycleState::Serving, LifecycleEvent::Drain) => Some(LifecycleState::Draining),
             (LifecycleState::Draining, LifecycleEvent::Resume) => Some(LifecycleState::Serving),
-            (LifecycleState::Serving | LifecycleState::Draining, LifecycleEvent::HandOver) => {
-                Some(LifecycleState::HandingOver)
-            }
+            (
+                LifecycleState::Serving | LifecycleState::Draining,
+                LifecycleEvent::HandoverRequested,
+            ) => Some(LifecycleState::HandingOver),
             (LifecycleState::Stopping, _) => None,
             (_, LifecycleEvent::Stop) => Some(LifecycleState::Stopping),
             _ => None,
@@ -188,10 +189,10 @@
     /// Whether everything is to be handed over now: another process takes over, and the clients are gone or have had
     /// [`HANDOVER_GRACE`].
     #[must_use]
-    pub fn should_hand_over(&self, now: Duration, clients: usize) -> bool {
+    pub fn should_start_handover(&self, now: Duration, clients: usize) -> bool {
         let is_grace_over =
             self.state == LifecycleState::Stopping || self.time_in_state(now) >= HANDOVER_GRACE;
-        self.is_handed_over && (clients == 0 || is_grace_over)
+        self.has_successor && (clients == 0 || is_grace_over)
     }
 
     /// Whether an operator has drained the relay.
@@ -206,10 +207,10 @@
         self.state == LifecycleState::Serving
     }
 
-    /// Whether new connections are accepted. A drained process goes on, to answer the load balancer's question with no.
+    /// Whether new connections are accepted. A drained process goes on, to answer the load balancer's readiness check negatively.
     #[must_use]
     pub fn accepts_connections(&self, now: Duration) -> bool {
-        if self.is_handed_over {
+        if self.has_successor {
             return false;
         }
         match self.state {
@@ -232,7 +233,7 @@
             LifecycleState::Draining => ConnectionStage::Open,
             LifecycleState::HandingOver if elapsed < HANDOVER_GRACE => ConnectionStage::Closing,
             LifecycleState::HandingOver => ConnectionStage::Refusing,
-            LifecycleState::Stopping if self.is_handed_over || self.is_drained => {
+            LifecycleState::Stopping if self.has_successor || self.is_drained => {
                 ConnectionStage::Refusing
             }
             LifecycleState::Stopping if elapsed >= STOP_CLOSE_DELAY => ConnectionStage::Refusing,
@@ -246,7 +247,7 @@
     /// Whether the process exits now. An idle one has no open calls, no clients and nothing left to do.
     #[must_use]
     pub fn should_exit(&self, now: Duration, is_idle: bool) -> bool {
-        let min_duration = if self.is_handed_over {
+        let min_duration = if self.has_successor {
             Duration::ZERO
         } else {
             STOP_MIN_DURATION
--- a/crates/control/tests/lifecycle.rs
+++ b/crates/control/tests/lifecycle.rs
@@ -13,8 +13,8 @@
     LifecycleEvent::Started,
     LifecycleEvent::Drain,
     LifecycleEvent::Resume,
-    LifecycleEvent::HandOver,
-    LifecycleEvent::TakenBack,
+    LifecycleEvent::HandoverRequested,
+    LifecycleEvent::Reclaimed,
     LifecycleEvent::Stop,
 ];
 
@@ -25,7 +25,9 @@
         LifecycleState::Starting => &[],
         LifecycleState::Serving => &[LifecycleEvent::Started],
         LifecycleState::Draining => &[LifecycleEvent::Started, LifecycleEvent::Drain],
-        LifecycleState::HandingOver => &[LifecycleEvent::Started, LifecycleEvent::HandOver],
+        LifecycleState::HandingOver => {
+            &[LifecycleEvent::Started, LifecycleEvent::HandoverRequested]
+        }
         LifecycleState::Stopping => &[LifecycleEvent::Started, LifecycleEvent::Stop],
     };
     for event in events {
@@ -119,16 +121,16 @@
 }
 
 #[test]
-fn drain_survives_a_hand_over_and_its_failure() {
+fn drain_survives_a_handover_and_its_failure() {
     let mut old = lifecycle_in(LifecycleState::Draining);
-    assert!(old.handle(LifecycleEvent::HandOver, MILLISECOND) && old.is_drained());
+    assert!(old.handle(LifecycleEvent::HandoverRequested, MILLISECOND) && old.is_drained());
     let mut new = Lifecycle::default();
     new.restore_drained(old.is_drained());
     assert!(new.handle(LifecycleEvent::Started, MILLISECOND));
     assert_eq!(new.state(), LifecycleState::Draining);
     assert!(new.handle(LifecycleEvent::Resume, MILLISECOND) && new.is_ready());
     // If the successor dies, the old process is drained as before.
-    assert!(old.handle(LifecycleEvent::TakenBack, MILLISECOND));
+    assert!(old.handle(LifecycleEvent::Reclaimed, MILLISECOND));
     assert_eq!(old.state(), LifecycleState::Draining);
 }
 
@@ -143,15 +145,16 @@
     );
     assert_eq!(lifecycle.stage(HANDOVER_GRACE), ConnectionStage::Refusing);
     assert!(
-        lifecycle.should_hand_over(Duration::ZERO, 0)
-            && !lifecycle.should_hand_over(HANDOVER_GRACE - MILLISECOND, 1)
+        lifecycle.should_start_handover(Duration::ZERO, 0)
+            && !lifecycle.should_start_handover(HANDOVER_GRACE - MILLISECOND, 1)
     );
-    assert!(lifecycle.should_hand_over(HANDOVER_GRACE, 1));
+    assert!(lifecycle.should_start_handover(HANDOVER_GRACE, 1));
     // On SIGTERM in between it hands over at once, and exits as soon as it is idle.
     let mut lifecycle = lifecycle;
     assert!(lifecycle.handle(LifecycleEvent::Stop, MILLISECOND));
     assert!(
-        lifecycle.should_hand_over(MILLISECOND, 9) && !lifecycle.accepts_connections(MILLISECOND)
+        lifecycle.should_start_handover(MILLISECOND, 9)
+            && !lifecycle.accepts_connections(MILLISECOND)
     );
     assert_eq!(lifecycle.stage(MILLISECOND), ConnectionStage::Refusing);
     assert!(
@@ -159,7 +162,7 @@
             && !lifecycle.should_exit(MILLISECOND, false)
             && lifecycle.should_exit(MILLISECOND + STOP_MAX_DURATION, false)
     );
-    assert!(!lifecycle_in(LifecycleState::Serving).should_hand_over(Duration::from_secs(9), 0));
+    assert!(!lifecycle_in(LifecycleState::Serving).should_start_handover(Duration::from_secs(9), 0));
 }
 
 #[test]
--- a/crates/control/tests/metrics.rs
+++ b/crates/control/tests/metrics.rs
@@ -31,7 +31,7 @@
     Ended(usize, MessageEnd),
     Rejected(usize, MessageEnd),
     Reload(bool),
-    HandedOver,
+    Handover,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -40,7 +40,7 @@
         4 => (0..4usize, end()).prop_map(|(class, end)| Step::Ended(class, end)),
         2 => (0..4usize, end()).prop_map(|(class, end)| Step::Rejected(class, end)),
         1 => any::<bool>().prop_map(Step::Reload),
-        1 => Just(Step::HandedOver),
+        1 => Just(Step::Handover),
     ]
 }
 
@@ -81,7 +81,7 @@
                     metrics.record_reload(is_applied);
                     reloads[usize::from(!is_applied)] += 1;
                 }
-                Step::HandedOver => {
+                Step::Handover => {
                     metrics.record_handover();
                     open = 0;
                 }
--- a/crates/relay/src/control_socket/shared_state.rs
+++ b/crates/relay/src/control_socket/shared_state.rs
@@ -147,10 +147,10 @@
     }
 
     /// Whether everything is to be handed over to another process now.
-    pub fn should_hand_over(&self, clients: usize) -> bool {
+    pub fn should_start_handover(&self, clients: usize) -> bool {
         self.lifecycle
             .borrow()
-            .should_hand_over(self.uptime(), clients)
+            .should_start_handover(self.uptime(), clients)
     }
 
     /// Whether an operator has drained the relay.
--- a/crates/relay/src/event_loop/attempts.rs
+++ b/crates/relay/src/event_loop/attempts.rs
@@ -16,6 +16,7 @@
 use crate::host_connections::Call;
 use crate::host_directory::ListedHost;
 use crate::journal::{Attempt, PendingMessage};
+use crate::state_directory::RunningCall;
 use crate::undeliverable_service;
 
 /// Whether the policy may expect more attempts of a message after one that could not be started.
@@ -81,7 +82,7 @@
             .then_some(listed)
     }
 
-    /// When a repeated call has to be on its way at the latest: hosts remember an idempotency key only for a window
+    /// When a repeated call has to be on its way at the latest: hosts keep an idempotency key only for a window
     /// after the first attempt that may have been executed. None if there is no such attempt or no such window.
     fn idempotency_deadline(&self, pending: &PendingMessage) -> Option<Instant> {
         let first_executed = pending
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Tells the policy that nothing was sent.
+    /// Reports to the policy that nothing was sent.
     fn attempt_not_sent(
         &mut self,
         id: MessageId,
@@ -118,8 +119,12 @@
 
     fn spawn_call(&mut self, call: Call) {
         let (cancel, cancelled) = oneshot::channel();
-        self.open_calls
-            .insert(call.id, (call.attempt, call.host, Some(cancel)));
+        let running_call = RunningCall {
+            attempt: call.attempt,
+            host: call.host,
+            cancel: Some(cancel),
+        };
+        self.open_calls.insert(call.id, running_call);
         let host_connections = self.host_connections.clone();
         let relay_events = self.relay_events.clone();
         self.runtime.spawn(async move {
@@ -130,10 +135,9 @@
     /// Ends an open call early. The call ends when its channel is dropped; a call of the departing process has no
     /// channel here and is not ended early.
     pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt: u8) {
-        if let Some((open_attempt, _, cancel)) = self.open_calls.get_mut(&id) {
-            if *open_attempt == attempt {
-                *cancel = None;
-            }
+        let open_call = self.open_calls.get_mut(&id);
+        if let Some(open_call) = open_call.filter(|open_call| open_call.attempt == attempt) {
+            open_call.cancel = None;
         }
     }
 
@@ -165,12 +169,12 @@
 
     fn forget_open_call(&mut self, id: MessageId, attempt: u8) {
         let open_call = self.open_calls.get(&id);
-        if open_call.is_some_and(|(open_attempt, ..)| *open_attempt == attempt) {
+        if open_call.is_some_and(|open_call| open_call.attempt == attempt) {
             self.open_calls.remove(&id);
         }
     }
 
-    /// Writes the outcome of an attempt to the journal, or removes the message if its host says that it is done and
+    /// Writes the outcome of an attempt to the journal, or removes the message if its host reports it as complete and
     /// the undeliverable service has nothing left to write about it.
     fn journal_outcome(&mut self, call: &CompletedCall, destination: Option<DestinationId>) {
         let CompletedCall { id, attempt, .. } = *call;
--- a/crates/relay/src/event_loop/handover.rs
+++ b/crates/relay/src/event_loop/handover.rs
@@ -7,10 +7,10 @@
 use runtime::{log, Runtime};
 
 use super::EventLoop;
-use crate::state_directory::{DepartingProcess, HandoverState};
+use crate::state_directory::{DepartingProcess, HandoverState, OpenCall};
 
 impl<R: Runtime> EventLoop<R> {
-    /// Serves now: a request to hand over that is left from before is void.
+    /// This process serves now, which voids the request by which it got the directory.
     pub fn withdraw_handover_request(&mut self) {
         self.directory_owner.withdraw_request();
     }
@@ -24,14 +24,14 @@
         Some(due_at)
     }
 
-    /// Looks for a request to hand over, and for ends of the departing process' calls.
+    /// Checks for a handover request, and for ends of the departing process' calls.
     fn check_state_directory(&mut self) {
-        let may_hand_over = matches!(
+        let may_start_handover = matches!(
             self.control.state(),
             LifecycleState::Serving | LifecycleState::Draining
         );
-        if may_hand_over && self.directory_owner.handover_requested() {
-            self.control.handle_event(LifecycleEvent::HandOver);
+        if may_start_handover && self.directory_owner.handover_requested() {
+            self.control.handle_event(LifecycleEvent::HandoverRequested);
         }
         for call in self.directory_owner.take_call_ends() {
             self.attempt_ended(call);
@@ -43,11 +43,13 @@
     ///
     /// # Errors
     /// If the state cannot be written. The directory then stays with this process.
-    pub fn hand_over(&mut self) -> io::Result<DepartingProcess<R>> {
+    pub fn start_handover(&mut self) -> io::Result<DepartingProcess<R>> {
         let state = self.handover_state();
         let messages = self.in_flight.len();
         let calls = state.open_calls.len();
-        let departing = self.directory_owner.hand_over(state, self.disk_limit)?;
+        let departing = self
+            .directory_owner
+            .start_handover(state, self.disk_limit)?;
         log!(
             self.runtime,
             "upgrade: handed over {messages} messages; {calls} calls are out here"
@@ -68,7 +70,11 @@
         let open_calls = self
             .open_calls
             .iter()
-            .map(|(id, (attempt, host, _))| (*id, *attempt, *host))
+            .map(|(id, call)| OpenCall {
+                id: *id,
+                attempt: call.attempt,
+                host: call.host,
+            })
             .collect();
         let mut state = HandoverState::new(
             self.control.is_drained(),
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -48,7 +48,7 @@
 use crate::host_directory::HostDirectory;
 use crate::in_flight::InFlightMessages;
 use crate::journal::Journal;
-use crate::state_directory::{Calls, DirectoryOwner};
+use crate::state_directory::{DirectoryOwner, RunningCalls};
 use crate::tenant_service::Tenants;
 use crate::undeliverable_service::UndeliverableService;
 
@@ -103,7 +103,7 @@
     last_round_at: Instant,
     in_flight: InFlightMessages,
     /// Calls to hosts that have not ended.
-    open_calls: Calls,
+    open_calls: RunningCalls,
     host_directory: HostDirectory,
     /// The policy's numbers of classes.
     classes: Classes,
--- a/crates/relay/src/event_loop/restore.rs
+++ b/crates/relay/src/event_loop/restore.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use policy::types::{Event, HostId, Message, MessageId, Micros, Outage, PastAttempt, TenantId};
+use policy::types::{Event, Message, MessageId, Micros, Outage, PastAttempt, TenantId};
 use policy::HandoverSnapshot;
 use relay_events::{DeliveryFailure, HostList};
 use runtime::{log, Runtime};
@@ -12,17 +12,12 @@
 use super::host_list::HostListSource;
 use super::{EventLoop, PolicyAborted};
 use crate::journal::{Attempt, PendingMessage, ResendOrigin};
-use crate::state_directory::HandoverState;
+use crate::state_directory::{HandoverState, OpenCall};
 
-/// A call that is open at the departing process.
-struct OpenCall {
-    attempt: u8,
-    host: HostId,
-}
-
-/// The parts of the hand-over that are restored after the host list.
+/// The parts of the handover state that are restored after the host list.
 #[derive(Default)]
 struct DeferredHandover {
+    /// Calls that are open at the departing process.
     open_calls: BTreeMap<MessageId, OpenCall>,
     /// Until when tenants have used their rates, in Unix time.
     used_rates: Vec<(String, Micros)>,
@@ -75,7 +70,7 @@
         let open_calls = state
             .open_calls
             .into_iter()
-            .map(|(id, attempt, host)| (id, OpenCall { attempt, host }))
+            .map(|call| (call.id, call))
             .collect();
         DeferredHandover {
             open_calls,
@@ -172,8 +167,7 @@
         policy_message(id, accepted, tenant?, class)
     }
 
-    /// Passes a message to the policy with its past attempts, as an adopted one if the departing process has handed
-    /// it over.
+    /// Passes a message to the policy with its past attempts; as an adopted one if it comes from the departing process.
     fn pass_to_policy(
         &mut self,
         message: Message,
--- a/crates/relay/src/process/departing.rs
+++ b/crates/relay/src/process/departing.rs
@@ -1,5 +1,5 @@
-//! A process that has handed over: waits for its open calls to end, and takes the state directory back if its
-//! successor is gone.
+//! A process that has handed over: waits for its open calls to end, and reclaims the state directory if its successor
+//! has exited.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl<R: Runtime> Process<R> {
-    /// Waits for the open calls to end. Returns the state directory if it came back to this process; otherwise the
+    /// Waits for the open calls to end. Returns the state directory if this process has reclaimed it; otherwise the
     /// process ends.
     pub(super) async fn finish_calls(
         &mut self,
@@ -29,7 +29,7 @@
             }
             self.control.publish_stage();
             if !self.is_stopping() {
-                match departing.take_back() {
+                match DirectoryOwner::reclaim(departing) {
                     Ok(directory_owner) => {
                         log!(
                             self.runtime,
--- a/crates/relay/src/process/mod.rs
+++ b/crates/relay/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! The life of one relay process: it starts, acquires the state directory, serves until it is stopped or another
+//! The lifecycle of one relay process: it starts, acquires the state directory, serves until it is stopped or another
 //! process takes over, and waits for its last calls to end.
 
 mod departing;
@@ -87,7 +87,7 @@
     Ok(())
 }
 
-/// Completes once the process is told to stop. Reloads are ignored, as the configuration is yet to be read.
+/// Completes once the process receives SIGTERM. Reloads are ignored, as the configuration is yet to be read.
 async fn wait_for_stop(signals: &mut impl Signals) {
     while signals.next().await != Signal::Stop {}
 }
@@ -123,10 +123,10 @@
         loop {
             let (departing, clients) = match self.serve(directory_owner).await? {
                 Served::Ended => return Ok(()),
-                Served::HandedOver { departing, clients } => (departing, clients),
+                Served::Departing { departing, clients } => (departing, clients),
             };
             match self.finish_calls(departing, &clients).await {
-                Some(taken_back) => directory_owner = taken_back,
+                Some(reclaimed) => directory_owner = reclaimed,
                 None => return Ok(()),
             }
         }
--- a/crates/relay/src/process/serving.rs
+++ b/crates/relay/src/process/serving.rs
@@ -30,7 +30,7 @@
     /// The process ends.
     Ended,
     /// Another process has the state directory; the open calls are still this one's.
-    HandedOver {
+    Departing {
         departing: DepartingProcess<R>,
         clients: Rc<ClientConnections<R>>,
     },
@@ -83,12 +83,12 @@
                 self.answer_last_requests(&mut event_loop).await?;
                 return Ok(Served::Ended);
             }
-            if !self.control.should_hand_over(servers.clients.count()) {
+            if !self.control.should_start_handover(servers.clients.count()) {
                 continue;
             }
             self.handle_waiting_events(&mut event_loop);
             event_loop.run_round()?;
-            match event_loop.hand_over() {
+            match event_loop.start_handover() {
                 Ok(departing) => return Ok(retire(event_loop, departing, servers)),
                 Err(error) => self.resume_serving(&servers, &error)?,
             }
@@ -196,7 +196,7 @@
 
     fn started_event(&self) -> LifecycleEvent {
         if self.control.state() == LifecycleState::HandingOver {
-            LifecycleEvent::TakenBack
+            LifecycleEvent::Reclaimed
         } else {
             LifecycleEvent::Started
         }
@@ -222,7 +222,7 @@
             self.runtime,
             "upgrade: cannot hand over, and serves on: {error}"
         );
-        if !self.control.handle_event(LifecycleEvent::TakenBack) {
+        if !self.control.handle_event(LifecycleEvent::Reclaimed) {
             return Ok(());
         }
         let descriptor = self.inherited_listener.unwrap_or(NO_DESCRIPTOR);
@@ -358,7 +358,7 @@
     servers.tasks.iter().for_each(Task::abort);
     event_loop.retire(&mut departing);
     departing.release_directory();
-    Served::HandedOver {
+    Served::Departing {
         departing,
         clients: servers.clients,
     }
--- a/crates/relay/src/state_directory/call_ends.rs
+++ b/crates/relay/src/state_directory/call_ends.rs
@@ -8,29 +8,29 @@
 
 use policy::types::{AttemptOutcome, HostId, MessageId};
 use relay_events::CompletedCall;
+use serde::{Deserialize, Serialize};
 
 use crate::journal::{decode, encode};
 
-/// A call that was open at the hand-over.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct OpenCall {
-    attempt: u8,
-    host: HostId,
+/// An attempt that is open at the hand-over. Postcard stores the fields by position.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct OpenCall {
+    /// The message.
+    pub id: MessageId,
+    /// The attempt's number.
+    pub attempt: u8,
+    /// The host.
+    pub host: HostId,
 }
 
-/// Calls that were open at the hand-over and have not ended yet.
+/// Calls that were open at the hand-over and have not ended yet, by their message.
 #[derive(Debug, Default)]
 pub(super) struct OpenCalls(BTreeMap<MessageId, OpenCall>);
 
 impl OpenCalls {
     /// The calls of a hand-over snapshot.
-    pub(super) fn new(calls: &[(MessageId, u8, HostId)]) -> Self {
-        let calls = calls.iter();
-        OpenCalls(
-            calls
-                .map(|&(id, attempt, host)| (id, OpenCall { attempt, host }))
-                .collect(),
-        )
+    pub(super) fn new(calls: &[OpenCall]) -> Self {
+        OpenCalls(calls.iter().map(|call| (call.id, *call)).collect())
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -49,14 +49,15 @@
         is_open
     }
 
-    /// Ends all remaining calls as lost: their process is gone, and they may have been executed.
-    pub(super) fn take_lost(&mut self) -> impl Iterator<Item = CompletedCall> {
+    /// Removes all remaining calls and ends them as lost connections: their process has exited, and they may have been
+    /// executed.
+    pub(super) fn drain_as_connection_lost(&mut self) -> impl Iterator<Item = CompletedCall> {
         std::mem::take(&mut self.0)
-            .into_iter()
-            .map(|(id, OpenCall { attempt, host })| CompletedCall {
-                id,
-                attempt,
-                host,
+            .into_values()
+            .map(|call| CompletedCall {
+                id: call.id,
+                attempt: call.attempt,
+                host: call.host,
                 outcome: AttemptOutcome::ConnectionLost,
                 is_final: false,
                 load_report: None,
@@ -83,7 +84,7 @@
         }
     }
 
-    pub(super) fn open_calls(&mut self) -> &mut OpenCalls {
+    pub(super) fn open_calls_mut(&mut self) -> &mut OpenCalls {
         &mut self.open_calls
     }
 
--- a/crates/relay/src/state_directory/departing_process.rs
+++ b/crates/relay/src/state_directory/departing_process.rs
@@ -1,4 +1,5 @@
-//! The process that has handed over: it finishes its open calls, and reclaims the directory if its successor dies.
+//! The process that has handed over: it finishes its open calls, and may get the directory's lock back if its successor
+//! dies.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,11 +11,20 @@
 
 use super::call_ends::{append_call_end, OpenCalls};
 use super::directory::{StateDirectory, HANDOVER_REQUEST, OWNER_LOCK, SUCCESSOR_LOCK};
-use super::owner::DirectoryOwner;
 use super::ownership::{Ownership, OwnershipAction, OwnershipEvent};
 
-/// Open calls: the attempt's number, the host, and the sender that cancels the call when it is used or dropped.
-pub type Calls = BTreeMap<MessageId, (u8, HostId, Option<oneshot::Sender<()>>)>;
+/// A call of this process to a host that has not ended.
+pub struct RunningCall {
+    /// The attempt's number.
+    pub attempt: u8,
+    /// The host.
+    pub host: HostId,
+    /// Cancels the call when it is used or dropped; `None` if the call is cancelled, or runs in the departing process.
+    pub cancel: Option<oneshot::Sender<()>>,
+}
+
+/// Running calls by their message.
+pub type RunningCalls = BTreeMap<MessageId, RunningCall>;
 
 /// What is left of a process that has handed over: its open calls. Dropping it releases the locks and cancels the calls.
 pub struct DepartingProcess<R: Runtime> {
@@ -26,7 +36,7 @@
     call_ends_file: R::File,
     open_calls: OpenCalls,
     /// Kept so that the calls go on: dropping a sender cancels its call.
-    calls: Calls,
+    running_calls: RunningCalls,
 }
 
 impl<R: Runtime> DepartingProcess<R> {
@@ -45,7 +55,7 @@
             _departing_lock: departing_lock,
             call_ends_file,
             open_calls,
-            calls: Calls::new(),
+            running_calls: RunningCalls::new(),
         }
     }
 
@@ -53,9 +63,13 @@
         &self.directory
     }
 
+    pub(super) fn ownership(&self) -> Ownership {
+        self.ownership
+    }
+
     /// Keeps the open calls running.
-    pub fn keep_calls(&mut self, calls: Calls) {
-        self.calls = calls;
+    pub fn keep_calls(&mut self, calls: RunningCalls) {
+        self.running_calls = calls;
     }
 
     /// Releases the directory to the successor; called once this process has closed its files in it.
@@ -66,11 +80,11 @@
     /// Reports to the new owner that a call has ended.
     ///
     /// # Errors
-    /// The end cannot be written. The call counts as ended all the same, and the new owner takes it for lost once this
-    /// process has ended.
+    /// The end cannot be written. The call counts as ended all the same, and the new owner counts it as lost once
+    /// this process has ended.
     pub fn report_call_end(&mut self, end: &CompletedCall) -> io::Result<()> {
         if self.open_calls.remove(end) {
-            self.calls.remove(&end.id);
+            self.running_calls.remove(&end.id);
         }
         append_call_end(&mut self.call_ends_file, end)
     }
@@ -95,12 +109,9 @@
         }
     }
 
-    /// Reclaims the directory if the successor is gone. Open calls go on, and their ends come by the file, as they would
-    /// to another process.
-    ///
-    /// # Errors
-    /// Gives this process back if the successor still runs, or it is too early to look again.
-    pub fn take_back(mut self) -> Result<DirectoryOwner<R>, Self> {
+    /// Tries to get the owner lock back and to remove the successor's request; `None` if the successor still runs, or it is
+    /// too early to look again.
+    pub(super) fn reacquire_owner_lock(&mut self) -> Option<R::Lock> {
         let now = self.directory.runtime.now();
         let (mut owner_lock, mut successor_lock) = (None, None);
         let mut event = OwnershipEvent::ReclaimCheckDue;
@@ -123,12 +134,11 @@
                 _ => break,
             };
         }
-        let Some(owner_lock) = owner_lock else {
-            return Err(self);
-        };
-        self.directory.remove(HANDOVER_REQUEST);
+        if owner_lock.is_some() {
+            // While the successor lock is held, so that no later successor's request is removed.
+            self.directory.remove(HANDOVER_REQUEST);
+        }
         drop(successor_lock);
-        let ownership = self.ownership;
-        Ok(DirectoryOwner::reclaimed(self, ownership, owner_lock))
+        owner_lock
     }
 }
--- a/crates/relay/src/state_directory/handover_state.rs
+++ b/crates/relay/src/state_directory/handover_state.rs
@@ -5,10 +5,11 @@
 
 use std::io;
 
-use policy::types::{HostId, MessageId, Micros};
+use policy::types::{HostId, Micros};
 use policy::HandoverSnapshot;
 use serde::{Deserialize, Serialize};
 
+use super::call_ends::OpenCall;
 use crate::journal::{decode, encode, LONGEST};
 
 /// The share of the disk limit that the snapshot may take; the rest is the journal's.
@@ -22,8 +23,8 @@
     format_version: u16,
     /// Whether an operator has drained the relay.
     pub is_drained: bool,
-    /// Open calls: the message, the attempt's number and the host.
-    pub open_calls: Vec<(MessageId, u8, HostId)>,
+    /// Calls that are open at the process that hands over.
+    pub open_calls: Vec<OpenCall>,
     /// The numbers of hosts, by name.
     pub host_numbers: Vec<(String, HostId)>,
     /// Names of messages that were completed lately, the latest first.
@@ -38,11 +39,7 @@
 
 impl HandoverState {
     /// The state of a process that hands over, as yet without host numbers, completed messages and used rates.
-    pub fn new(
-        is_drained: bool,
-        open_calls: Vec<(MessageId, u8, HostId)>,
-        policy: HandoverSnapshot,
-    ) -> Self {
+    pub fn new(is_drained: bool, open_calls: Vec<OpenCall>, policy: HandoverSnapshot) -> Self {
         HandoverState {
             format_version: FORMAT_VERSION,
             is_drained,
--- a/crates/relay/src/state_directory/handover_state/tests.rs
+++ b/crates/relay/src/state_directory/handover_state/tests.rs
@@ -6,11 +6,12 @@
 
 use super::{HandoverState, FORMAT_VERSION, MAX_DISK_SHARE};
 use crate::journal::LONGEST;
+use crate::state_directory::test_support::OPEN_CALL;
 
 const LARGE_DISK: u64 = 1_000_000_000;
 
 fn state(completed: usize, used_rates: usize) -> HandoverState {
-    let mut state = HandoverState::new(true, vec![(7, 0, 3)], HandoverSnapshot::default());
+    let mut state = HandoverState::new(true, vec![OPEN_CALL], HandoverSnapshot::default());
     state.completed = (0..completed).map(|at| format!("completed-{at}")).collect();
     state.used_rates = (0..used_rates)
         .map(|at| (format!("tenant-{at}"), 1_000_000))
@@ -18,13 +19,13 @@
     state
 }
 
-/// A disk limit of whose share the snapshot may take so many bytes.
+/// The disk limit at which the snapshot may take `snapshot_bytes`.
 fn disk_limit(snapshot_bytes: usize) -> u64 {
     (snapshot_bytes as f64 / MAX_DISK_SHARE).ceil() as u64
 }
 
 #[test]
-fn snapshot_within_the_bound_is_read_whole() {
+fn snapshot_within_the_bound_is_read_completely() {
     let mut written = state(3, 2);
     let bytes = written.encode_bounded(LARGE_DISK).expect("it fits");
     let read = HandoverState::read(&bytes).expect("it is valid");
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn latest_completed_names_and_first_used_rates_are_kept_within_the_bound() {
+fn bounded_snapshot_holds_the_latest_completed_names_and_the_first_used_rates() {
     let limit = 2_000;
     let bytes = state(1_000, 1_000)
         .encode_bounded(disk_limit(limit))
--- a/crates/relay/src/state_directory/mod.rs
+++ b/crates/relay/src/state_directory/mod.rs
@@ -16,8 +16,11 @@
 mod handover_state;
 mod owner;
 mod ownership;
+#[cfg(test)]
+mod test_support;
 
-pub use departing_process::{Calls, DepartingProcess};
+pub use call_ends::OpenCall;
+pub use departing_process::{DepartingProcess, RunningCall, RunningCalls};
 pub use directory::StateDirectory;
 pub use error::OwnershipError;
 pub use handover_state::HandoverState;
--- a/crates/relay/src/state_directory/owner.rs
+++ b/crates/relay/src/state_directory/owner.rs
@@ -96,7 +96,7 @@
         );
     }
 
-    /// A request that cannot be written now is written at the next look.
+    /// A request that cannot be written now is written at the next check.
     fn write_request(&self) {
         if !self.exists(HANDOVER_REQUEST) {
             drop(self.runtime.write(&self.file(HANDOVER_REQUEST), b""));
@@ -134,18 +134,22 @@
         }
     }
 
-    /// The owner that a departing process becomes again once its successor is gone.
-    pub(super) fn reclaimed(
-        departing: DepartingProcess<R>,
-        ownership: Ownership,
-        owner_lock: R::Lock,
-    ) -> Self {
+    /// Reclaims the directory for a departing process if its successor is gone. Open calls go on, and their ends come by
+    /// the file, as they would to another process.
+    ///
+    /// # Errors
+    /// Gives the departing process back if its successor still runs, or it is too early to look again.
+    pub fn reclaim(mut departing: DepartingProcess<R>) -> Result<Self, DepartingProcess<R>> {
+        let Some(owner_lock) = departing.reacquire_owner_lock() else {
+            return Err(departing);
+        };
         let directory = departing.directory().clone();
+        let ownership = departing.ownership();
         let owner = DirectoryOwner::new(directory, ownership, Some(owner_lock), None);
-        DirectoryOwner {
+        Ok(DirectoryOwner {
             departing: Some(departing),
             ..owner
-        }
+        })
     }
 
     fn handle(&mut self, event: OwnershipEvent) -> OwnershipAction {
@@ -186,7 +190,7 @@
         self.directory.remove(HANDOVER_REQUEST);
     }
 
-    /// When to look at the directory next.
+    /// When to check the directory next.
     pub fn next_check_at(&self) -> Option<Instant> {
         self.ownership.next_check_at()
     }
@@ -223,14 +227,14 @@
             .unwrap_or_default();
         let mut ends = self.call_ends.read(&content);
         if is_last {
-            ends.extend(self.call_ends.open_calls().take_lost());
+            ends.extend(self.call_ends.open_calls_mut().drain_as_connection_lost());
         }
         ends
     }
 
     /// Records that a call of this process has ended; it may be one from before the directory was reclaimed.
     pub fn call_completed(&mut self, end: &CompletedCall) {
-        self.call_ends.open_calls().remove(end);
+        self.call_ends.open_calls_mut().remove(end);
     }
 
     /// Ends the hand-over once the journal holds the ends of all calls of the previous owner, and that process is gone.
@@ -270,7 +274,7 @@
     /// # Errors
     /// The directory stays with this process if an earlier departing process still runs, or the snapshot cannot be
     /// written or is too large.
-    pub fn hand_over(
+    pub fn start_handover(
         &mut self,
         mut state: HandoverState,
         limit: u64,
--- a/crates/relay/src/state_directory/owner/tests.rs
+++ b/crates/relay/src/state_directory/owner/tests.rs
@@ -11,6 +11,7 @@
 
 use crate::state_directory::error::OwnershipError;
 use crate::state_directory::ownership::{HANDOVER_POLL_INTERVAL, REQUEST_CHECK_INTERVAL};
+use crate::state_directory::test_support::{delivered, OPEN_CALL};
 use crate::state_directory::{DirectoryOwner, HandoverState, ListenerOrigin, StateDirectory};
 
 const DISK_LIMIT: u64 = 3_000_000;
@@ -35,6 +36,11 @@
             .await
     }
 
+    /// Acquires the directory, whose owner lock is free.
+    async fn acquire_free(&self, listener: ListenerOrigin) -> DirectoryOwner<OsRuntime> {
+        self.acquire(listener).await.expect("it is free")
+    }
+
     fn exists(&self, name: &str) -> bool {
         self.0.join(name).exists()
     }
@@ -56,46 +62,34 @@
 
 /// The state of a process with one open call.
 fn state() -> HandoverState {
-    HandoverState::new(false, vec![(7, 0, 3)], HandoverSnapshot::default())
+    HandoverState::new(false, vec![OPEN_CALL], HandoverSnapshot::default())
 }
 
 fn end() -> CompletedCall {
-    CompletedCall {
-        id: 7,
-        attempt: 0,
-        host: 3,
-        outcome: AttemptOutcome::Delivered,
-        is_final: false,
-        load_report: None,
-        elapsed: 40_000,
-        opened_connection: false,
-    }
+    delivered(OPEN_CALL.id, OPEN_CALL.attempt)
 }
 
 #[test]
 fn directory_goes_to_the_successor_and_call_ends_follow() {
     run(async {
         let directory = TestDirectory::new("handover");
-        let mut old = directory
-            .acquire(ListenerOrigin::Inherited)
-            .await
-            .expect("it is free");
+        let mut old = directory.acquire_free(ListenerOrigin::Inherited).await;
         assert!(old.read_handover().await.is_none());
         assert!(!old.took_over() && !old.handover_requested());
-        let hand_over = async {
+        let handover = async {
             while !old.handover_requested() {
                 OsRuntime.sleep(HANDOVER_POLL_INTERVAL).await;
             }
-            let mut departing = old.hand_over(state(), DISK_LIMIT).expect("it fits");
+            let mut departing = old.start_handover(state(), DISK_LIMIT).expect("it fits");
             departing.release_directory();
             departing
         };
         let (new, mut departing) =
-            tokio::join!(directory.acquire(ListenerOrigin::Inherited), hand_over);
+            tokio::join!(directory.acquire(ListenerOrigin::Inherited), handover);
         let mut new = new.expect("it is handed over");
         assert!(new.took_over() && !departing.is_replaced());
         let left = new.read_handover().await.expect("a snapshot");
-        assert_eq!(left.open_calls, [(7, 0, 3)]);
+        assert_eq!(left.open_calls, [OPEN_CALL]);
         new.withdraw_request();
         assert!(departing.is_replaced() && !departing.is_idle());
         assert!(new.take_call_ends().is_empty());
@@ -115,18 +109,15 @@
 fn departing_process_reclaims_the_directory_of_a_successor_that_died() {
     run(async {
         let directory = TestDirectory::new("reclaim");
-        let mut old = directory
-            .acquire(ListenerOrigin::Inherited)
-            .await
-            .expect("it is free");
+        let mut old = directory.acquire_free(ListenerOrigin::Inherited).await;
         old.read_handover().await;
-        let mut departing = old.hand_over(state(), DISK_LIMIT).expect("it fits");
+        let mut departing = old.start_handover(state(), DISK_LIMIT).expect("it fits");
         departing.release_directory();
-        let Err(departing) = departing.take_back() else {
+        let Err(departing) = DirectoryOwner::reclaim(departing) else {
             panic!("it looked too early");
         };
         OsRuntime.sleep(REQUEST_CHECK_INTERVAL).await;
-        let Ok(mut new) = departing.take_back() else {
+        let Ok(mut new) = DirectoryOwner::reclaim(departing) else {
             panic!("nobody holds the locks");
         };
         assert!(!new.took_over() && !new.handover_requested());
@@ -139,19 +130,13 @@
 }
 
 #[test]
-fn calls_of_a_predecessor_that_is_gone_end_as_lost() {
+fn calls_of_an_exited_predecessor_end_as_connection_lost() {
     run(async {
         let directory = TestDirectory::new("lost");
-        let mut old = directory
-            .acquire(ListenerOrigin::Inherited)
-            .await
-            .expect("it is free");
+        let mut old = directory.acquire_free(ListenerOrigin::Inherited).await;
         old.read_handover().await;
-        drop(old.hand_over(state(), DISK_LIMIT).expect("it fits"));
-        let mut new = directory
-            .acquire(ListenerOrigin::Bound)
-            .await
-            .expect("it is free");
+        drop(old.start_handover(state(), DISK_LIMIT).expect("it fits"));
+        let mut new = directory.acquire_free(ListenerOrigin::Bound).await;
         assert!(new.read_handover().await.is_some() && !new.took_over());
         let ends = new.take_call_ends();
         assert_eq!(ends.len(), 1);
@@ -163,10 +148,7 @@
 fn second_process_without_an_inherited_listener_is_rejected() {
     run(async {
         let directory = TestDirectory::new("in-use");
-        let _owner = directory
-            .acquire(ListenerOrigin::Bound)
-            .await
-            .expect("it is free");
+        let _owner = directory.acquire_free(ListenerOrigin::Bound).await;
         let error = directory.acquire(ListenerOrigin::Bound).await.err();
         assert!(matches!(error, Some(OwnershipError::InUse { .. })));
     });
--- a/crates/relay/src/state_directory/ownership.rs
+++ b/crates/relay/src/state_directory/ownership.rs
@@ -42,7 +42,7 @@
     SameProcess,
 }
 
-/// How the process stands to the directory.
+/// The relation of the process to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnershipState {
     /// Tries the owner lock.
@@ -60,7 +60,7 @@
         has_snapshot: bool,
     },
     /// Has handed over, and finishes its calls.
-    HandedOver { reclaim_at: Instant },
+    Departing { reclaim_at: Instant },
 }
 
 /// What a process observed.
@@ -203,7 +203,7 @@
                 predecessor,
                 has_snapshot,
             } => self.own(predecessor, has_snapshot, event, now),
-            OwnershipState::HandedOver { reclaim_at } => self.depart(reclaim_at, event, now),
+            OwnershipState::Departing { reclaim_at } => self.depart(reclaim_at, event, now),
         }
     }
 
@@ -321,7 +321,7 @@
                 OwnershipAction::None
             }
             OwnershipEvent::HandoverWritten => {
-                self.state = OwnershipState::HandedOver {
+                self.state = OwnershipState::Departing {
                     reclaim_at: now + REQUEST_CHECK_INTERVAL,
                 };
                 OwnershipAction::None
@@ -379,7 +379,7 @@
             OwnershipEvent::RequestMissing => OwnershipAction::ProbeSuccessor,
             OwnershipEvent::SuccessorAlive => OwnershipAction::ReportReplaced,
             OwnershipEvent::ReclaimCheckDue if now >= reclaim_at => {
-                self.state = OwnershipState::HandedOver {
+                self.state = OwnershipState::Departing {
                     reclaim_at: now + REQUEST_CHECK_INTERVAL,
                 };
                 OwnershipAction::LockSuccessor
--- a/crates/relay/src/state_directory/ownership/tests.rs
+++ b/crates/relay/src/state_directory/ownership/tests.rs
@@ -43,269 +43,263 @@
     },
 ];
 
-/// Plays events that all occur at one moment, and checks the action that each leads to.
-fn play(ownership: &mut Ownership, now: Instant, steps: &[(Event, Action)]) {
-    for (event, action) in steps {
-        assert_eq!(
-            ownership.handle(*event, now),
-            *action,
-            "{event:?} in {ownership:?}"
-        );
-    }
+/// One process' ownership, and the moment at which its next events occur.
+#[derive(Clone, Copy)]
+struct TestOwnership {
+    ownership: Ownership,
+    now: Instant,
 }
 
-fn owner(listener: ListenerOrigin, now: Instant) -> Ownership {
-    let mut ownership = Ownership::new(listener, now);
-    let steps = [
-        (Event::Started, Action::LockOwner),
-        (Event::OwnerLockAcquired, Action::BecomeOwner),
-        (Event::SnapshotMissing, Action::ProbePredecessor),
-        (Event::PredecessorGone, Action::CleanUp),
-        (Event::CleanedUp, Action::None),
-    ];
-    play(&mut ownership, now, &steps);
-    ownership
-}
+impl TestOwnership {
+    /// A process that starts.
+    fn starting(listener: ListenerOrigin) -> Self {
+        let now = Instant::now();
+        TestOwnership {
+            ownership: Ownership::new(listener, now),
+            now,
+        }
+    }
 
-/// A process that requested the directory and got it, but has not read the snapshot yet.
-fn successor(now: Instant) -> Ownership {
-    let mut ownership = Ownership::new(ListenerOrigin::Inherited, now);
-    let steps = [
-        (Event::Started, Action::LockOwner),
-        (Event::OwnerLockHeld, Action::LockSuccessor),
-        (Event::SuccessorLockAcquired, Action::WriteRequest),
-        (Event::RequestWritten, Action::LockOwner),
-        (Event::OwnerLockHeld, Action::Wait),
-        (Event::WaitElapsed, Action::WriteRequest),
-        (Event::RequestWritten, Action::LockOwner),
-        (Event::OwnerLockAcquired, Action::BecomeOwner),
-    ];
-    play(&mut ownership, now, &steps);
-    ownership
+    /// A process that got a free directory and has cleaned up.
+    fn owner(listener: ListenerOrigin) -> Self {
+        Self::starting(listener).play(&[
+            (Event::Started, Action::LockOwner),
+            (Event::OwnerLockAcquired, Action::BecomeOwner),
+            (Event::SnapshotMissing, Action::ProbePredecessor),
+            (Event::PredecessorGone, Action::CleanUp),
+            (Event::CleanedUp, Action::None),
+        ])
+    }
+
+    /// A process that found another owner and tries the successor lock.
+    fn claiming() -> Self {
+        Self::starting(ListenerOrigin::Inherited).play(&[
+            (Event::Started, Action::LockOwner),
+            (Event::OwnerLockHeld, Action::LockSuccessor),
+        ])
+    }
+
+    /// A process that has the successor lock and has written its request.
+    fn requesting() -> Self {
+        Self::claiming().play(&[
+            (Event::SuccessorLockAcquired, Action::WriteRequest),
+            (Event::RequestWritten, Action::LockOwner),
+        ])
+    }
+
+    /// A process that requested the directory and got it, but has not read the snapshot yet.
+    fn successor() -> Self {
+        Self::requesting()
+            .play(&OWNER_STAYS)
+            .play(&[(Event::OwnerLockAcquired, Action::BecomeOwner)])
+    }
+
+    /// A process that has handed over.
+    fn departing() -> Self {
+        Self::owner(ListenerOrigin::Inherited).play(&[
+            (Event::RequestCheckDue, Action::FindRequest),
+            (Event::RequestFound, Action::ProbeSuccessor),
+            (Event::SuccessorAlive, Action::AcceptRequest),
+            (Event::HandoverStarted, Action::None),
+            (Event::HandoverWritten, Action::None),
+        ])
+    }
+
+    /// A process that handed over and got the directory back.
+    fn reclaimed() -> Self {
+        Self::departing().after(REQUEST_CHECK_INTERVAL).play(&[
+            (Event::ReclaimCheckDue, Action::LockSuccessor),
+            (Event::SuccessorLockAcquired, Action::LockOwner),
+            (Event::OwnerLockAcquired, Action::BecomeOwner),
+        ])
+    }
+
+    /// Moves on by a span of time.
+    fn after(self, span: Duration) -> Self {
+        TestOwnership {
+            now: self.now + span,
+            ..self
+        }
+    }
+
+    /// Plays events that all occur at one moment, and checks the action that each leads to.
+    fn play(mut self, steps: &[(Event, Action)]) -> Self {
+        for (event, action) in steps {
+            assert_eq!(
+                self.ownership.handle(*event, self.now),
+                *action,
+                "{event:?} in {:?}",
+                self.ownership
+            );
+        }
+        self
+    }
+
+    /// Handles an event, whatever action it leads to.
+    fn handle(mut self, event: Event) -> Self {
+        self.ownership.handle(event, self.now);
+        self
+    }
+
+    fn state(&self) -> OwnershipState {
+        self.ownership.state
+    }
+
+    fn took_over(&self) -> bool {
+        self.ownership.took_over()
+    }
+
+    /// The time until the next check of the directory, if there is one.
+    fn next_check_in(&self) -> Option<Duration> {
+        let next_check_at = self.ownership.next_check_at();
+        next_check_at.map(|at| at - self.now)
+    }
 }
 
-fn departing(now: Instant) -> Ownership {
-    let mut ownership = owner(ListenerOrigin::Inherited, now);
-    let steps = [
-        (Event::RequestCheckDue, Action::FindRequest),
-        (Event::RequestFound, Action::ProbeSuccessor),
-        (Event::SuccessorAlive, Action::AcceptRequest),
-        (Event::HandoverStarted, Action::None),
-        (Event::HandoverWritten, Action::None),
-    ];
-    play(&mut ownership, now, &steps);
-    ownership
+/// A successor's look at the owner lock, while the owner still has it.
+const OWNER_STAYS: [(Event, Action); 3] = [
+    (Event::OwnerLockHeld, Action::Wait),
+    (Event::WaitElapsed, Action::WriteRequest),
+    (Event::RequestWritten, Action::LockOwner),
+];
+
+fn call_ends_check_due(has_open_calls: bool) -> Event {
+    Event::CallEndsCheckDue { has_open_calls }
 }
 
-/// A process that handed over and got the directory back.
-fn reclaimed(now: Instant) -> Ownership {
-    let mut ownership = departing(now);
-    let steps = [
-        (Event::ReclaimCheckDue, Action::LockSuccessor),
-        (Event::SuccessorLockAcquired, Action::LockOwner),
-        (Event::OwnerLockAcquired, Action::BecomeOwner),
-    ];
-    play(&mut ownership, now + REQUEST_CHECK_INTERVAL, &steps);
-    ownership
+fn call_ends_recorded(has_open_calls: bool) -> Event {
+    Event::CallEndsRecorded { has_open_calls }
 }
 
 #[test]
 fn free_directory_is_owned_at_once() {
-    let now = Instant::now();
-    let ownership = owner(ListenerOrigin::Bound, now);
+    let owner = TestOwnership::owner(ListenerOrigin::Bound);
     assert_eq!(
-        ownership.state,
+        owner.state(),
         OwnershipState::Owner {
             predecessor: Predecessor::None,
             has_snapshot: false
         }
     );
-    assert!(!ownership.took_over());
-    assert_eq!(ownership.next_check_at(), None, "nobody can request it");
+    assert!(!owner.took_over());
+    assert_eq!(owner.next_check_in(), None, "nobody can request it");
     assert_eq!(
-        owner(ListenerOrigin::Inherited, now).next_check_at(),
-        Some(now + REQUEST_CHECK_INTERVAL)
+        TestOwnership::owner(ListenerOrigin::Inherited).next_check_in(),
+        Some(REQUEST_CHECK_INTERVAL)
     );
 }
 
 #[test]
 fn process_without_inherited_listener_waits_for_the_owner_lock_and_then_fails() {
-    let now = Instant::now();
-    let mut ownership = Ownership::new(ListenerOrigin::Bound, now);
-    let steps = [
-        (Event::Started, Action::LockOwner),
-        (Event::OwnerLockHeld, Action::Wait),
-        (Event::WaitElapsed, Action::LockOwner),
-    ];
-    play(&mut ownership, now, &steps);
-    let deadline = now + OWNER_LOCK_TIMEOUT;
-    let steps = [(Event::OwnerLockHeld, Action::Wait)];
-    play(&mut ownership, deadline - MILLISECOND, &steps);
-    let steps = [
-        (Event::WaitElapsed, Action::LockOwner),
-        (Event::OwnerLockHeld, Action::FailInUse),
-    ];
-    play(&mut ownership, deadline, &steps);
+    TestOwnership::starting(ListenerOrigin::Bound)
+        .play(&[
+            (Event::Started, Action::LockOwner),
+            (Event::OwnerLockHeld, Action::Wait),
+            (Event::WaitElapsed, Action::LockOwner),
+        ])
+        .after(OWNER_LOCK_TIMEOUT - MILLISECOND)
+        .play(&[(Event::OwnerLockHeld, Action::Wait)])
+        .after(MILLISECOND)
+        .play(&[
+            (Event::WaitElapsed, Action::LockOwner),
+            (Event::OwnerLockHeld, Action::FailInUse),
+        ]);
 }
 
 #[test]
 fn third_process_fails_once_the_successor_lock_has_a_holder() {
-    let now = Instant::now();
-    let mut ownership = Ownership::new(ListenerOrigin::Inherited, now);
-    let steps = [
-        (Event::Started, Action::LockOwner),
-        (Event::OwnerLockHeld, Action::LockSuccessor),
-        (Event::SuccessorLockHeld, Action::Wait),
-        (Event::WaitElapsed, Action::LockSuccessor),
-    ];
-    play(&mut ownership, now, &steps);
-    let deadline = now + SUCCESSOR_LOCK_TIMEOUT;
-    let steps = [(Event::SuccessorLockHeld, Action::Wait)];
-    play(&mut ownership, deadline - MILLISECOND, &steps);
-    let steps = [(Event::SuccessorLockHeld, Action::FailSuccessorExists)];
-    play(&mut ownership, deadline, &steps);
+    TestOwnership::claiming()
+        .play(&[
+            (Event::SuccessorLockHeld, Action::Wait),
+            (Event::WaitElapsed, Action::LockSuccessor),
+        ])
+        .after(SUCCESSOR_LOCK_TIMEOUT - MILLISECOND)
+        .play(&[(Event::SuccessorLockHeld, Action::Wait)])
+        .after(MILLISECOND)
+        .play(&[(Event::SuccessorLockHeld, Action::FailSuccessorExists)]);
 }
 
 #[test]
 fn successor_requests_without_limit_until_the_owner_releases_its_lock() {
-    let now = Instant::now();
-    let mut ownership = Ownership::new(ListenerOrigin::Inherited, now);
-    let steps = [
-        (Event::Started, Action::LockOwner),
-        (Event::OwnerLockHeld, Action::LockSuccessor),
-        (Event::SuccessorLockAcquired, Action::WriteRequest),
-        (Event::RequestWritten, Action::LockOwner),
-    ];
-    play(&mut ownership, now, &steps);
-    let steps = [
-        (Event::OwnerLockHeld, Action::Wait),
-        (Event::WaitElapsed, Action::WriteRequest),
-        (Event::RequestWritten, Action::LockOwner),
-    ];
-    play(&mut ownership, now + 100 * OWNER_LOCK_TIMEOUT, &steps);
-    assert_eq!(ownership.state, OwnershipState::Requesting);
-    let steps = [(Event::OwnerLockAcquired, Action::BecomeOwner)];
-    play(&mut ownership, now, &steps);
-    assert!(ownership.took_over());
+    let requesting = TestOwnership::requesting()
+        .after(100 * OWNER_LOCK_TIMEOUT)
+        .play(&OWNER_STAYS);
+    assert_eq!(requesting.state(), OwnershipState::Requesting);
+    let successor = requesting.play(&[(Event::OwnerLockAcquired, Action::BecomeOwner)]);
+    assert!(successor.took_over());
 }
 
 #[test]
 fn successor_without_a_snapshot_waits_until_its_predecessor_has_ended() {
-    let now = Instant::now();
-    let mut ownership = successor(now);
-    let steps = [
+    let owner = TestOwnership::successor().play(&[
         (Event::SnapshotMissing, Action::ProbePredecessor),
         (Event::PredecessorAlive, Action::Wait),
         (Event::WaitElapsed, Action::ProbePredecessor),
         (Event::PredecessorGone, Action::CleanUp),
         (Event::CleanedUp, Action::None),
-    ];
-    play(&mut ownership, now, &steps);
-    assert!(!ownership.took_over(), "the hand-over is over");
+    ]);
+    assert!(!owner.took_over(), "the handover is complete");
 }
 
 #[test]
 fn successor_cleans_up_once_all_calls_ended_and_its_predecessor_is_gone() {
-    let now = Instant::now();
-    let mut ownership = successor(now);
-    let steps = [
+    let owner = TestOwnership::successor().play(&[
         (Event::SnapshotRead, Action::None),
         (Event::RequestCheckDue, Action::None),
-        (
-            Event::CallEndsCheckDue {
-                has_open_calls: true,
-            },
-            Action::ReadPredecessorCallEnds,
-        ),
-    ];
-    play(&mut ownership, now, &steps);
-    assert_eq!(
-        ownership.next_check_at(),
-        Some(now + HANDOVER_POLL_INTERVAL)
-    );
-    let recorded = |has_open_calls| Event::CallEndsRecorded { has_open_calls };
-    let steps = [
-        (recorded(true), Action::None),
-        (recorded(false), Action::ProbePredecessor),
+        (call_ends_check_due(true), Action::ReadPredecessorCallEnds),
+    ]);
+    assert_eq!(owner.next_check_in(), Some(HANDOVER_POLL_INTERVAL));
+    owner.play(&[
+        (call_ends_recorded(true), Action::None),
+        (call_ends_recorded(false), Action::ProbePredecessor),
         (Event::PredecessorAlive, Action::None),
-        (recorded(false), Action::ProbePredecessor),
+        (call_ends_recorded(false), Action::ProbePredecessor),
         (Event::PredecessorGone, Action::CleanUp),
         (Event::CleanedUp, Action::None),
         // A later request is not this process's to remove.
-        (recorded(false), Action::None),
+        (call_ends_recorded(false), Action::None),
         (Event::RequestCheckDue, Action::FindRequest),
-    ];
-    play(&mut ownership, now, &steps);
+    ]);
 }
 
 #[test]
 fn snapshot_of_a_crashed_successor_is_used_and_cleaned_up() {
-    let now = Instant::now();
-    let mut ownership = Ownership::new(ListenerOrigin::Bound, now);
-    let steps = [
+    let owner = TestOwnership::starting(ListenerOrigin::Bound).play(&[
         (Event::Started, Action::LockOwner),
         (Event::OwnerLockAcquired, Action::BecomeOwner),
         (Event::SnapshotRead, Action::None),
-        (
-            Event::CallEndsCheckDue {
-                has_open_calls: true,
-            },
-            Action::ReadPredecessorCallEnds,
-        ),
-        (
-            Event::CallEndsCheckDue {
-                has_open_calls: false,
-            },
-            Action::None,
-        ),
-        (
-            Event::CallEndsRecorded {
-                has_open_calls: false,
-            },
-            Action::ProbePredecessor,
-        ),
+        (call_ends_check_due(true), Action::ReadPredecessorCallEnds),
+        (call_ends_check_due(false), Action::None),
+        (call_ends_recorded(false), Action::ProbePredecessor),
         (Event::PredecessorGone, Action::CleanUp),
-    ];
-    play(&mut ownership, now, &steps);
-    assert!(!ownership.took_over());
+    ]);
+    assert!(!owner.took_over());
 }
 
 #[test]
 fn request_without_a_living_successor_is_removed() {
-    let now = Instant::now();
-    let mut ownership = owner(ListenerOrigin::Inherited, now);
-    let steps = [
+    TestOwnership::owner(ListenerOrigin::Inherited).play(&[
         (Event::RequestCheckDue, Action::FindRequest),
         (Event::RequestMissing, Action::None),
         (Event::RequestCheckDue, Action::FindRequest),
         (Event::RequestFound, Action::ProbeSuccessor),
         (Event::SuccessorGone, Action::RemoveRequest),
-    ];
-    play(&mut ownership, now, &steps);
-    let steps = [(Event::RequestCheckDue, Action::None)];
-    play(&mut owner(ListenerOrigin::Bound, now), now, &steps);
+    ]);
+    TestOwnership::owner(ListenerOrigin::Bound).play(&[(Event::RequestCheckDue, Action::None)]);
 }
 
 #[test]
-fn failed_hand_over_leaves_the_owner_in_place_and_is_retried_later() {
-    let now = Instant::now();
-    let mut ownership = owner(ListenerOrigin::Inherited, now);
-    let before = ownership.state;
-    play(
-        &mut ownership,
-        now,
-        &[(Event::HandoverStarted, Action::None)],
-    );
-    assert_eq!(ownership.state, before);
-    assert_eq!(ownership.next_check_at(), Some(now + HANDOVER_RETRY_DELAY));
+fn failed_handover_leaves_the_owner_in_place_and_is_retried_later() {
+    let before = TestOwnership::owner(ListenerOrigin::Inherited);
+    let after = before.play(&[(Event::HandoverStarted, Action::None)]);
+    assert_eq!(after.state(), before.state());
+    assert_eq!(after.next_check_in(), Some(HANDOVER_RETRY_DELAY));
 }
 
 #[test]
 fn departing_process_is_replaced_once_the_request_is_withdrawn_and_the_successor_lives() {
-    let now = Instant::now();
-    let mut ownership = departing(now);
-    let before = ownership;
-    let steps = [
+    let before = TestOwnership::departing();
+    let after = before.play(&[
         (Event::ReplacementCheckDue, Action::FindRequest),
         (Event::RequestFound, Action::None),
         (Event::ReplacementCheckDue, Action::FindRequest),
@@ -313,101 +307,94 @@
         (Event::SuccessorGone, Action::None),
         (Event::RequestMissing, Action::ProbeSuccessor),
         (Event::SuccessorAlive, Action::ReportReplaced),
-    ];
-    play(&mut ownership, now, &steps);
-    assert_eq!(ownership, before, "the question changes nothing");
+    ]);
+    assert_eq!(
+        after.ownership, before.ownership,
+        "the question changes nothing"
+    );
 }
 
 #[test]
-fn departing_process_reclaims_only_when_both_locks_are_free_and_not_too_often() {
-    let now = Instant::now();
-    let mut ownership = departing(now);
-    let due = now + REQUEST_CHECK_INTERVAL;
-    let early = [(Event::ReclaimCheckDue, Action::None)];
-    play(&mut ownership, due - MILLISECOND, &early);
-    let steps = [
-        (Event::ReclaimCheckDue, Action::LockSuccessor),
-        (Event::SuccessorLockHeld, Action::None),
-        (Event::ReclaimCheckDue, Action::None),
-    ];
-    play(&mut ownership, due, &steps);
-    let steps = [
-        (Event::ReclaimCheckDue, Action::LockSuccessor),
-        (Event::SuccessorLockAcquired, Action::LockOwner),
-        (Event::OwnerLockHeld, Action::None),
-    ];
-    play(&mut ownership, due + REQUEST_CHECK_INTERVAL, &steps);
-    assert!(matches!(ownership.state, OwnershipState::HandedOver { .. }));
+fn departing_process_reclaims_only_when_both_locks_are_free_and_at_most_once_an_interval() {
+    let departing = TestOwnership::departing()
+        .after(REQUEST_CHECK_INTERVAL - MILLISECOND)
+        .play(&[(Event::ReclaimCheckDue, Action::None)])
+        .after(MILLISECOND)
+        .play(&[
+            (Event::ReclaimCheckDue, Action::LockSuccessor),
+            (Event::SuccessorLockHeld, Action::None),
+            (Event::ReclaimCheckDue, Action::None),
+        ])
+        .after(REQUEST_CHECK_INTERVAL)
+        .play(&[
+            (Event::ReclaimCheckDue, Action::LockSuccessor),
+            (Event::SuccessorLockAcquired, Action::LockOwner),
+            (Event::OwnerLockHeld, Action::None),
+        ]);
+    assert!(matches!(
+        departing.state(),
+        OwnershipState::Departing { .. }
+    ));
 }
 
 #[test]
 fn reclaimed_directory_needs_no_probe_of_its_own_process() {
-    let now = Instant::now();
-    let mut ownership = reclaimed(now);
-    assert!(!ownership.took_over());
-    let check = Event::CallEndsCheckDue {
-        has_open_calls: false,
-    };
-    let recorded = Event::CallEndsRecorded {
-        has_open_calls: false,
-    };
-    let steps = [
+    let reclaimed = TestOwnership::reclaimed();
+    assert!(!reclaimed.took_over());
+    reclaimed.play(&[
         (Event::SnapshotRead, Action::None),
         (Event::RequestCheckDue, Action::None),
-        (check, Action::ReadOwnCallEnds),
-        (recorded, Action::CleanUp),
+        (call_ends_check_due(false), Action::ReadOwnCallEnds),
+        (call_ends_recorded(false), Action::CleanUp),
         (Event::CleanedUp, Action::None),
-        (check, Action::None),
-    ];
-    play(&mut ownership, now, &steps);
-    let steps = [
+        (call_ends_check_due(false), Action::None),
+    ]);
+    reclaimed.play(&[
         (Event::SnapshotMissing, Action::CleanUp),
         (Event::CleanedUp, Action::None),
-    ];
-    play(&mut reclaimed(now), now, &steps);
+    ]);
 }
 
 #[test]
 fn directory_is_owned_only_through_the_owner_lock() {
-    let now = Instant::now();
-    let is_owner = |ownership: &Ownership| {
+    let is_owner = |state| {
         matches!(
-            ownership.state,
+            state,
             OwnershipState::Restoring { .. } | OwnershipState::Owner { .. }
         )
     };
-    let mut claiming = Ownership::new(ListenerOrigin::Inherited, now);
-    claiming.handle(Event::OwnerLockHeld, now);
-    let mut requesting = claiming;
-    requesting.handle(Event::SuccessorLockAcquired, now);
+    let claiming = TestOwnership::starting(ListenerOrigin::Inherited).handle(Event::OwnerLockHeld);
     for start in [
-        Ownership::new(ListenerOrigin::Bound, now),
+        TestOwnership::starting(ListenerOrigin::Bound),
         claiming,
-        requesting,
-        departing(now),
+        claiming.handle(Event::SuccessorLockAcquired),
+        TestOwnership::departing(),
     ] {
         for event in EVENTS {
-            let mut ownership = start;
-            ownership.handle(event, now);
-            let may_own = event == Event::OwnerLockAcquired && start != claiming;
-            assert_eq!(is_owner(&ownership), may_own, "{event:?} in {start:?}");
+            let may_own =
+                event == Event::OwnerLockAcquired && start.ownership != claiming.ownership;
+            assert_eq!(
+                is_owner(start.handle(event).state()),
+                may_own,
+                "{event:?} in {:?}",
+                start.ownership
+            );
         }
     }
 }
 
 #[test]
-fn ownership_is_lost_only_by_a_written_hand_over() {
-    let now = Instant::now();
-    let mut taken_over = successor(now);
-    taken_over.handle(Event::SnapshotRead, now);
-    for start in [owner(ListenerOrigin::Inherited, now), taken_over] {
+fn ownership_ends_only_with_a_written_handover() {
+    for start in [
+        TestOwnership::owner(ListenerOrigin::Inherited),
+        TestOwnership::successor().handle(Event::SnapshotRead),
+    ] {
         for event in EVENTS {
-            let mut ownership = start;
-            ownership.handle(event, now);
             assert_eq!(
-                matches!(ownership.state, OwnershipState::Owner { .. }),
+                matches!(start.handle(event).state(), OwnershipState::Owner { .. }),
                 event != Event::HandoverWritten,
-                "{event:?} in {start:?}"
+                "{event:?} in {:?}",
+                start.ownership
             );
         }
     }
--- a/crates/relay/src/stored_format_tests.rs
+++ b/crates/relay/src/stored_format_tests.rs
@@ -16,10 +16,23 @@
 
 use crate::cached_state::CachedState;
 use crate::journal::{decode, encode, AcceptedMessage, Attempt, Journal, ResendOrigin};
-use crate::state_directory::HandoverState;
+use crate::state_directory::{HandoverState, OpenCall};
 
 const DISK_LIMIT: u64 = 3_000_000;
 
+const OPEN_CALLS: [OpenCall; 2] = [
+    OpenCall {
+        id: 7,
+        attempt: 0,
+        host: 3,
+    },
+    OpenCall {
+        id: 17,
+        attempt: 2,
+        host: 1,
+    },
+];
+
 fn golden(name: &str) -> Vec<u8> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
@@ -401,11 +414,7 @@
 }
 
 fn state() -> HandoverState {
-    let mut state = HandoverState::new(
-        true,
-        vec![(7, 0, 3), (17, 2, 1)],
-        module().handover_snapshot(),
-    );
+    let mut state = HandoverState::new(true, OPEN_CALLS.to_vec(), module().handover_snapshot());
     state.host_numbers = vec![("s-0001".into(), 1), ("s-0003".into(), 3)];
     state.completed = vec!["acme\nm9".into(), "acme\nm8".into()];
     state
@@ -428,7 +437,7 @@
         ),
         (
             true,
-            &vec![(7, 0, 3), (17, 2, 1)],
+            &OPEN_CALLS.to_vec(),
             &vec![("s-0001".to_string(), 1), ("s-0003".to_string(), 3)],
             &vec!["acme\nm9".to_string(), "acme\nm8".to_string()],
         )
