--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -66,7 +66,7 @@
         let stream = match listener.accept().await {
             Ok(stream) => stream,
             Err(error) => {
-                log!(runtime, "admin: cannot accept: {error}");
+                log!(runtime, "admin: accept_failed error={error}");
                 runtime.sleep(REST).await;
                 continue;
             }
--- a/crates/control/src/lifecycle.rs
+++ b/crates/control/src/lifecycle.rs
@@ -69,6 +69,22 @@
     Idle,
 }
 
+impl LifecycleEvent {
+    /// Its name in the log.
+    #[must_use]
+    pub fn as_str(self) -> &'static str {
+        match self {
+            LifecycleEvent::Started => "started",
+            LifecycleEvent::Drain => "drain",
+            LifecycleEvent::Resume => "resume",
+            LifecycleEvent::HandoverRequested => "handover_requested",
+            LifecycleEvent::Reclaimed => "reclaimed",
+            LifecycleEvent::Stop => "stop",
+            LifecycleEvent::Idle => "idle",
+        }
+    }
+}
+
 /// What open connections do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionStage {
--- a/crates/relay/src/cached_state.rs
+++ b/crates/relay/src/cached_state.rs
@@ -177,7 +177,7 @@
             return CachedState::default();
         };
         CachedState::decode(&text).unwrap_or_else(|| {
-            log!(*runtime, "memory: dropped, it cannot be read");
+            log!(*runtime, "cached_state: damaged_file_ignored");
             CachedState::default()
         })
     }
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -245,7 +245,7 @@
         if given != holds {
             log!(
                 *runtime,
-                "configuration: discovery is at {holds} by the file, which holds, not at {given}"
+                "configuration: discovery_variable_ignored file={holds} variable={given}"
             );
         }
     }
--- a/crates/relay/src/control_socket/shared_state.rs
+++ b/crates/relay/src/control_socket/shared_state.rs
@@ -104,7 +104,12 @@
     pub fn handle_event(&self, event: LifecycleEvent) -> bool {
         let has_changed = self.lifecycle.borrow_mut().handle(event, self.uptime());
         if has_changed {
-            log!(self.runtime, "control: {event:?}, now {:?}", self.state());
+            log!(
+                self.runtime,
+                "control: state_changed event={} state={}",
+                event.as_str(),
+                self.state().as_str()
+            );
             self.publish_stage();
             self.state_changed.notify_one();
         }
--- a/crates/relay/src/discovery_client/watch.rs
+++ b/crates/relay/src/discovery_client/watch.rs
@@ -154,12 +154,12 @@
         if error.is_invalid_list() {
             log!(
                 self.runtime,
-                "discovery: what {address} told cannot be used: {error}"
+                "discovery: list_rejected address={address} error={error}"
             );
         } else {
             log!(
                 self.runtime,
-                "discovery: the watch at {address} ended: {error}"
+                "discovery: watch_ended address={address} error={error}"
             );
         }
     }
--- a/crates/relay/src/event_loop/actions.rs
+++ b/crates/relay/src/event_loop/actions.rs
@@ -58,7 +58,7 @@
                 | Action::PollDiscovery
                 | Action::Probe(_)
                 | Action::SendToPeers { .. } => {}
-                Action::Log(text) => log!(self.runtime, "{text}"),
+                Action::Log(text) => log!(self.runtime, "policy: reported text={text}"),
                 Action::Abort(text) => return Err(PolicyAborted(text)),
             }
         }
--- a/crates/relay/src/event_loop/admission.rs
+++ b/crates/relay/src/event_loop/admission.rs
@@ -144,7 +144,7 @@
         let reply = match self.record_accepted(id, message) {
             Ok(()) => Reply::Ok,
             Err(error) => {
-                log!(self.runtime, "journal: cannot take a message on: {error}");
+                log!(self.runtime, "journal: message_not_accepted error={error}");
                 Reply::Busy(self.default_retry_after_ms())
             }
         };
--- a/crates/relay/src/event_loop/attempts.rs
+++ b/crates/relay/src/event_loop/attempts.rs
@@ -61,7 +61,7 @@
             may_have_executed: true,
         };
         if let Err(error) = self.journal.start_attempt(id, attempt, record) {
-            log!(self.runtime, "journal: a call is not made: {error}");
+            log!(self.runtime, "journal: attempt_not_recorded error={error}");
             let outcome = AttemptOutcome::Obsolete;
             return self.attempt_not_sent(id, attempt, host, outcome, MessageState::Pending);
         }
--- a/crates/relay/src/event_loop/handover.rs
+++ b/crates/relay/src/event_loop/handover.rs
@@ -46,13 +46,13 @@
     pub fn start_handover(&mut self) -> io::Result<DepartingProcess<R>> {
         let state = self.handover_state();
         let messages = self.in_flight.len();
-        let calls = state.open_calls.len();
+        let open_calls = state.open_calls.len();
         let departing = self
             .directory_owner
             .start_handover(state, self.disk_limit)?;
         log!(
             self.runtime,
-            "upgrade: handed over {messages} messages; {calls} calls are out here"
+            "upgrade: handed_over messages={messages} open_calls={open_calls}"
         );
         Ok(departing)
     }
--- a/crates/relay/src/event_loop/host_list.rs
+++ b/crates/relay/src/event_loop/host_list.rs
@@ -44,11 +44,11 @@
         self.membership.borrow().confirmation_deadline()
     }
 
-    /// Discovery is silent: the cached list has to serve.
+    /// Discovery has not answered in time: the cached list has to serve.
     pub fn use_unconfirmed_host_list(&mut self) {
         log!(
             self.runtime,
-            "discovery: silent since the start; calls go by the remembered list"
+            "discovery: no_contact_since_start host_list=cached"
         );
         self.confirm_host_list();
     }
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -189,10 +189,10 @@
             self.pending_events.push(Event::ShuttingDown { at });
         }
         let messages = self.in_flight.len();
-        let calls = self.open_calls.len();
+        let open_calls = self.open_calls.len();
         log!(
             self.runtime,
-            "told to stop; {messages} messages in hand, {calls} calls out"
+            "relay: shutdown_started messages={messages} open_calls={open_calls}"
         );
     }
 
--- a/crates/relay/src/event_loop/persistence.rs
+++ b/crates/relay/src/event_loop/persistence.rs
@@ -16,7 +16,7 @@
 /// Logs a failed write to the journal.
 pub(super) fn log_write_error(runtime: &impl Runtime, result: io::Result<()>) {
     if let Err(error) = result {
-        log!(*runtime, "journal: cannot write: {error}");
+        log!(*runtime, "journal: write_failed error={error}");
     }
 }
 
@@ -69,7 +69,7 @@
             self.cached_state
                 .save(&self.runtime, &self.config.state, self.disk_limit)
         {
-            log!(self.runtime, "memory: cannot write: {error}");
+            log!(self.runtime, "cached_state: write_failed error={error}");
         }
     }
 
@@ -82,7 +82,10 @@
         if let Err(error) =
             cached_state::record_contact(&self.runtime, &self.config.state, self.clock.now())
         {
-            log!(self.runtime, "memory: cannot write: {error}");
+            log!(
+                self.runtime,
+                "cached_state: contact_time_not_written error={error}"
+            );
         }
     }
 }
--- a/crates/relay/src/event_loop/reload.rs
+++ b/crates/relay/src/event_loop/reload.rs
@@ -25,10 +25,7 @@
         self.control.metrics().record_reload(reloaded.is_ok());
         if let Err(error) = reloaded {
             let error = error.to_string().replace('\n', " ");
-            log!(
-                self.runtime,
-                "configuration: the old one stays in force: {error}"
-            );
+            log!(self.runtime, "configuration: reload_rejected error={error}");
         }
         operator_config::read_again(
             &self.runtime,
@@ -87,8 +84,8 @@
         if !fixed.is_empty() {
             log!(
                 self.runtime,
-                "configuration: counts from the next start on: {}",
-                fixed.join(", ")
+                "configuration: restart_required settings={}",
+                fixed.join(",")
             );
         }
     }
@@ -98,7 +95,7 @@
         let discovery = self.config.discovery;
         log!(
             self.runtime,
-            "configuration: read again, discovery is at {discovery}"
+            "configuration: reloaded discovery={discovery}"
         );
         self.discovery_address
             .send_if_modified(|address| std::mem::replace(address, discovery) != discovery);
--- a/crates/relay/src/event_loop/restore.rs
+++ b/crates/relay/src/event_loop/restore.rs
@@ -119,7 +119,7 @@
         if !pending.is_empty() {
             log!(
                 self.runtime,
-                "journal: {} messages are still owed their end",
+                "journal: messages_restored count={}",
                 pending.len()
             );
         }
@@ -202,7 +202,7 @@
     fn fail_unknown(&mut self, id: MessageId, pending: &PendingMessage) {
         log!(
             self.runtime,
-            "journal: {} is of a class or tenant that is not known any more",
+            "journal: message_not_restored reason=unknown_class_or_tenant message={}",
             pending.accepted.name
         );
         let may_have_executed = pending
--- a/crates/relay/src/event_loop/undeliverable_messages.rs
+++ b/crates/relay/src/event_loop/undeliverable_messages.rs
@@ -96,7 +96,7 @@
         let Some(resent) = resent else {
             log!(
                 self.runtime,
-                "undeliverable: record {} is not sent again: its class, tenant or name",
+                "undeliverable: resend_not_started record={} reason=unknown_class_or_tenant_or_name_in_flight",
                 origin.record
             );
             if tenant.is_some() {
@@ -107,7 +107,7 @@
         if let Err(error) = self.journal.accept_resend(id, message.clone(), origin) {
             log!(
                 self.runtime,
-                "undeliverable: record {} is not sent again: {error}",
+                "undeliverable: resend_not_started record={} error={error}",
                 origin.record
             );
             self.tenants.message_released(&message.tenant);
--- a/crates/relay/src/journal/journal_file.rs
+++ b/crates/relay/src/journal/journal_file.rs
@@ -56,8 +56,7 @@
         if self.has_torn_tail {
             log!(
                 self.runtime,
-                "journal: dropped a torn tail of {} bytes",
-                torn_bytes
+                "journal: torn_tail_dropped bytes={torn_bytes}"
             );
             // The next record tries again what fails now.
             if let Err(error) = self.cut_torn_tail() {
@@ -89,7 +88,7 @@
             if let Err(error) = self.cut_torn_tail() {
                 log!(
                     self.runtime,
-                    "journal: cannot cut off half a record: {error}"
+                    "journal: incomplete_record_not_cut error={error}"
                 );
             }
         }
--- a/crates/relay/src/process/departing.rs
+++ b/crates/relay/src/process/departing.rs
@@ -31,10 +31,7 @@
             if !self.is_stopping() {
                 match DirectoryOwner::reclaim(departing) {
                     Ok(directory_owner) => {
-                        log!(
-                            self.runtime,
-                            "upgrade: the process that took over is gone; this one serves again"
-                        );
+                        log!(self.runtime, "upgrade: directory_reclaimed");
                         return Some(directory_owner);
                     }
                     Err(unchanged) => departing = unchanged,
@@ -74,7 +71,7 @@
             }
             Signal::Reload => log!(
                 self.runtime,
-                "configuration: it is the new process's to read"
+                "configuration: reload_ignored reason=handed_over"
             ),
         }
     }
@@ -84,10 +81,7 @@
         match event {
             RelayEvent::CallCompleted(call) => {
                 if let Err(error) = departing.report_call_end(&call) {
-                    log!(
-                        self.runtime,
-                        "upgrade: cannot tell the end of a call: {error}"
-                    );
+                    log!(self.runtime, "upgrade: call_end_not_reported error={error}");
                 }
             }
             RelayEvent::EnqueueRequest(request) => {
--- a/crates/relay/src/process/serving.rs
+++ b/crates/relay/src/process/serving.rs
@@ -218,10 +218,7 @@
 
     /// Accepts clients again after a hand-over that failed.
     fn resume_serving(&self, servers: &Servers<R>, error: &io::Error) -> Result<(), RelayError> {
-        log!(
-            self.runtime,
-            "upgrade: cannot hand over, and serves on: {error}"
-        );
+        log!(self.runtime, "upgrade: handover_failed error={error}");
         if !self.control.handle_event(LifecycleEvent::Reclaimed) {
             return Ok(());
         }
--- a/crates/relay/src/state_directory/owner.rs
+++ b/crates/relay/src/state_directory/owner.rs
@@ -90,10 +90,7 @@
     }
 
     fn log_request(&self) {
-        log!(
-            self.runtime,
-            "upgrade: another process serves; it is asked to hand over"
-        );
+        log!(self.runtime, "upgrade: handover_requested");
     }
 
     /// A request that cannot be written now is written at the next check.
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -123,7 +123,9 @@
     let held = call.at.checked_duration_since(start).unwrap_or_default();
     assert!(held < Duration::from_secs(5), "held for {held:?}");
     assert!(
-        scene.log().contains("calls go by the remembered list"),
+        scene
+            .log()
+            .contains("discovery: no_contact_since_start host_list=cached"),
         "{}",
         scene.log()
     );
@@ -325,7 +327,7 @@
     scene.discovery.spoils.store(true, SeqCst);
     scene.discovery.closes.store(true, SeqCst);
     until("the watch to end", || {
-        scene.log().contains("ended").then_some(())
+        scene.log().contains("discovery: watch_ended").then_some(())
     });
     scene.discovery.closes.store(false, SeqCst);
     std::thread::sleep(Duration::from_millis(1000));
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -293,7 +293,7 @@
         assert_eq!(scene.enqueue("fresh", 1).1, "+OK", "{text}");
     }
     assert_eq!(figure(door, "reload_success"), 1);
-    assert!(!scene.log().contains("discovery is at 127.0.0.1:1\n"));
+    assert!(!scene.log().contains("discovery=127.0.0.1:1\n"));
 }
 
 #[test]
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -165,7 +165,11 @@
     let (second, _) = scene.enqueue("update", 1);
     until("the call", || host.calls_of(&second).first().cloned());
     scene.kill();
-    assert!(scene.log().contains("torn tail"), "{}", scene.log());
+    assert!(
+        scene.log().contains("journal: torn_tail_dropped"),
+        "{}",
+        scene.log()
+    );
     host.script(|_, _| ok());
     scene.start();
     until("another call", || host.calls_of(&second).get(1).cloned());
@@ -601,7 +605,7 @@
             scene.term();
             assert!(scene.end().success());
             scene.start();
-            assert!(!scene.log().contains("still owed"), "{shown}");
+            assert!(!scene.log().contains("messages_restored"), "{shown}");
             assert_eq!(scene.discovery.notice_of(&id), None, "{shown}");
         } else {
             let notice = until(&shown, || scene.discovery.notice_of(&id));
@@ -771,7 +775,11 @@
         (answer == "+OK").then_some(id)
     });
     until("the call", || new.calls_of(&id).first().cloned());
-    assert!(scene.log().contains("cannot be used"), "{}", scene.log());
+    assert!(
+        scene.log().contains("discovery: list_rejected"),
+        "{}",
+        scene.log()
+    );
 }
 
 #[test]
--- a/crates/relay/tests/shutdown.rs
+++ b/crates/relay/tests/shutdown.rs
@@ -9,10 +9,10 @@
 
 /// Lets the process read the signal to stop and then stand still; false if it had ended by then.
 fn stops_and_stands(scene: &Scene) -> bool {
-    let before = scene.log().matches("told to stop").count();
+    let before = scene.log().matches("relay: shutdown_started").count();
     scene.term();
     until("the signal to be read", || {
-        (scene.log().matches("told to stop").count() > before).then_some(())
+        (scene.log().matches("relay: shutdown_started").count() > before).then_some(())
     });
     scene.signal("-STOP");
     let stat = format!("/proc/{}/stat", scene.relay.as_ref().expect("runs").id());
--- a/crates/simulator/tests/operated.rs
+++ b/crates/simulator/tests/operated.rs
@@ -27,10 +27,10 @@
         ..Options::default()
     };
     let lines = [
-        "Drain, now Draining",
-        "Resume, now Serving",
-        "the old one stays in force",
-        "upgrade: handed over",
+        "control: state_changed event=drain state=draining",
+        "control: state_changed event=resume state=serving",
+        "configuration: reload_rejected",
+        "upgrade: handed_over",
     ];
     let (mut seen, mut rushed) = ([0; 4], 0);
     for seed in 0..40 {
--- a/crates/simulator/tests/upgraded.rs
+++ b/crates/simulator/tests/upgraded.rs
@@ -32,9 +32,9 @@
     for seed in 0..80 {
         let trace = play(&Script::draw_upgraded(seed), traced).trace.join("\n");
         let lines = [
-            "upgrade: handed over",
+            "upgrade: handed_over",
             "and was replaced",
-            "this one serves again",
+            "upgrade: directory_reclaimed",
         ];
         for (seen, line) in seen.iter_mut().zip(lines) {
             *seen += u32::from(trace.contains(line));
