--- a/crates/relay/src/cached_state.rs
+++ b/crates/relay/src/cached_state.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use policy::types::{HostState, Micros};
+use policy::types::{DestinationId, HostState, Micros, Outage};
 use relay_events::{HostList, HostListEntry};
 use runtime::{log, Runtime};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -32,12 +32,37 @@
 pub struct CachedState {
     /// The list of hosts.
     pub list: HostList,
-    /// Outages of destinations.
+    /// Outages of destinations. Their moments are in Unix time.
+    #[serde(deserialize_with = "deserialize_outages")]
     pub outages: Vec<Outage>,
 }
 
-/// An outage: the destination, when it began and when the first success came after it, both in Unix time.
-type Outage = (u16, Micros, Option<Micros>);
+/// An outage as it is stored: a JSON array of the destination, when it began and when the first success came after it.
+#[derive(Serialize, Deserialize)]
+struct StoredOutage(DestinationId, Micros, Option<Micros>);
+
+impl From<&Outage> for StoredOutage {
+    fn from(outage: &Outage) -> Self {
+        StoredOutage(outage.destination, outage.started_at, outage.recovered_at)
+    }
+}
+
+impl From<StoredOutage> for Outage {
+    fn from(StoredOutage(destination, started_at, recovered_at): StoredOutage) -> Self {
+        Outage {
+            destination,
+            started_at,
+            recovered_at,
+        }
+    }
+}
+
+fn deserialize_outages<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Vec<Outage>, D::Error> {
+    let stored: Vec<StoredOutage> = Deserialize::deserialize(deserializer)?;
+    Ok(stored.into_iter().map(Outage::from).collect())
+}
 
 /// A host of the list. Its JSON is an array of the fields in this order.
 struct StoredHost {
@@ -121,7 +146,7 @@
     version: u64,
     names: Vec<String>,
     hosts: Vec<StoredHost>,
-    outages: Vec<Outage>,
+    outages: Vec<StoredOutage>,
 }
 
 impl StoredState {
@@ -135,7 +160,7 @@
             version: state.list.version,
             names: names.0,
             hosts,
-            outages: state.outages.clone(),
+            outages: state.outages.iter().map(StoredOutage::from).collect(),
         }
     }
 
@@ -150,7 +175,7 @@
                 is_full: true,
                 hosts: entries.collect::<Option<_>>()?,
             },
-            outages: self.outages,
+            outages: self.outages.into_iter().map(Outage::from).collect(),
         })
     }
 }
--- a/crates/relay/src/cached_state/tests.rs
+++ b/crates/relay/src/cached_state/tests.rs
@@ -21,7 +21,11 @@
         is_full: true,
         hosts: (0..hosts).map(line).collect(),
     };
-    let outage = |at| (at, 1_796_168_056_871_000, Some(1_796_168_056_991_000));
+    let outage = |destination| Outage {
+        destination,
+        started_at: 1_796_168_056_871_000,
+        recovered_at: Some(1_796_168_056_991_000),
+    };
     CachedState {
         list,
         outages: (0..hosts / 3).map(outage).collect(),
@@ -35,7 +39,8 @@
         CachedState::decode(state.encode().expect("text").as_bytes()),
         Some(state.clone())
     );
-    let before = serde_json::json!({"list": state.list, "outages": state.outages}).to_string();
+    let outages: Vec<StoredOutage> = state.outages.iter().map(StoredOutage::from).collect();
+    let before = serde_json::json!({"list": state.list, "outages": outages}).to_string();
     assert_eq!(CachedState::decode(before.as_bytes()), Some(state));
 }
 
--- a/crates/relay/src/call_log.rs
+++ b/crates/relay/src/call_log.rs
@@ -1,7 +1,7 @@
 //! The call log: one line for each event that the policy sees and each action that it takes, for statistics over a
 //! fleet of relays.
 //!
-//! A line is `fleet`, the Unix time in milliseconds, a word and its values; `relay-experiments fleet` parses it.
+//! A line is `fleet`, the Unix time in milliseconds, a label and its values; `relay-experiments fleet` parses it.
 //! Bodies, keys and names of messages are never written.
 
 #[cfg(test)]
@@ -22,7 +22,7 @@
 const LEVEL_INTERVAL: Micros = 10_000_000;
 /// Microseconds in a millisecond, the unit of the lines.
 const MICROS_PER_MS: Micros = 1000;
-/// Stands for the destination of a message that is not known any more.
+/// Stands for the destination of a message that is no longer known.
 const UNKNOWN_DESTINATION: DestinationId = DestinationId::MAX;
 
 /// How full a table is.
@@ -47,7 +47,7 @@
 }
 
 impl<R: Runtime> CallLog<R> {
-    /// A call log, enabled as the operator file says.
+    /// A call log, enabled as the operator file sets it.
     pub fn new(runtime: R, is_enabled: bool) -> Self {
         CallLog {
             runtime,
@@ -140,16 +140,16 @@
             self.runtime,
             "fleet {} list {destination} host={host} kind={kind} weight={weight} {} name={name}",
             now / MICROS_PER_MS,
-            state_word(*state)
+            state_label(*state)
         );
     }
 
-    fn message_queued(&mut self, now: Micros, word: &str, message: &Message) {
+    fn message_queued(&mut self, now: Micros, label: &str, message: &Message) {
         self.destinations.insert(message.id, message.destination);
         let time_left = message.deadline.saturating_sub(now) / MICROS_PER_MS;
         log!(
             self.runtime,
-            "fleet {} {word} {} {} class={} left={time_left} again={}",
+            "fleet {} {label} {} {} class={} left={time_left} again={}",
             now / MICROS_PER_MS,
             message.destination,
             message.id,
@@ -169,7 +169,7 @@
             "fleet {} ended {destination} {} {} wait={} took={} report={:?}",
             now / MICROS_PER_MS,
             end.id,
-            outcome_word(end.outcome),
+            outcome_label(end.outcome),
             retry_after / MICROS_PER_MS,
             end.elapsed / MICROS_PER_MS,
             end.load_report
@@ -214,15 +214,15 @@
         }
     }
 
-    fn message_ended(&mut self, now: Micros, word: &str, id: MessageId, policy: &DeliveryPolicy) {
-        self.action(now, word, id, "", policy);
+    fn message_ended(&mut self, now: Micros, label: &str, id: MessageId, policy: &DeliveryPolicy) {
+        self.action(now, label, id, "", policy);
         self.destinations.remove(&id);
     }
 
     fn action(
         &self,
         now: Micros,
-        word: &str,
+        label: &str,
         id: MessageId,
         target: &str,
         policy: &DeliveryPolicy,
@@ -232,7 +232,7 @@
         let description = policy.describe_destination(destination);
         log!(
             self.runtime,
-            "fleet {} {word} {destination} {id} held={queued}{target} {description}",
+            "fleet {} {label} {destination} {id} held={queued}{target} {description}",
             now / MICROS_PER_MS
         );
     }
@@ -245,8 +245,8 @@
     }
 }
 
-/// The word for an outcome. Tools that count over logs match it, also in logs of earlier versions.
-fn outcome_word(outcome: AttemptOutcome) -> &'static str {
+/// The label of an outcome. Tools that count over logs match it, also in logs of earlier versions.
+fn outcome_label(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Delivered => "Ok",
         AttemptOutcome::Error => "Error",
@@ -261,8 +261,8 @@
     }
 }
 
-/// The word for a host's state, matched like that of an outcome.
-fn state_word(state: HostState) -> &'static str {
+/// The label of a host's state, matched like that of an outcome.
+fn state_label(state: HostState) -> &'static str {
     match state {
         HostState::Ready => "Ready",
         HostState::Draining => "Draining",
--- a/crates/relay/src/call_log/tests.rs
+++ b/crates/relay/src/call_log/tests.rs
@@ -1,9 +1,9 @@
-use super::{outcome_word, state_word};
+use super::{outcome_label, state_label};
 use policy::types::{AttemptOutcome, HostState};
 
-/// The words of the version before the types were renamed, which counts over logs of a fleet rely on.
+/// The labels of the version before the types were renamed, which counts over logs of a fleet rely on.
 #[test]
-fn outcomes_and_host_states_keep_their_words() {
+fn outcomes_and_host_states_keep_their_labels() {
     let outcomes = [
         (AttemptOutcome::Delivered, "Ok"),
         (AttemptOutcome::Error, "Error"),
@@ -16,15 +16,15 @@
         (AttemptOutcome::Obsolete, "Moot"),
         (AttemptOutcome::NotStarted, "NotBegun"),
     ];
-    for (outcome, word) in outcomes {
-        assert_eq!(outcome_word(outcome), word);
+    for (outcome, label) in outcomes {
+        assert_eq!(outcome_label(outcome), label);
     }
     let states = [
         (HostState::Ready, "Ready"),
         (HostState::Draining, "Draining"),
         (HostState::Removed, "Gone"),
     ];
-    for (state, word) in states {
-        assert_eq!(state_word(state), word);
+    for (state, label) in states {
+        assert_eq!(state_label(state), label);
     }
 }
--- a/crates/relay/src/client_connections/accept.rs
+++ b/crates/relay/src/client_connections/accept.rs
@@ -16,7 +16,7 @@
 /// may have queued.
 const STARTUP_QUEUE_WINDOW: Duration = Duration::from_millis(50);
 /// How long such a connection is taken to have queued: the deadlines of its first requests count from that much earlier.
-/// A deadline that is too early does no harm, one that is too late would tell hosts and clients what is not true. A
+/// A deadline that is too early does no harm; one that is too late would promise hosts and clients time that is not left. A
 /// client that has queued for longer has long given up.
 const MAX_QUEUE_DELAY: Duration = Duration::from_secs(1);
 /// Once the process accepts no more, the port closes when no connection has come for this long ...
@@ -62,7 +62,7 @@
 
 struct AcceptLoop<R: Runtime> {
     started_at: Instant,
-    /// Tells at once that the process accepts no more.
+    /// Ready as soon as the process accepts no more.
     policy: watch::Receiver<ConnectionPolicy>,
     /// The same, for the wait that ends only when no more connections come.
     closing: watch::Receiver<ConnectionPolicy>,
--- a/crates/relay/src/client_connections/connection.rs
+++ b/crates/relay/src/client_connections/connection.rs
@@ -376,7 +376,7 @@
 
     fn may_stay_quiet(&self, wait: &Wait) -> bool {
         self.has_requested
-            && !self.slot.clients.is_crowded()
+            && !self.slot.clients.is_under_pressure()
             && self.runtime.now() - wait.since < IDLE_TIMEOUT
     }
 }
--- a/crates/relay/src/client_connections/lingering_close.rs
+++ b/crates/relay/src/client_connections/lingering_close.rs
@@ -23,7 +23,7 @@
     let deadline = runtime.now() + LINGER_TIMEOUT;
     let readable = runtime.timeout_at(deadline, stream.readable()).await;
     if matches!(readable, Ok(Ok(()))) && stream.pending_input() == PendingInput::Bytes {
-        // Whether the client has closed behind these bytes cannot be told without reading them.
+        // Whether the client has closed behind these bytes is unknown without reading them.
         runtime.sleep_until(deadline).await;
     }
     Ok(())
--- a/crates/relay/src/client_connections/registry.rs
+++ b/crates/relay/src/client_connections/registry.rs
@@ -17,6 +17,10 @@
 const EVICTION_MIN_QUIET: Duration = Duration::from_millis(250);
 /// The same once no slot is free.
 const EVICTION_MIN_QUIET_WHEN_FULL: Duration = Duration::from_millis(20);
+/// Thirds of the slots from which on quiet connections are closed sooner.
+const PRESSURE_THIRDS: usize = 1;
+/// Thirds of the slots from which on quiet connections are evicted.
+const EVICTION_THIRDS: usize = 2;
 /// How often another connection is looked for while no slot is free: the one chosen may turn out to have a request.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -122,16 +126,16 @@
         self.open.borrow().len()
     }
 
-    /// Whether so many connections are open that quiet ones do harm: a client that is limited to this many itself has
-    /// none left to send requests on.
-    pub(super) fn is_crowded(&self) -> bool {
-        self.count() >= self.max_connections / 3
+    /// Whether quiet connections take up slots that clients need: a client that is limited to this many connections
+    /// itself has none left to send requests on.
+    pub(super) fn is_under_pressure(&self) -> bool {
+        self.count() >= self.max_connections / 3 * PRESSURE_THIRDS
     }
 
-    /// Waits until there is a free slot, and evicts quiet connections to free one. Eviction begins when two thirds of
-    /// the slots are taken.
+    /// Waits until there is a free slot, and evicts quiet connections to free one. Eviction begins when
+    /// [`EVICTION_THIRDS`] of the slots are taken.
     pub(super) async fn wait_for_free_slot(&self) {
-        if self.count() >= self.max_connections / 3 * 2 {
+        if self.count() >= self.max_connections / 3 * EVICTION_THIRDS {
             self.evict_quietest(EVICTION_MIN_QUIET);
         }
         while self.count() >= self.max_connections {
--- a/crates/relay/src/client_connections/request_handler.rs
+++ b/crates/relay/src/client_connections/request_handler.rs
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether the client has failed to authenticate so often that its connection is to be closed.
+    /// Whether the client has failed to authenticate [`MAX_FAILED_AUTHENTICATIONS`] times, which closes its connection.
     pub(super) fn has_exhausted_authentication(&self) -> bool {
         self.session.failed_authentications >= MAX_FAILED_AUTHENTICATIONS
     }
--- a/crates/relay/src/clock_anchor.rs
+++ b/crates/relay/src/clock_anchor.rs
@@ -67,7 +67,7 @@
     Clock::new(runtime.clone(), unix)
 }
 
-/// Tells in the log that the wall clock was stepped since the relay's clock started from it.
+/// Logs that the wall clock was stepped since the relay's clock started from it.
 pub fn log_difference<R: Runtime>(runtime: &R, clock: &Clock<R>) {
     let wall_clock = runtime.unix_time().as_micros() as Micros;
     let ahead = wall_clock as i64 - clock.now() as i64;
@@ -81,7 +81,7 @@
     ClockAnchor::load(runtime, folder)?.unix_at(&reading)
 }
 
-/// Sees to it that the anchor of the relay's clock is on disk before anything that is counted by that clock.
+/// Ensures that the anchor of the relay's clock is on disk before anything that is counted by that clock.
 pub struct AnchorFile {
     path: PathBuf,
     is_written: bool,
@@ -101,7 +101,7 @@
     /// Writes the file if it is missing or of another boot, and returns whether it stands. After a failure this is tried
     /// again at a bounded pace.
     ///
-    /// A system that does not tell its monotonic clock needs no file.
+    /// A system whose monotonic clock cannot be read needs no file.
     pub fn ensure_written<R: Runtime>(&mut self, runtime: &R, clock: &Clock<R>) -> bool {
         let now = runtime.now();
         if self.is_written || self.retry_at.is_some_and(|at| now < at) {
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -18,7 +18,7 @@
 
 /// How long a host that drains may still get calls, where the settings do not say.
 const DEFAULT_DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// The longest time that clients may be told to wait, in microseconds.
+/// The largest Retry-After for clients, in microseconds.
 const LONGEST_RETRY_AFTER: Micros = 3_600_000_000;
 /// The longest tick, in microseconds.
 const LONGEST_TICK: Micros = 1_000_000;
@@ -241,11 +241,11 @@
     in_file: Option<String>,
 ) -> Result<String, ConfigError> {
     let from_variable = runtime.env_var("BALANCER_DISCOVERY");
-    if let (Some(given), Some(holds)) = (&from_variable, &in_file) {
-        if given != holds {
+    if let (Some(variable), Some(file)) = (&from_variable, &in_file) {
+        if variable != file {
             log!(
                 *runtime,
-                "configuration: discovery_variable_ignored file={holds} variable={given}"
+                "configuration: discovery_variable_ignored file={file} variable={variable}"
             );
         }
     }
--- a/crates/relay/src/control_socket/shared_state.rs
+++ b/crates/relay/src/control_socket/shared_state.rs
@@ -135,20 +135,24 @@
             .then_some(TRANSITION_POLL_INTERVAL)
     }
 
-    /// Whether the process exits now. `is_idle` is evaluated only if that matters. While the port is still open
-    /// (`is_listening`), an idle process first accepts the connections that wait there.
-    pub fn should_exit(&self, is_listening: bool, is_idle: impl FnOnce() -> bool) -> bool {
+    /// Whether the process exits now. `is_idle` is evaluated only if that matters.
+    pub fn should_exit(&self, is_idle: impl FnOnce() -> bool) -> bool {
         let lifecycle = *self.lifecycle.borrow();
-        if lifecycle.state() != LifecycleState::Stopping
-            || !lifecycle.should_exit(self.uptime(), is_idle())
-        {
+        lifecycle.state() == LifecycleState::Stopping
+            && lifecycle.should_exit(self.uptime(), is_idle())
+    }
+
+    /// The same while the port is open: an idle process first accepts the connections that wait there, and stays until
+    /// the port is closed or its time to stop has run out.
+    pub fn should_exit_listening(&self, is_idle: impl FnOnce() -> bool) -> bool {
+        if !self.should_exit(is_idle) {
             return false;
         }
-        if is_listening && !lifecycle.must_exit(self.uptime()) {
+        let must_exit = self.lifecycle.borrow().must_exit(self.uptime());
+        if !must_exit {
             self.handle_event(LifecycleEvent::Idle);
-            return false;
         }
-        true
+        must_exit
     }
 
     /// Whether everything is to be handed over to another process now.
--- a/crates/relay/src/discovery_client/watch.rs
+++ b/crates/relay/src/discovery_client/watch.rs
@@ -301,7 +301,7 @@
         Ok(())
     }
 
-    /// Tells the event loop that the current list is the latest.
+    /// Reports to the event loop that the current list is the latest.
     async fn deliver_confirmation(&mut self) -> Result<(), DiscoveryError> {
         self.is_unconfirmed = false;
         self.inputs
--- a/crates/relay/src/event_loop/host_list.rs
+++ b/crates/relay/src/event_loop/host_list.rs
@@ -22,11 +22,11 @@
     /// Discovery has sent a list or a change of it.
     pub(super) fn host_list_received(&mut self, list: HostList) {
         self.apply_host_list(list, HostListSource::Discovery);
-        self.discovery_answered();
+        self.discovery_contacted();
     }
 
     /// Discovery is in contact, so the list in force is the latest.
-    pub(super) fn discovery_answered(&mut self) {
+    pub(super) fn discovery_contacted(&mut self) {
         self.confirm_host_list();
         self.record_discovery_contact();
     }
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -205,7 +205,7 @@
                 self.attempt_ended(call);
             }
             RelayEvent::HostListReceived(list) => self.host_list_received(list),
-            RelayEvent::HostListConfirmed => self.discovery_answered(),
+            RelayEvent::HostListConfirmed => self.discovery_contacted(),
             RelayEvent::NotificationsAccepted(ids) => self.notifications_accepted(ids),
             RelayEvent::Tenants(call) => self.answer_tenant_call(call),
             RelayEvent::Undeliverable(event) => self.handle_undeliverable_event(event),
--- a/crates/relay/src/event_loop/persistence.rs
+++ b/crates/relay/src/event_loop/persistence.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use policy::types::MessageId;
+use policy::types::{MessageId, Outage};
 use runtime::{log, Runtime};
 
 use super::EventLoop;
@@ -53,11 +53,7 @@
 
     /// Saves the host list and the outages if either has changed.
     pub(super) fn save_cached_state(&mut self) {
-        let outages = self
-            .policy
-            .outages()
-            .map(|outage| (outage.destination, outage.started_at, outage.recovered_at))
-            .collect();
+        let outages: Vec<Outage> = self.policy.outages().collect();
         if !self.host_directory.has_changed() && self.cached_state.outages == outages {
             return;
         }
--- a/crates/relay/src/event_loop/restore.rs
+++ b/crates/relay/src/event_loop/restore.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use policy::types::{Event, Message, MessageId, Micros, Outage, PastAttempt, TenantId};
+use policy::types::{Event, Message, MessageId, Micros, PastAttempt, TenantId};
 use policy::HandoverSnapshot;
 use relay_events::{DeliveryFailure, HostList};
 use runtime::{log, Runtime};
@@ -103,13 +103,9 @@
     }
 
     fn restore_outages(&mut self) {
-        for (destination, started_at, recovered_at) in self.cached_state.outages.clone() {
-            self.pending_events.push(Event::OutageRestored(Outage {
-                destination,
-                started_at,
-                recovered_at,
-            }));
-        }
+        let outages = self.cached_state.outages.iter();
+        self.pending_events
+            .extend(outages.map(|outage| Event::OutageRestored(*outage)));
     }
 
     /// Restores the messages of the journal in the order of their numbers.
--- a/crates/relay/src/event_loop/startup.rs
+++ b/crates/relay/src/event_loop/startup.rs
@@ -13,7 +13,7 @@
 use runtime::{retry_transient, Runtime};
 use tokio::sync::{mpsc, watch};
 
-use super::{EventLoop, StartupError};
+use super::{EventLoop, PolicyAborted, StartupError};
 use crate::cached_state::{self, CachedState};
 use crate::call_log::CallLog;
 use crate::classes::Classes;
@@ -25,7 +25,7 @@
 use crate::in_flight::InFlightMessages;
 use crate::journal::Journal;
 use crate::operator_config::Operator;
-use crate::state_directory::DirectoryOwner;
+use crate::state_directory::{DirectoryOwner, HandoverState};
 use crate::tenant_service::Tenants;
 use crate::undeliverable_service::{self, UndeliverableService};
 
@@ -158,20 +158,22 @@
             config,
             runtime: runtime.clone(),
         };
-        event_loop
-            .clock_anchor
-            .ensure_written(runtime, &event_loop.clock);
-        event_loop
-            .call_log
-            .start(event_loop.clock.now(), &event_loop.config.settings);
-        event_loop.restore(handover)?;
-        clock_anchor::log_difference(runtime, &event_loop.clock);
+        event_loop.start(handover)?;
         Ok(OpenedLoop {
             event_loop,
             discovery_address,
             max_clients: budget.max_clients,
         })
     }
+
+    /// Restores the state. The clock's anchor is written before any moment that is counted by that clock.
+    fn start(&mut self, handover: Option<HandoverState>) -> Result<(), PolicyAborted> {
+        self.clock_anchor.ensure_written(&self.runtime, &self.clock);
+        self.call_log.start(self.clock.now(), &self.config.settings);
+        self.restore(handover)?;
+        clock_anchor::log_difference(&self.runtime, &self.clock);
+        Ok(())
+    }
 }
 
 async fn open_journal<R: Runtime>(
--- a/crates/relay/src/host_connections/tests.rs
+++ b/crates/relay/src/host_connections/tests.rs
@@ -182,7 +182,7 @@
     });
 }
 
-/// When a second copy of a response arrives.
+/// When a duplicate response arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DuplicateTiming {
     WithTheResponse,
--- a/crates/relay/src/host_directory.rs
+++ b/crates/relay/src/host_directory.rs
@@ -64,8 +64,8 @@
         self.version
     }
 
-    /// Whether a list was applied since the last call. The version does not tell, as a list may change hosts under the same
-    /// version.
+    /// Whether a list was applied since the last call. The version does not show this, as a list may change hosts under
+    /// the same version.
     pub fn has_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
--- a/crates/relay/src/in_flight/tests.rs
+++ b/crates/relay/src/in_flight/tests.rs
@@ -8,7 +8,7 @@
 
 /// However many messages complete within the window, the next process recognizes a duplicate of each.
 #[test]
-fn names_completed_within_the_window_are_handed_over() {
+fn names_completed_within_the_window_are_in_the_handover_state() {
     let (mut old, mut new, start) = (
         InFlightMessages::default(),
         InFlightMessages::default(),
--- a/crates/relay/src/process/departing.rs
+++ b/crates/relay/src/process/departing.rs
@@ -51,7 +51,7 @@
         if is_idle && (self.is_stopping() || departing.is_replaced()) {
             return true;
         }
-        self.control.should_exit(false, || departing.is_idle())
+        self.control.should_exit(|| departing.is_idle())
     }
 
     /// Waits for a signal, an event or the next check.
--- a/crates/relay/src/process/serving.rs
+++ b/crates/relay/src/process/serving.rs
@@ -316,7 +316,11 @@
     /// costs them no attempt.
     fn should_exit(&self, event_loop: &EventLoop<R>, clients: &ClientConnections<R>) -> bool {
         let is_idle = || event_loop.is_idle() && clients.count() == 0 && self.events.is_empty();
-        self.control.should_exit(clients.is_accepting(), is_idle)
+        if clients.is_accepting() {
+            self.control.should_exit_listening(is_idle)
+        } else {
+            self.control.should_exit(is_idle)
+        }
     }
 
     /// Waits for a signal, an event, a change of the lifecycle or the given moment.
--- a/crates/runtime/src/runtime.rs
+++ b/crates/runtime/src/runtime.rs
@@ -35,7 +35,7 @@
     /// A reading of the monotonic clock that a later process on the same machine can compare with its own.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// The system's clock cannot be read.
     fn boot_time(&self) -> io::Result<BootTime>;
 
     /// Completes at a moment. Timers of the same moment may complete in any order.
