--- a/crates/control/src/lifecycle.rs
+++ b/crates/control/src/lifecycle.rs
@@ -202,7 +202,7 @@
         self.is_drained = is_drained;
     }
 
-    /// Whether everything is to be handed over now: another process takes over, and the clients are gone or have had
+    /// Whether everything is to be handed over now: another process takes over, and the clients have disconnected or have had
     /// [`HANDOVER_GRACE`].
     #[must_use]
     pub fn should_start_handover(&self, now: Duration, clients: usize) -> bool {
--- a/crates/control/tests/lifecycle.rs
+++ b/crates/control/tests/lifecycle.rs
@@ -212,3 +212,20 @@
         ["starting", "serving", "draining", "handingover", "stopping"]
     );
 }
+
+#[test]
+fn events_have_stable_names_in_the_log() {
+    let names = EVENTS.map(LifecycleEvent::as_str);
+    assert_eq!(
+        names,
+        [
+            "started",
+            "drain",
+            "resume",
+            "handover_requested",
+            "reclaimed",
+            "stop",
+        ]
+    );
+    assert_eq!(LifecycleEvent::Idle.as_str(), "idle");
+}
--- a/crates/membership/src/host_membership/mod.rs
+++ b/crates/membership/src/host_membership/mod.rs
@@ -152,7 +152,7 @@
     /// A discovery instance that lags behind another one, or behind its own state before a restart, would undo drains
     /// that were announced already. Its list is reported as older until it has lagged for
     /// [`STALE_LIST_ACCEPTED_AFTER`]; then a full snapshot (`is_full`) is accepted, so that the drains it announces
-    /// itself are not ignored for good.
+    /// itself are not ignored permanently.
     pub fn judge_list(
         &mut self,
         received_version: u64,
--- a/crates/membership/src/poll_schedule/mod.rs
+++ b/crates/membership/src/poll_schedule/mod.rs
@@ -37,7 +37,7 @@
 
 /// Push mode: the response timeout is at most this fraction of the drain grace.
 ///
-/// With [`PUSH_BACKOFF_GRACE_FRACTION`], whose backoff is jittered up to three halves, an agent that comes back is heard
+/// With [`PUSH_BACKOFF_GRACE_FRACTION`], whose backoff is jittered up to three halves, an agent that recovers is heard
 /// within 0.375 + 1.5 × 0.125 = 0.5625 of the grace. The remainder is for the relay's own processing.
 const PUSH_RESPONSE_GRACE_FRACTION: f64 = 0.375;
 
--- a/crates/relay/src/cached_state.rs
+++ b/crates/relay/src/cached_state.rs
@@ -230,7 +230,7 @@
     ///
     /// # Errors
     /// `StorageFull` if the file would take more than its share of the limit; otherwise the error of the write, after
-    /// which the old file stands.
+    /// which the old file stays in place.
     pub fn save(&self, runtime: &impl Runtime, folder: &Path, limit: u64) -> io::Result<()> {
         let text = self.encode()?;
         if text.len() as f64 > limit as f64 * MAX_DISK_SHARE {
--- a/crates/relay/src/client_connections/connection.rs
+++ b/crates/relay/src/client_connections/connection.rs
@@ -19,7 +19,7 @@
 
 /// The most requests of one connection that are handled before their replies are written.
 const MAX_PIPELINED_REQUESTS: usize = 64;
-/// A request that has begun must arrive whole within this time.
+/// A request that has begun must arrive completely within this time.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// The same for a request whose body is skipped, as it is too long.
 const SKIPPED_REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(5);
@@ -219,7 +219,7 @@
         for answer in answers {
             let reply = match answer {
                 Answer::Immediate(reply) => reply,
-                // The event loop drops no request; if it is gone, the process ends.
+                // The event loop drops no request; if it has ended, the process ends.
                 Answer::Pending(reply) => reply.await.map_err(io::Error::other)?,
             };
             reply.write(&mut output);
@@ -358,8 +358,8 @@
         }
     }
 
-    /// Closes a connection that has been quiet for too long, or whose request did not arrive whole: it would hold its
-    /// slot for good. A quiet one is closed without reading on: a request that crosses the close stays unread, so that its
+    /// Closes a connection that has been quiet for too long, or whose request did not arrive completely: it would hold its
+    /// slot forever. A quiet one is closed without reading on: a request that crosses the close stays unread, so that its
     /// client sends it again.
     async fn handle_deadline(&mut self, wait: &Wait) -> io::Result<NextStep> {
         if !wait.is_quiet {
--- a/crates/relay/src/client_connections/framing/mod.rs
+++ b/crates/relay/src/client_connections/framing/mod.rs
@@ -1,7 +1,7 @@
 //! RESP2 framing of requests, without I/O.
 //!
 //! A request is an array of bulk strings. Its end is found, and its limits are checked, before it is decoded: the
-//! decoder itself would accept arrays nested to any depth and counts of millions, and would need a body whole in memory
+//! decoder itself would accept arrays nested to any depth and counts of millions, and would need a complete body in memory
 //! before it could be rejected.
 
 #[cfg(test)]
@@ -23,7 +23,7 @@
 /// Ends each line and each bulk string.
 const LINE_END: &[u8] = b"\r\n";
 
-/// What stands at the start of a connection's input.
+/// What a connection's input begins with.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Frame {
     /// The beginning of a request, or nothing.
@@ -55,7 +55,7 @@
     /// A part exceeds the limit, and is not the body of an otherwise valid request.
     #[error("protocol error: a part is too long")]
     PartTooLong,
-    /// No line break stands where a part's length puts its end.
+    /// There is no line break where a part's length puts its end.
     #[error("protocol error: a part is not as long as told")]
     PartLengthMismatch,
     /// The decoder finds no array.
@@ -106,7 +106,7 @@
     Ok(Frame::Complete { length: position })
 }
 
-/// Whether a part that ends at `end` is too long, or stands too far from the start of its request.
+/// Whether a part that ends at `end` is too long, or is too far from the start of its request.
 fn exceeds_limits(header: &LengthLine, end: usize, is_last: bool) -> bool {
     header.length > MAX_BODY_BYTES
         || header.end > MAX_BYTES_BEFORE_BODY
@@ -137,7 +137,7 @@
     length: usize,
 }
 
-/// Parses the line that begins at `start`; none if it has not arrived whole.
+/// Parses the line that begins at `start`; none if it has not arrived completely.
 fn parse_length_line(
     input: &[u8],
     start: usize,
--- a/crates/relay/src/client_connections/framing/tests.rs
+++ b/crates/relay/src/client_connections/framing/tests.rs
@@ -117,7 +117,7 @@
 
 #[test]
 fn parts_before_the_body_are_limited() {
-    // All that stands before the body, but for the content of the first part.
+    // Everything before the body, but for the content of the first part.
     let framing_bytes = "*2\r\n$4079\r\n\r\n$0\r\n".len();
     let longest = vec![b'x'; MAX_BYTES_BEFORE_BODY - framing_bytes];
     assert_eq!(longest.len(), 4079);
--- a/crates/relay/src/client_connections/request/mod.rs
+++ b/crates/relay/src/client_connections/request/mod.rs
@@ -162,7 +162,7 @@
     })
 }
 
-/// Parses a hexadecimal ordering key; 0 stands for none.
+/// Parses a hexadecimal ordering key; 0 means none.
 fn parse_ordering_key(part: &[u8]) -> Result<Option<u64>, RequestError> {
     let key = parse_text(part)
         .and_then(|key| u64::from_str_radix(key, 16).ok())
--- a/crates/relay/src/clock_anchor.rs
+++ b/crates/relay/src/clock_anchor.rs
@@ -5,7 +5,7 @@
 //! time. The anchor says what the relay's clock showed at one reading of the machine's monotonic clock; a later process
 //! reads both clocks together and goes on from there.
 //!
-//! In another boot of the machine the monotonic clock has begun anew. Then, and where there is no anchor (as after a
+//! In another boot of the machine the monotonic clock has restarted. Then, and where there is no anchor (as after a
 //! version that wrote none), the relay's clock starts at the wall clock: spans over the gap are as good as that is.
 
 use std::io;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Starts the relay's clock: where the process before it stands by now, or else at the wall clock.
+/// Starts the relay's clock: at the time that the previous process' clock would show now, or else at the wall clock.
 pub fn start_clock<R: Runtime>(runtime: &R, folder: &Path) -> Clock<R> {
     let continued = continued_time(runtime, folder);
     let unix = continued.unwrap_or_else(|| runtime.unix_time().as_micros() as Micros);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Writes the file if it is missing or of another boot, and returns whether it stands. After a failure this is tried
+    /// Writes the file if it is missing or of another boot, and returns whether it is in place. After a failure this is tried
     /// again at a bounded pace.
     ///
     /// A system whose monotonic clock cannot be read needs no file.
--- a/crates/relay/src/control_socket/connection.rs
+++ b/crates/relay/src/control_socket/connection.rs
@@ -13,7 +13,7 @@
 use super::shared_state::Control;
 use crate::client_connections::close_lingering;
 
-/// Time in which the whole command must arrive. An operator may type it.
+/// Time in which the complete command must arrive. An operator may type it.
 const COMMAND_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time in which the reply must be written, so that a peer that does not read holds no slot.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -46,7 +46,7 @@
         Err(error) => protocol::fail_reply(&error.to_string()),
     });
     if let Some(reply) = reply {
-        // A peer that is gone, or does not read, misses only its own reply.
+        // A peer that has disconnected, or does not read, misses only its own reply.
         drop(send_reply(&control.runtime, stream, &reply).await);
     }
     if holds_slot {
--- a/crates/relay/src/event_loop/load_report.rs
+++ b/crates/relay/src/event_loop/load_report.rs
@@ -12,7 +12,7 @@
 
 /// Returns the values of a report in the order of `wanted`, or none if any is missing, not a number or out of range.
 ///
-/// A report is used whole or not at all: a missing value is not zero, and an absurd one would make the policy
+/// A report is used completely or not at all: a missing value is not zero, and an absurd one would make the policy
 /// change how it treats a destination.
 pub(super) fn parse_load_report<'a>(
     wanted: impl Iterator<Item = (&'a String, &'a ReportField)>,
--- a/crates/relay/src/event_loop/reload.rs
+++ b/crates/relay/src/event_loop/reload.rs
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    /// Puts a configuration in force, whole or not at all.
+    /// Puts a configuration in force, completely or not at all.
     fn apply_configuration(&mut self, config: Config) -> Result<(), ReloadError> {
         if let Some(key) = config.missing_key(&self.config) {
             let key = key.to_string();
--- a/crates/relay/src/event_loop/undeliverable_messages.rs
+++ b/crates/relay/src/event_loop/undeliverable_messages.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Hands an undeliverable message to the policy once more, with a new deadline.
+    /// Submits an undeliverable message to the policy again, with a new deadline.
     fn start_resend(&mut self, now: Micros, resend: Resend) -> ResendStart {
         let Resend {
             again: origin,
--- a/crates/relay/src/host_connections/status_line.rs
+++ b/crates/relay/src/host_connections/status_line.rs
@@ -16,7 +16,7 @@
 }
 
 impl StatusLineParser {
-    /// The status that stands for a first line that is malformed or too long.
+    /// The status that represents a first line that is malformed or too long.
     pub(super) const INVALID_STATUS: u16 = 0;
 
     /// A longer first line is malformed.
--- a/crates/relay/src/host_directory.rs
+++ b/crates/relay/src/host_directory.rs
@@ -134,7 +134,7 @@
         self.changed = true;
         let mut removed = BTreeMap::new();
         if list.is_full {
-            // A host that a full snapshot does not name is gone.
+            // A host that a full snapshot does not name was removed.
             self.lines.clear();
             removed = self.numbers.clone();
         }
--- a/crates/relay/src/journal/journal_file.rs
+++ b/crates/relay/src/journal/journal_file.rs
@@ -48,7 +48,7 @@
 
     /// Cuts the file after its last complete record and positions it there.
     ///
-    /// The process ended while it wrote the rest; nothing was acknowledged on the strength of that record.
+    /// The process ended while it wrote the rest; no acknowledgement depended on that record.
     pub(super) fn recover(&mut self, valid_length: u64) {
         let torn_bytes = self.length - valid_length;
         self.length = valid_length;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Appends a record. If the write fails, `free_space` is called; if it returns true, the write is tried once more.
+    /// Appends a record. If the write fails, `free_space` is called; if it returns true, the write is retried once.
     pub(super) fn append(
         &mut self,
         record: &[u8],
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Replaces the whole content, so that either the old or the new file stands at any moment.
+    /// Replaces the whole content, so that either the old or the new file is in place at any moment.
     pub(super) fn replace(&mut self, content: &[u8]) -> io::Result<()> {
         let path = self.replacement_path();
         let mut file = self.runtime.create(&path)?;
--- a/crates/relay/src/journal/mod.rs
+++ b/crates/relay/src/journal/mod.rs
@@ -237,7 +237,7 @@
         })
     }
 
-    /// Records that the delivery failed for good and the platform has yet to be notified.
+    /// Records that the delivery failed permanently and the platform has yet to be notified.
     ///
     /// # Errors
     /// The error of the write; the failure counts for this process nevertheless.
--- a/crates/relay/src/journal/record.rs
+++ b/crates/relay/src/journal/record.rs
@@ -92,7 +92,7 @@
         number: u8,
         may_have_executed: bool,
     },
-    /// Delivery failed for good. The message stays pending until the platform has been notified.
+    /// Delivery failed permanently. The message stays pending until the platform has been notified.
     DeliveryFailed {
         id: MessageId,
         failure: DeliveryFailure,
--- a/crates/relay/src/process/departing.rs
+++ b/crates/relay/src/process/departing.rs
@@ -12,7 +12,7 @@
 use crate::event_loop::RETRY_ELSEWHERE_MS;
 use crate::state_directory::{DepartingProcess, DirectoryOwner};
 
-/// How often a departing process checks whether it may end, or whether its successor is gone.
+/// How often a departing process checks whether it may end, or whether its successor has exited.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl<R: Runtime> Process<R> {
--- a/crates/relay/src/process/serving.rs
+++ b/crates/relay/src/process/serving.rs
@@ -337,7 +337,7 @@
             },
             Some(event) = self.events.recv() => {
                 event_loop.handle_event(event);
-                // Events that came together go into one round, which must not be put off for ever.
+                // Events that came together go into one round, which must not be delayed indefinitely.
                 for _ in 0..EVENT_QUEUE_CAPACITY {
                     let Ok(event) = self.events.try_recv() else { break };
                     event_loop.handle_event(event);
--- a/crates/relay/src/state_directory/handover_state.rs
+++ b/crates/relay/src/state_directory/handover_state.rs
@@ -29,7 +29,7 @@
     pub host_numbers: Vec<(String, HostId)>,
     /// Names of messages that were completed lately, the latest first.
     pub completed: Vec<String>,
-    /// What the delivery policy knows of routes and turns.
+    /// The delivery policy's state of routes and of ordering keys.
     pub policy: HandoverSnapshot,
     /// Until when tenants have used their rates. Stored as a record of its own behind the snapshot, which older versions
     /// do not read.
--- a/crates/relay/src/state_directory/owner.rs
+++ b/crates/relay/src/state_directory/owner.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Reclaims the directory for a departing process if its successor is gone. Open calls go on, and their ends come by
+    /// Reclaims the directory for a departing process if its successor has exited. Open calls go on, and their ends come by
     /// the file, as they would to another process.
     ///
     /// # Errors
@@ -192,7 +192,7 @@
         self.ownership.next_check_at()
     }
 
-    /// Whether another process requests the directory. A request whose process is gone is removed.
+    /// Whether another process requests the directory. A request whose process has exited is removed.
     pub fn handover_requested(&mut self) -> bool {
         let mut event = OwnershipEvent::RequestCheckDue;
         loop {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Ends of calls that were open at the previous owner, since the last call. Once that process is gone, the remaining
+    /// Ends of calls that were open at the previous owner, since the last call. Once that process has exited, the remaining
     /// calls end as lost: they may have been executed.
     pub fn take_call_ends(&mut self) -> Vec<CompletedCall> {
         let has_open_calls = self.call_ends.has_open_calls();
@@ -234,7 +234,7 @@
         self.call_ends.open_calls_mut().remove(end);
     }
 
-    /// Ends the hand-over once the journal holds the ends of all calls of the previous owner, and that process is gone.
+    /// Ends the hand-over once the journal holds the ends of all calls of the previous owner, and that process has exited.
     pub fn clean_up(&mut self) {
         let mut event = OwnershipEvent::CallEndsRecorded {
             has_open_calls: self.call_ends.has_open_calls(),
--- a/crates/relay/src/state_directory/ownership.rs
+++ b/crates/relay/src/state_directory/ownership.rs
@@ -31,7 +31,7 @@
     Bound,
 }
 
-/// The previous owner, as far as it may still be running.
+/// The previous owner, if it may still be running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Predecessor {
     /// None that handed over to this process.
@@ -110,7 +110,7 @@
     HandoverWritten,
     /// The departing process asks whether its successor serves.
     ReplacementCheckDue,
-    /// The departing process asks whether its successor is gone.
+    /// The departing process asks whether its successor has exited.
     ReclaimCheckDue,
 }
 
@@ -137,7 +137,7 @@
     FindRequest,
     /// See whether a process holds the successor lock.
     ProbeSuccessor,
-    /// Remove the request of a process that is gone.
+    /// Remove the request of a process that has exited.
     RemoveRequest,
     /// Begin to hand over.
     AcceptRequest,
--- a/crates/runtime/src/os/listener.rs
+++ b/crates/runtime/src/os/listener.rs
@@ -10,7 +10,7 @@
 use super::OsStream;
 use crate::Listener;
 
-/// Mode of a Unix socket: whoever may connect may administer the relay, so only its owner may.
+/// Mode of a Unix socket: any user who may connect may administer the relay, so only its owner may.
 const OWNER_ONLY: u32 = 0o600;
 
 /// A listener of the operating system.
--- a/crates/runtime/src/os/stream.rs
+++ b/crates/runtime/src/os/stream.rs
@@ -44,15 +44,15 @@
         loop {
             ready!($stream.$poll_ready($cx))?;
             match $try_transfer {
-                Err(error) if is_to_be_repeated(&error) => {}
+                Err(error) if is_retriable(&error) => {}
                 result => break Poll::Ready(result),
             }
         }
     };
 }
 
-/// Whether a transfer moved nothing for now: after `WouldBlock` the readiness is awaited, after a signal it stands.
-fn is_to_be_repeated(error: &io::Error) -> bool {
+/// Whether a transfer moved nothing and is to be retried: after `WouldBlock` once ready again, after a signal at once.
+fn is_retriable(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted
--- a/crates/runtime/src/runtime.rs
+++ b/crates/runtime/src/runtime.rs
@@ -88,7 +88,7 @@
     /// `WouldBlock` if it is open elsewhere; else as the file system's.
     fn open_random_access(&self, path: &Path) -> io::Result<Self::RandomAccessFile>;
 
-    /// Reads a whole file.
+    /// Reads a complete file.
     ///
     /// # Errors
     /// As the file system's, such as `NotFound`.
--- a/crates/runtime/src/transient.rs
+++ b/crates/runtime/src/transient.rs
@@ -1,4 +1,4 @@
-//! Errors that may be gone at the next try.
+//! Errors that may not occur at the next attempt.
 
 use std::io;
 use std::time::Duration;
