--- a/crates/membership/src/host_membership/mod.rs
+++ b/crates/membership/src/host_membership/mod.rs
@@ -31,6 +31,15 @@
 /// of that instance's address, and 6 s after an event that it was not sent.
 const STALE_LIST_ACCEPTED_AFTER: Duration = Duration::from_secs(10);
 
+/// What decides whether a list that discovery has sent may be applied.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceivedList {
+    /// The list's version.
+    pub version: u64,
+    /// Whether it is a full snapshot, and not only the changes since an earlier version.
+    pub is_full: bool,
+}
+
 /// What to do with a list that discovery has sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListFreshness {
@@ -46,14 +55,14 @@
 enum Confirmation {
     /// Discovery has not answered yet, so calls wait. `deadline` is set by the first poll; calls no longer wait after it.
     Pending { deadline: Option<Instant> },
-    /// Discovery has confirmed the list, or calls go by the cached list because discovery stayed silent.
+    /// Discovery has confirmed the list, or calls use the cached list because discovery did not answer.
     Confirmed,
 }
 
-/// The hosts that are listed as up, and how far that list may be trusted.
+/// The hosts that are listed as ready, and whether that list is confirmed.
 pub struct HostMembership {
     confirmation: Confirmation,
-    hosts_up: BTreeSet<HostId>,
+    ready_hosts: BTreeSet<HostId>,
     /// When discovery began to send only lists older than the current one.
     stale_since: Option<Instant>,
     /// When to poll discovery.
@@ -81,7 +90,7 @@
         };
         HostMembership {
             confirmation,
-            hosts_up: BTreeSet::new(),
+            ready_hosts: BTreeSet::new(),
             stale_since: None,
             poll_schedule: PollSchedule::new(settings),
         }
@@ -126,41 +135,42 @@
         }
     }
 
-    /// Records that a host is listed as up, or else that it is draining or removed.
-    pub fn set_listed(&mut self, host: HostId, is_up: bool) {
-        if is_up {
-            self.hosts_up.insert(host);
-        } else {
-            self.hosts_up.remove(&host);
-        }
+    /// Records that a host is listed as ready.
+    pub fn set_ready(&mut self, host: HostId) {
+        self.ready_hosts.insert(host);
+    }
+
+    /// Records that a host is draining or removed.
+    pub fn set_unavailable(&mut self, host: HostId) {
+        self.ready_hosts.remove(&host);
     }
 
-    /// Whether a host is listed as up.
+    /// Whether a host is listed as ready.
     #[must_use]
-    pub fn is_listed_up(&self, host: HostId) -> bool {
-        self.hosts_up.contains(&host)
+    pub fn is_ready(&self, host: HostId) -> bool {
+        self.ready_hosts.contains(&host)
     }
 
     /// Whether a call to a host may start.
     #[must_use]
     pub fn may_start_call(&self, host: HostId, now: Instant) -> bool {
-        self.is_list_confirmed(now) && self.is_listed_up(host)
+        self.is_list_confirmed(now) && self.is_ready(host)
     }
 
-    /// Decides whether a received list may replace the current one, given the versions of both.
+    /// Decides whether a received list may replace the one of `current_version`.
     ///
     /// A discovery instance that lags behind another one, or behind its own state before a restart, would undo drains
     /// that were announced already. Its list is reported as older until it has lagged for
-    /// [`STALE_LIST_ACCEPTED_AFTER`]; then a full snapshot (`is_full`) is accepted, so that the drains it announces
+    /// [`STALE_LIST_ACCEPTED_AFTER`]; then a full snapshot is accepted, so that the drains it announces
     /// itself are not ignored permanently.
     pub fn judge_list(
         &mut self,
-        received_version: u64,
+        received: ReceivedList,
         current_version: u64,
-        is_full: bool,
         now: Instant,
     ) -> ListFreshness {
-        if received_version >= current_version {
+        let ReceivedList { version, is_full } = received;
+        if version >= current_version {
             if is_full {
                 self.stale_since = None;
             }
--- a/crates/membership/src/host_membership/tests.rs
+++ b/crates/membership/src/host_membership/tests.rs
@@ -28,7 +28,7 @@
     ] {
         let last_contact = Some(Duration::from_secs(seconds_since_contact));
         let mut membership = HostMembership::new(&settings(mode), last_contact);
-        membership.set_listed(LOCAL_HOST, true);
+        membership.set_ready(LOCAL_HOST);
         assert_eq!(
             membership.may_start_call(LOCAL_HOST, now),
             may_start,
@@ -40,15 +40,15 @@
 #[test]
 fn no_call_starts_until_the_list_is_confirmed() {
     let (mut membership, now) = (push_membership(), Instant::now());
-    membership.set_listed(LOCAL_HOST, true);
+    membership.set_ready(LOCAL_HOST);
     assert!(
         !membership.may_start_call(LOCAL_HOST, now + PUSH_CONFIRMATION_TIMEOUT * 100),
         "no poll was sent"
     );
     membership.poll_started(now);
     assert!(!membership.may_start_call(LOCAL_HOST, now));
-    membership.set_listed(LOCAL_HOST, false);
-    membership.set_listed(OTHER_HOST, true);
+    membership.set_unavailable(LOCAL_HOST);
+    membership.set_ready(OTHER_HOST);
     membership.confirm();
     assert!(
         !membership.may_start_call(LOCAL_HOST, now) && membership.may_start_call(OTHER_HOST, now)
@@ -59,7 +59,7 @@
 #[test]
 fn silent_discovery_delays_calls_for_a_bounded_time_despite_repeated_polls() {
     let (mut membership, now) = (push_membership(), Instant::now());
-    membership.set_listed(LOCAL_HOST, true);
+    membership.set_ready(LOCAL_HOST);
     for poll in 0..10 {
         membership.poll_started(now + PUSH_CONFIRMATION_TIMEOUT / 4 * poll);
     }
@@ -74,8 +74,9 @@
     let (mut membership, now) = (push_membership(), Instant::now());
     let accepted_at = now + STALE_LIST_ACCEPTED_AFTER;
     let just_before = accepted_at - Duration::from_millis(1);
-    let mut judge =
-        |received, current, is_full, at| membership.judge_list(received, current, is_full, at);
+    let mut judge = |version, current, is_full, at| {
+        membership.judge_list(ReceivedList { version, is_full }, current, at)
+    };
     assert_eq!(judge(8, 8, false, now), ListFreshness::Current);
     assert_eq!(judge(7, 8, true, now), ListFreshness::Older);
     assert_eq!(
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decides how far the host list may be trusted and when to poll discovery for it.
+//! Decides whether calls may rely on the host list, and when to poll discovery for it.
 //!
 //! The crate does no I/O and reads no clock: the caller passes the current time to every query that depends on it.
 
@@ -6,6 +6,6 @@
 pub mod poll_schedule;
 mod settings;
 
-pub use host_membership::{HostMembership, ListFreshness};
+pub use host_membership::{HostMembership, ListFreshness, ReceivedList};
 pub use poll_schedule::PollSchedule;
 pub use settings::{DiscoveryMode, DiscoverySettings};
--- a/crates/relay/src/discovery_client/watch.rs
+++ b/crates/relay/src/discovery_client/watch.rs
@@ -14,7 +14,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, StatusCode};
 use membership::poll_schedule::WATCH_SILENCE_TIMEOUT;
-use membership::{HostMembership, ListFreshness};
+use membership::{HostMembership, ListFreshness, ReceivedList};
 use policy::types::HostState;
 use relay_events::{HostList, RelayEvent};
 use runtime::{log, Elapsed, Runtime};
@@ -253,19 +253,22 @@
 
     /// Applies a list, or what may be used of a list that is older than the current one.
     async fn apply_list(&mut self, list: HostList) -> Result<(), DiscoveryError> {
-        let received = list.version;
-        let freshness = self.members.borrow_mut().judge_list(
-            received,
-            self.version,
-            list.is_full,
-            self.runtime.now(),
-        );
+        let received = ReceivedList {
+            version: list.version,
+            is_full: list.is_full,
+        };
+        let now = self.runtime.now();
+        let freshness = self
+            .members
+            .borrow_mut()
+            .judge_list(received, self.version, now);
         self.is_unconfirmed = false;
         if freshness == ListFreshness::Current {
-            self.version = received;
+            self.version = list.version;
             self.undelivered_list = Some(list);
             return self.deliver_list().await;
         }
+        let received = list.version;
         self.undelivered_list = Some(HostList {
             version: self.version,
             is_full: false,
--- a/crates/relay/src/event_loop/host_list.rs
+++ b/crates/relay/src/event_loop/host_list.rs
@@ -63,8 +63,10 @@
         };
         let changes = self.host_directory.apply_list(list, &names);
         for (host, is_ready) in changes.ready {
-            self.membership.borrow_mut().set_listed(host, is_ready);
-            if !is_ready {
+            if is_ready {
+                self.membership.borrow_mut().set_ready(host);
+            } else {
+                self.membership.borrow_mut().set_unavailable(host);
                 self.host_connections.close_idle(host);
             }
         }
--- a/crates/relay/src/host_connections/mod.rs
+++ b/crates/relay/src/host_connections/mod.rs
@@ -219,7 +219,7 @@
     /// the process is ending.
     fn keep(&self, host: HostId, connection: Connection<R>) {
         let mut pool = self.pool.borrow_mut();
-        if !pool.is_retired() && self.members.borrow().is_listed_up(host) {
+        if !pool.is_retired() && self.members.borrow().is_ready(host) {
             pool.put(host, connection, self.runtime.now());
         }
     }
--- a/crates/relay/src/host_connections/tests.rs
+++ b/crates/relay/src/host_connections/tests.rs
@@ -41,7 +41,7 @@
         },
         None,
     );
-    members.set_listed(HOST_ID, true);
+    members.set_ready(HOST_ID);
     members.confirm();
     let timeout = Duration::from_secs(5);
     HostConnections::new(
@@ -155,7 +155,7 @@
                 hosts.keep(HOST_ID, connection);
             }
             // What the event loop does at a drain, except for closing idle connections.
-            hosts.members.borrow_mut().set_listed(HOST_ID, false);
+            hosts.members.borrow_mut().set_unavailable(HOST_ID);
             let completed = make_call(&hosts, call_to(address, Some("k"), b"x")).await;
             assert_eq!(
                 (completed.outcome, completed.opened_connection),
