--- a/crates/relay/src/host_connections/tests.rs
+++ b/crates/relay/src/host_connections/tests.rs
@@ -1,7 +1,5 @@
 use super::*;
 
-use std::future::Future;
-
 use membership::{DiscoveryMode, DiscoverySettings};
 use policy::types::AttemptOutcome;
 use runtime::OsRuntime;
@@ -10,6 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
+use crate::test_support::run_local;
+
 const HOST_ID: HostId = 1;
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -54,14 +54,6 @@
     )
 }
 
-fn run_local(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, test);
-}
-
 async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -23,6 +23,8 @@
 #[cfg(test)]
 mod stored_format_tests;
 mod tenant_service;
+#[cfg(test)]
+mod test_support;
 mod undeliverable_service;
 
 pub use process::{run, RelayError};
--- a/crates/relay/src/state_directory/owner/tests.rs
+++ b/crates/relay/src/state_directory/owner/tests.rs
@@ -1,7 +1,6 @@
 //! Two owners of one directory on the file system, in one process: locks belong to open files, not to processes.
 
 use std::fs;
-use std::future::Future;
 use std::path::PathBuf;
 
 use policy::types::AttemptOutcome;
@@ -13,6 +12,7 @@
 use crate::state_directory::ownership::{HANDOVER_POLL_INTERVAL, REQUEST_CHECK_INTERVAL};
 use crate::state_directory::test_support::{delivered, OPEN_CALL};
 use crate::state_directory::{DirectoryOwner, HandoverState, ListenerOrigin, StateDirectory};
+use crate::test_support::run_local;
 
 const DISK_LIMIT: u64 = 3_000_000;
 
@@ -52,14 +52,6 @@
     }
 }
 
-fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, test);
-}
-
 /// The state of a process with one open call.
 fn state() -> HandoverState {
     HandoverState::new(false, vec![OPEN_CALL], HandoverSnapshot::default())
@@ -71,7 +63,7 @@
 
 #[test]
 fn directory_goes_to_the_successor_and_call_ends_follow() {
-    run(async {
+    run_local(async {
         let directory = TestDirectory::new("handover");
         let mut old = directory.acquire_free(ListenerOrigin::Inherited).await;
         assert!(old.read_handover().await.is_none());
@@ -107,7 +99,7 @@
 
 #[test]
 fn departing_process_reclaims_the_directory_of_a_successor_that_died() {
-    run(async {
+    run_local(async {
         let directory = TestDirectory::new("reclaim");
         let mut old = directory.acquire_free(ListenerOrigin::Inherited).await;
         old.read_handover().await;
@@ -131,7 +123,7 @@
 
 #[test]
 fn calls_of_an_exited_predecessor_end_as_connection_lost() {
-    run(async {
+    run_local(async {
         let directory = TestDirectory::new("lost");
         let mut old = directory.acquire_free(ListenerOrigin::Inherited).await;
         old.read_handover().await;
@@ -146,7 +138,7 @@
 
 #[test]
 fn second_process_without_an_inherited_listener_is_rejected() {
-    run(async {
+    run_local(async {
         let directory = TestDirectory::new("in-use");
         let _owner = directory.acquire_free(ListenerOrigin::Bound).await;
         let error = directory.acquire(ListenerOrigin::Bound).await.err();
@@ -156,7 +148,7 @@
 
 #[test]
 fn missing_directory_is_unusable() {
-    run(async {
+    run_local(async {
         let directory = TestDirectory::new("missing");
         fs::remove_dir_all(&directory.0).expect("removed");
         let error = directory.acquire(ListenerOrigin::Bound).await.err();
