--- a/crates/relay/src/clock_anchor.rs
+++ b/crates/relay/src/clock_anchor.rs
@@ -5,7 +5,7 @@
 //! time. The anchor says what the relay's clock showed at one reading of the machine's monotonic clock; a later process
 //! reads both clocks together and goes on from there.
 //!
-//! In another boot of the machine the monotonic clock has begun anew. Then, and where there is no anchor (as after a
+//! In another boot of the machine the monotonic clock has restarted. Then, and where there is no anchor (as after a
 //! version that wrote none), the relay's clock starts at the wall clock: spans over the gap are as good as that is.
 
 use std::io;
@@ -60,14 +60,14 @@
     }
 }
 
-/// Starts the relay's clock: where the process before it stands by now, or else at the wall clock.
+/// Starts the relay's clock: at the time that the previous process' clock would show now, or else at the wall clock.
 pub fn start_clock<R: Runtime>(runtime: &R, folder: &Path) -> Clock<R> {
     let continued = continued_time(runtime, folder);
     let unix = continued.unwrap_or_else(|| runtime.unix_time().as_micros() as Micros);
     Clock::new(runtime.clone(), unix)
 }
 
-/// Tells in the log that the wall clock was stepped since the relay's clock started from it.
+/// Logs that the wall clock was stepped since the relay's clock started from it.
 pub fn log_difference<R: Runtime>(runtime: &R, clock: &Clock<R>) {
     let wall_clock = runtime.unix_time().as_micros() as Micros;
     let ahead = wall_clock as i64 - clock.now() as i64;
@@ -81,7 +81,7 @@
     ClockAnchor::load(runtime, folder)?.unix_at(&reading)
 }
 
-/// Sees to it that the anchor of the relay's clock is on disk before anything that is counted by that clock.
+/// Ensures that the anchor of the relay's clock is on disk before anything that is counted by that clock.
 pub struct AnchorFile {
     path: PathBuf,
     is_written: bool,
@@ -98,10 +98,10 @@
         }
     }
 
-    /// Writes the file if it is missing or of another boot, and returns whether it stands. After a failure this is tried
+    /// Writes the file if it is missing or of another boot, and returns whether it is in place. After a failure this is tried
     /// again at a bounded pace.
     ///
-    /// A system that does not tell its monotonic clock needs no file.
+    /// A system whose monotonic clock cannot be read needs no file.
     pub fn ensure_written<R: Runtime>(&mut self, runtime: &R, clock: &Clock<R>) -> bool {
         let now = runtime.now();
         if self.is_written || self.retry_at.is_some_and(|at| now < at) {
--- a/crates/relay/src/event_loop/persistence.rs
+++ b/crates/relay/src/event_loop/persistence.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-use policy::types::MessageId;
+use policy::types::{MessageId, Outage};
 use runtime::{log, Runtime};
 
 use super::EventLoop;
@@ -16,7 +16,7 @@
 /// Logs a failed write to the journal.
 pub(super) fn log_write_error(runtime: &impl Runtime, result: io::Result<()>) {
     if let Err(error) = result {
-        log!(*runtime, "journal: cannot write: {error}");
+        log!(*runtime, "journal: write_failed error={error}");
     }
 }
 
@@ -53,11 +53,7 @@
 
     /// Saves the host list and the outages if either has changed.
     pub(super) fn save_cached_state(&mut self) {
-        let outages = self
-            .policy
-            .outages()
-            .map(|outage| (outage.destination, outage.started_at, outage.recovered_at))
-            .collect();
+        let outages: Vec<Outage> = self.policy.outages().collect();
         if !self.host_directory.has_changed() && self.cached_state.outages == outages {
             return;
         }
@@ -69,7 +65,7 @@
             self.cached_state
                 .save(&self.runtime, &self.config.state, self.disk_limit)
         {
-            log!(self.runtime, "memory: cannot write: {error}");
+            log!(self.runtime, "cached_state: write_failed error={error}");
         }
     }
 
@@ -82,7 +78,10 @@
         if let Err(error) =
             cached_state::record_contact(&self.runtime, &self.config.state, self.clock.now())
         {
-            log!(self.runtime, "memory: cannot write: {error}");
+            log!(
+                self.runtime,
+                "cached_state: contact_time_not_written error={error}"
+            );
         }
     }
 }
--- a/crates/relay/src/event_loop/restore.rs
+++ b/crates/relay/src/event_loop/restore.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use policy::types::{Event, HostId, Message, MessageId, Micros, Outage, PastAttempt, TenantId};
+use policy::types::{Event, Message, MessageId, Micros, PastAttempt, TenantId};
 use policy::HandoverSnapshot;
 use relay_events::{DeliveryFailure, HostList};
 use runtime::{log, Runtime};
@@ -12,17 +12,12 @@
 use super::host_list::HostListSource;
 use super::{EventLoop, PolicyAborted};
 use crate::journal::{Attempt, PendingMessage, ResendOrigin};
-use crate::state_directory::HandoverState;
+use crate::state_directory::{HandoverState, OpenCall};
 
-/// A call that is open at the departing process.
-struct OpenCall {
-    attempt: u8,
-    host: HostId,
-}
-
-/// The parts of the hand-over that are restored after the host list.
+/// The parts of the handover state that are restored after the host list.
 #[derive(Default)]
 struct DeferredHandover {
+    /// Calls that are open at the departing process.
     open_calls: BTreeMap<MessageId, OpenCall>,
     /// Until when tenants have used their rates, in Unix time.
     used_rates: Vec<(String, Micros)>,
@@ -75,7 +70,7 @@
         let open_calls = state
             .open_calls
             .into_iter()
-            .map(|(id, attempt, host)| (id, OpenCall { attempt, host }))
+            .map(|call| (call.id, call))
             .collect();
         DeferredHandover {
             open_calls,
@@ -108,13 +103,9 @@
     }
 
     fn restore_outages(&mut self) {
-        for (destination, started_at, recovered_at) in self.cached_state.outages.clone() {
-            self.pending_events.push(Event::OutageRestored(Outage {
-                destination,
-                started_at,
-                recovered_at,
-            }));
-        }
+        let outages = self.cached_state.outages.iter();
+        self.pending_events
+            .extend(outages.map(|outage| Event::OutageRestored(*outage)));
     }
 
     /// Restores the messages of the journal in the order of their numbers.
@@ -124,7 +115,7 @@
         if !pending.is_empty() {
             log!(
                 self.runtime,
-                "journal: {} messages are still owed their end",
+                "journal: messages_restored count={}",
                 pending.len()
             );
         }
@@ -172,8 +163,7 @@
         policy_message(id, accepted, tenant?, class)
     }
 
-    /// Passes a message to the policy with its past attempts, as an adopted one if the departing process has handed
-    /// it over.
+    /// Passes a message to the policy with its past attempts; as an adopted one if it comes from the departing process.
     fn pass_to_policy(
         &mut self,
         message: Message,
@@ -208,7 +198,7 @@
     fn fail_unknown(&mut self, id: MessageId, pending: &PendingMessage) {
         log!(
             self.runtime,
-            "journal: {} is of a class or tenant that is not known any more",
+            "journal: message_not_restored reason=unknown_class_or_tenant message={}",
             pending.accepted.name
         );
         let may_have_executed = pending
--- a/crates/relay/src/journal/journal_file.rs
+++ b/crates/relay/src/journal/journal_file.rs
@@ -48,7 +48,7 @@
 
     /// Cuts the file after its last complete record and positions it there.
     ///
-    /// The process ended while it wrote the rest; nothing was acknowledged on the strength of that record.
+    /// The process ended while it wrote the rest; no acknowledgement depended on that record.
     pub(super) fn recover(&mut self, valid_length: u64) {
         let torn_bytes = self.length - valid_length;
         self.length = valid_length;
@@ -56,8 +56,7 @@
         if self.has_torn_tail {
             log!(
                 self.runtime,
-                "journal: dropped a torn tail of {} bytes",
-                torn_bytes
+                "journal: torn_tail_dropped bytes={torn_bytes}"
             );
             // The next record tries again what fails now.
             if let Err(error) = self.cut_torn_tail() {
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Appends a record. If the write fails, `free_space` is called; if it returns true, the write is tried once more.
+    /// Appends a record. If the write fails, `free_space` is called; if it returns true, the write is retried once.
     pub(super) fn append(
         &mut self,
         record: &[u8],
@@ -89,7 +88,7 @@
             if let Err(error) = self.cut_torn_tail() {
                 log!(
                     self.runtime,
-                    "journal: cannot cut off half a record: {error}"
+                    "journal: incomplete_record_not_cut error={error}"
                 );
             }
         }
@@ -103,7 +102,7 @@
         Ok(())
     }
 
-    /// Replaces the whole content, so that either the old or the new file stands at any moment.
+    /// Replaces the whole content, so that either the old or the new file is in place at any moment.
     pub(super) fn replace(&mut self, content: &[u8]) -> io::Result<()> {
         let path = self.replacement_path();
         let mut file = self.runtime.create(&path)?;
--- a/crates/relay/src/process/departing.rs
+++ b/crates/relay/src/process/departing.rs
@@ -1,5 +1,5 @@
-//! A process that has handed over: waits for its open calls to end, and takes the state directory back if its
-//! successor is gone.
+//! A process that has handed over: waits for its open calls to end, and reclaims the state directory if its successor
+//! has exited.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::event_loop::RETRY_ELSEWHERE_MS;
 use crate::state_directory::{DepartingProcess, DirectoryOwner};
 
-/// How often a departing process checks whether it may end, or whether its successor is gone.
+/// How often a departing process checks whether it may end, or whether its successor has exited.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl<R: Runtime> Process<R> {
-    /// Waits for the open calls to end. Returns the state directory if it came back to this process; otherwise the
+    /// Waits for the open calls to end. Returns the state directory if this process has reclaimed it; otherwise the
     /// process ends.
     pub(super) async fn finish_calls(
         &mut self,
@@ -29,12 +29,9 @@
             }
             self.control.publish_stage();
             if !self.is_stopping() {
-                match departing.take_back() {
+                match DirectoryOwner::reclaim(departing) {
                     Ok(directory_owner) => {
-                        log!(
-                            self.runtime,
-                            "upgrade: the process that took over is gone; this one serves again"
-                        );
+                        log!(self.runtime, "upgrade: directory_reclaimed");
                         return Some(directory_owner);
                     }
                     Err(unchanged) => departing = unchanged,
@@ -54,7 +51,7 @@
         if is_idle && (self.is_stopping() || departing.is_replaced()) {
             return true;
         }
-        self.control.should_exit(false, || departing.is_idle())
+        self.control.should_exit(|| departing.is_idle())
     }
 
     /// Waits for a signal, an event or the next check.
@@ -74,7 +71,7 @@
             }
             Signal::Reload => log!(
                 self.runtime,
-                "configuration: it is the new process's to read"
+                "configuration: reload_ignored reason=handed_over"
             ),
         }
     }
@@ -84,10 +81,7 @@
         match event {
             RelayEvent::CallCompleted(call) => {
                 if let Err(error) = departing.report_call_end(&call) {
-                    log!(
-                        self.runtime,
-                        "upgrade: cannot tell the end of a call: {error}"
-                    );
+                    log!(self.runtime, "upgrade: call_end_not_reported error={error}");
                 }
             }
             RelayEvent::EnqueueRequest(request) => {
--- a/crates/relay/src/state_directory/owner.rs
+++ b/crates/relay/src/state_directory/owner.rs
@@ -90,13 +90,10 @@
     }
 
     fn log_request(&self) {
-        log!(
-            self.runtime,
-            "upgrade: another process serves; it is asked to hand over"
-        );
+        log!(self.runtime, "upgrade: handover_requested");
     }
 
-    /// A request that cannot be written now is written at the next look.
+    /// A request that cannot be written now is written at the next check.
     fn write_request(&self) {
         if !self.exists(HANDOVER_REQUEST) {
             drop(self.runtime.write(&self.file(HANDOVER_REQUEST), b""));
@@ -134,18 +131,22 @@
         }
     }
 
-    /// The owner that a departing process becomes again once its successor is gone.
-    pub(super) fn reclaimed(
-        departing: DepartingProcess<R>,
-        ownership: Ownership,
-        owner_lock: R::Lock,
-    ) -> Self {
+    /// Reclaims the directory for a departing process if its successor has exited. Open calls go on, and their ends come by
+    /// the file, as they would to another process.
+    ///
+    /// # Errors
+    /// Gives the departing process back if its successor still runs, or it is too early to look again.
+    pub fn reclaim(mut departing: DepartingProcess<R>) -> Result<Self, DepartingProcess<R>> {
+        let Some(owner_lock) = departing.reacquire_owner_lock() else {
+            return Err(departing);
+        };
         let directory = departing.directory().clone();
+        let ownership = departing.ownership();
         let owner = DirectoryOwner::new(directory, ownership, Some(owner_lock), None);
-        DirectoryOwner {
+        Ok(DirectoryOwner {
             departing: Some(departing),
             ..owner
-        }
+        })
     }
 
     fn handle(&mut self, event: OwnershipEvent) -> OwnershipAction {
@@ -186,12 +187,12 @@
         self.directory.remove(HANDOVER_REQUEST);
     }
 
-    /// When to look at the directory next.
+    /// When to check the directory next.
     pub fn next_check_at(&self) -> Option<Instant> {
         self.ownership.next_check_at()
     }
 
-    /// Whether another process requests the directory. A request whose process is gone is removed.
+    /// Whether another process requests the directory. A request whose process has exited is removed.
     pub fn handover_requested(&mut self) -> bool {
         let mut event = OwnershipEvent::RequestCheckDue;
         loop {
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Ends of calls that were open at the previous owner, since the last call. Once that process is gone, the remaining
+    /// Ends of calls that were open at the previous owner, since the last call. Once that process has exited, the remaining
     /// calls end as lost: they may have been executed.
     pub fn take_call_ends(&mut self) -> Vec<CompletedCall> {
         let has_open_calls = self.call_ends.has_open_calls();
@@ -223,17 +224,17 @@
             .unwrap_or_default();
         let mut ends = self.call_ends.read(&content);
         if is_last {
-            ends.extend(self.call_ends.open_calls().take_lost());
+            ends.extend(self.call_ends.open_calls_mut().drain_as_connection_lost());
         }
         ends
     }
 
     /// Records that a call of this process has ended; it may be one from before the directory was reclaimed.
     pub fn call_completed(&mut self, end: &CompletedCall) {
-        self.call_ends.open_calls().remove(end);
+        self.call_ends.open_calls_mut().remove(end);
     }
 
-    /// Ends the hand-over once the journal holds the ends of all calls of the previous owner, and that process is gone.
+    /// Ends the hand-over once the journal holds the ends of all calls of the previous owner, and that process has exited.
     pub fn clean_up(&mut self) {
         let mut event = OwnershipEvent::CallEndsRecorded {
             has_open_calls: self.call_ends.has_open_calls(),
@@ -270,7 +271,7 @@
     /// # Errors
     /// The directory stays with this process if an earlier departing process still runs, or the snapshot cannot be
     /// written or is too large.
-    pub fn hand_over(
+    pub fn start_handover(
         &mut self,
         mut state: HandoverState,
         limit: u64,
--- a/crates/runtime/src/runtime.rs
+++ b/crates/runtime/src/runtime.rs
@@ -35,7 +35,7 @@
     /// A reading of the monotonic clock that a later process on the same machine can compare with its own.
     ///
     /// # Errors
-    /// The system does not tell.
+    /// The system's clock cannot be read.
     fn boot_time(&self) -> io::Result<BootTime>;
 
     /// Completes at a moment. Timers of the same moment may complete in any order.
@@ -88,7 +88,7 @@
     /// `WouldBlock` if it is open elsewhere; else as the file system's.
     fn open_random_access(&self, path: &Path) -> io::Result<Self::RandomAccessFile>;
 
-    /// Reads a whole file.
+    /// Reads a complete file.
     ///
     /// # Errors
     /// As the file system's, such as `NotFound`.
