--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -2,7 +2,6 @@
 
 use std::collections::BTreeMap;
 
-use crate::decision::{ServiceForecast, SheddingCandidate};
 use crate::queued_message::QueuedMessage;
 use crate::scheduler::Capacity;
 use crate::state::DeliveryPolicy;
@@ -10,7 +9,23 @@
     jitter_factor, MAX_FORECAST_SECONDS, MIN_OUTAGE, QUEUE_HEADROOM_DIVISOR,
     RECOVERED_SHED_DIVISOR, RETRY_AFTER_SHARE, SECOND,
 };
-use crate::types::{Action, DestinationId, Message, Micros};
+use crate::types::{Action, DestinationId, Message, MessageId, Micros};
+
+/// When a destination is expected to take queued messages, in seconds.
+struct ServiceForecast {
+    /// Until the next message may go out.
+    delay: f64,
+    /// Between one message and the next.
+    interval: f64,
+}
+
+/// A message that may be rejected to make room.
+struct SheddingCandidate {
+    id: MessageId,
+    is_unattempted: bool,
+    /// The deadline of one that was recovered and not attempted, otherwise the value when its turn may come.
+    priority: f64,
+}
 
 impl DeliveryPolicy {
     /// Accepts a message if its tenant may have one more, and there is room or its tenant is within its share.
--- /dev/null
+++ b/crates/policy/src/call.rs
@@ -0,0 +1,34 @@
+//! Calls in flight, and how they ended.
+
+use crate::types::{AttemptOutcome, HostId, Micros, RouteKey};
+
+/// A call in flight; it may carry several messages.
+pub(crate) struct Call {
+    pub(crate) route: RouteKey,
+    pub(crate) host: HostId,
+    /// From this moment it counts as failed, though it may still be answered.
+    pub(crate) overdue_at: Micros,
+    pub(crate) is_overdue: bool,
+    /// Messages whose attempts have not ended.
+    pub(crate) pending_messages: usize,
+}
+
+impl Call {
+    /// Marks the call as overdue; returns its route and host.
+    pub(crate) fn mark_overdue(&mut self) -> (RouteKey, HostId) {
+        self.is_overdue = true;
+        (self.route, self.host)
+    }
+}
+
+/// How a call or probe ended.
+pub(crate) struct CallEnd {
+    pub(crate) route: RouteKey,
+    pub(crate) host: HostId,
+    pub(crate) outcome: AttemptOutcome,
+    pub(crate) elapsed: Micros,
+    /// It was counted as failed when it became overdue.
+    pub(crate) was_overdue: bool,
+    /// Class of its message; none for a probe.
+    pub(crate) class: Option<usize>,
+}
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -1,18 +1,67 @@
 //! The circuit breaker of a route: what the results of calls say of it, when it trips and for how long.
 
-use crate::decision::{CallEnd, FailureKind};
+use crate::call::{Call, CallEnd};
 use crate::rolling_window::CallResult;
-use crate::route::{BreakerState, Call, CircuitBreaker, Route, RouteKey};
+use crate::route::{BreakerState, CircuitBreaker, Route};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{
     jitter_factor, CONSECUTIVE_ERRORS_TO_TRIP, CONSECUTIVE_FAILURES_OF_OUTAGE, EJECTION_DURATION,
-    ERROR_RATIO_TO_TRIP, EXHAUSTED_ALLOWANCE, MIN_CALLS_TO_TRIP, MIN_OUTAGE, OPEN_DURATION,
-    OUTAGE_FAILURE_RATIO, OUTAGE_SAMPLES, RISKY_FAILURE_RATIO, SECOND, SMALL_FLEET,
+    ERROR_RATIO_TO_TRIP, ERROR_WINDOW, EXHAUSTED_ALLOWANCE, MIN_CALLS_TO_TRIP, MIN_OUTAGE,
+    OPEN_DURATION, OUTAGE_FAILURE_RATIO, OUTAGE_SAMPLES, RISKY_FAILURE_RATIO, SECOND, SMALL_FLEET,
     UNAVAILABLE_AFTER, UNUSED_ALLOWANCE,
 };
-use crate::types::{AttemptOutcome, HostId, Micros, PlatformRules};
+use crate::types::{AttemptOutcome, HostId, Micros, PlatformRules, RouteKey};
+
+/// Why a call counts as failed.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum FailureKind {
+    /// It is in flight for too long.
+    Overdue,
+    /// It ended and may have been executed.
+    MayHaveExecuted,
+    /// It ended and provably was not executed.
+    NotExecuted,
+}
+
+impl FailureKind {
+    /// The kind of a failure that was reported.
+    pub(crate) fn of_outcome(outcome: AttemptOutcome) -> Self {
+        if outcome.may_have_executed() {
+            FailureKind::MayHaveExecuted
+        } else {
+            FailureKind::NotExecuted
+        }
+    }
+}
 
 impl CircuitBreaker {
+    /// Whether calls pass.
+    pub(crate) fn is_closed(&self) -> bool {
+        self.state == BreakerState::Closed
+    }
+
+    /// Counts a success, which ends a series of failures or rejections.
+    pub(crate) fn count_success(&mut self, now: Micros) {
+        self.window.record(now, ERROR_WINDOW, CallResult::Success);
+        (self.consecutive_failures, self.consecutive_rejections) = (0, 0);
+    }
+
+    /// Counts a rejection.
+    pub(crate) fn count_rejection(&mut self, now: Micros) {
+        self.window.record(now, ERROR_WINDOW, CallResult::Rejected);
+        self.consecutive_rejections += 1;
+    }
+
+    /// Counts a failure.
+    pub(crate) fn count_failure(&mut self, now: Micros, kind: FailureKind) {
+        self.window.record(now, ERROR_WINDOW, CallResult::Failure);
+        self.consecutive_failures += 1;
+        if self.consecutive_failures == 1 {
+            self.failing_since = now;
+        }
+        self.is_failure_harmless = kind == FailureKind::NotExecuted;
+    }
+
     /// Whether many of the latest calls failed. A few broken answers of a healthy destination are no outage.
     fn is_failing(&self) -> bool {
         let failed = self
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -1,6 +1,7 @@
 //! Log text and gauges about destinations and hosts. Nothing here decides what is sent.
 
-use crate::route::{BreakerState, HostRecord, Route};
+use crate::host_record::HostRecord;
+use crate::route::{BreakerState, Route};
 use crate::state::DeliveryPolicy;
 use crate::types::{DestinationId, HostState, Micros};
 
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -2,14 +2,24 @@
 
 use std::collections::BTreeMap;
 
-use crate::decision::{CallMode, Readiness, RepeatRisk, Selection, Urgency};
+use crate::call::Call;
 use crate::queued_message::{AttemptState, QueuedMessage};
-use crate::route::Call;
+use crate::retry::RepeatRisk;
 use crate::scheduler::Candidate;
+use crate::selection::{Readiness, Selection, Urgency};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{DELAY_HORIZON, EARLY_OBJECTIVE_COST, SECOND, TIMEOUT_FACTOR};
 use crate::types::{Action, DestinationId, Idempotency, MessageId, Micros, ValueDecay};
 
+/// The call that a message goes out in.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum CallMode {
+    /// A call of its own, which others may join.
+    New,
+    /// The latest call.
+    JoinLatest,
+}
+
 impl DeliveryPolicy {
     /// Sends waiting messages, those with the highest cost of delay first, to the routes that take calls.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
--- a/crates/policy/src/handover.rs
+++ b/crates/policy/src/handover.rs
@@ -5,9 +5,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::queued_message::OrderedKey;
-use crate::route::{Route, RouteKey};
+use crate::route::Route;
 use crate::state::DeliveryPolicy;
-use crate::types::{Micros, Outage};
+use crate::types::{Micros, Outage, RouteKey};
 
 /// Samples of a rolling window that are handed over. All samples of a busy route would take too long to write.
 const MAX_SAMPLES: usize = 64;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,11 +2,12 @@
 //! come out.
 
 mod admission;
+mod call;
 mod circuit_breaker;
-mod decision;
 mod diagnostics;
 mod dispatch;
 mod handover;
+mod host_record;
 mod policy;
 mod queued_message;
 pub mod random;
@@ -25,8 +26,6 @@
 pub mod types;
 
 pub use handover::HandoverSnapshot;
-
-pub use route::RouteKey;
 pub use scheduler::TenantScheduler;
 pub use state::DeliveryPolicy;
-pub use types::{Action, Event, Settings};
+pub use types::{Action, Event, RouteKey, Settings};
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -2,7 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use crate::decision::{CallEnd, Readiness, Urgency};
+use crate::call::CallEnd;
+use crate::selection::{Readiness, Urgency};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{MIN_POLL_BACKOFF, SECOND};
 use crate::types::{Action, Event, HostEntry, Micros, WeightSource};
--- a/crates/policy/src/rate_limit.rs
+++ b/crates/policy/src/rate_limit.rs
@@ -1,6 +1,6 @@
 //! Advertised limits, pacing, backoff after rejections, and the recovery ramp.
 
-use crate::route::{AdvertisedLimit, Route, RouteKey};
+use crate::route::{AdvertisedLimit, Route};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{
     jitter_factor, AVERAGE_WEIGHT, BACKOFF_DIVISOR, BACKOFF_MULTIPLIER, BEST_RATE_DECAY,
@@ -9,7 +9,7 @@
     MAX_BACKOFF_FACTOR, MAX_BUSY_REPLICAS, MAX_RATE, MAX_USAGE_FACTOR, MIN_OUTAGE, MIN_RATE,
     OPEN_DURATION, RATE_GROWTH, REJECTION_DECREASE, SECOND, USAGE_FACTOR_GROWTH,
 };
-use crate::types::{HostId, Micros, ReportField, WeightSource};
+use crate::types::{HostId, Micros, ReportField, RouteKey, WeightSource};
 
 impl AdvertisedLimit {
     /// Calls a second that this replica may use; infinite where the destination reports no allowance.
--- a/crates/policy/src/recovery.rs
+++ b/crates/policy/src/recovery.rs
@@ -1,7 +1,8 @@
 //! Recovery: outages and what follows them, and messages, calls and state of an earlier process.
 
+use crate::call::Call;
 use crate::queued_message::AttemptState;
-use crate::route::{Call, Route};
+use crate::route::Route;
 use crate::state::DeliveryPolicy;
 use crate::tuning::{MAX_GLITCH, MIN_OUTAGE, OUTAGE_RETENTION, SMALL_FLEET, UNAVAILABLE_AFTER};
 use crate::types::{HostId, Message, Micros, Outage, PastAttempt};
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,11 +1,21 @@
 //! Retry: how attempts end, whether a message may be sent again, and its final answer if it is not delivered.
 
-use crate::decision::{CallEnd, RepeatRisk};
+use crate::call::CallEnd;
 use crate::queued_message::{AttemptState, QueuedMessage};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{RETRY_BACKOFF, UNAVAILABLE_AFTER};
 use crate::types::{Action, AttemptEnd, AttemptOutcome, Idempotency, MessageId, Micros};
 
+/// What another attempt risks, the least first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum RepeatRisk {
+    Idempotent,
+    KeyAlreadyUsed,
+    KeyUnused,
+    NonIdempotent,
+    UnknownMessage,
+}
+
 impl DeliveryPolicy {
     /// Records what became of an attempt, and when the next may start.
     pub(crate) fn end_attempt(&mut self, end: AttemptEnd) {
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,63 +1,11 @@
-//! The records of routes, hosts and calls. The modules that decide on them add the methods that compare.
+//! What is known of a route. The modules that decide on it add the methods that compare.
 
 use serde::{Deserialize, Serialize};
 
-use crate::decision::FailureKind;
 use crate::rolling_window::{CallResult, RollingWindow};
 use crate::token_bucket::TokenBucket;
-use crate::tuning::{
-    ERROR_WINDOW, INITIAL_CONCURRENCY, MAX_USAGE_FACTOR, RATE_SPAN_SECONDS, SECOND,
-};
-use crate::types::{DestinationId, HostEntry, HostId, Micros};
-
-/// A destination, or one host of it where its hosts are separate routes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RouteKey {
-    /// The destination.
-    pub destination: DestinationId,
-    /// The host, where hosts are separate routes.
-    pub host: Option<HostId>,
-}
-
-/// A listed host.
-pub(crate) struct HostRecord {
-    pub(crate) entry: HostEntry,
-    pub(crate) consecutive_failures: u32,
-    pub(crate) ejected_until: Micros,
-    /// Calls in flight.
-    pub(crate) in_flight: usize,
-}
-
-impl HostRecord {
-    /// A host that has taken no call yet.
-    pub(crate) fn new(entry: HostEntry) -> Self {
-        HostRecord {
-            entry,
-            consecutive_failures: 0,
-            ejected_until: 0,
-            in_flight: 0,
-        }
-    }
-}
-
-/// A call in flight; it may carry several messages.
-pub(crate) struct Call {
-    pub(crate) route: RouteKey,
-    pub(crate) host: HostId,
-    /// From this moment it counts as failed, though it may still be answered.
-    pub(crate) overdue_at: Micros,
-    pub(crate) is_overdue: bool,
-    /// Messages whose attempts have not ended.
-    pub(crate) pending_messages: usize,
-}
-
-impl Call {
-    /// Marks the call as overdue; returns its route and host.
-    pub(crate) fn mark_overdue(&mut self) -> (RouteKey, HostId) {
-        self.is_overdue = true;
-        (self.route, self.host)
-    }
-}
+use crate::tuning::{INITIAL_CONCURRENCY, MAX_USAGE_FACTOR, RATE_SPAN_SECONDS, SECOND};
+use crate::types::{HostId, Micros};
 
 /// State of a circuit breaker.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -91,35 +39,6 @@
     pub(crate) is_failure_harmless: bool,
 }
 
-impl CircuitBreaker {
-    /// Whether calls pass.
-    pub(crate) fn is_closed(&self) -> bool {
-        self.state == BreakerState::Closed
-    }
-
-    /// Counts a success, which ends a series of failures or rejections.
-    pub(crate) fn count_success(&mut self, now: Micros) {
-        self.window.record(now, ERROR_WINDOW, CallResult::Success);
-        (self.consecutive_failures, self.consecutive_rejections) = (0, 0);
-    }
-
-    /// Counts a rejection.
-    pub(crate) fn count_rejection(&mut self, now: Micros) {
-        self.window.record(now, ERROR_WINDOW, CallResult::Rejected);
-        self.consecutive_rejections += 1;
-    }
-
-    /// Counts a failure.
-    pub(crate) fn count_failure(&mut self, now: Micros, kind: FailureKind) {
-        self.window.record(now, ERROR_WINDOW, CallResult::Failure);
-        self.consecutive_failures += 1;
-        if self.consecutive_failures == 1 {
-            self.failing_since = now;
-        }
-        self.is_failure_harmless = kind == FailureKind::NotExecuted;
-    }
-}
-
 /// What the destination says of its limit.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct AdvertisedLimit {
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -2,14 +2,17 @@
 
 use std::collections::BTreeSet;
 
-use crate::decision::CallEnd;
+use crate::call::CallEnd;
+use crate::host_record::HostRecord;
 use crate::queued_message::QueuedMessage;
-use crate::route::{HostRecord, Route, RouteKey};
+use crate::route::Route;
 use crate::state::DeliveryPolicy;
 use crate::tuning::{
     AVERAGE_WEIGHT, CLASS_WEIGHT_SHARE, MAX_RELATIVE_LATENCY, MIN_RELATIVE_LATENCY,
 };
-use crate::types::{Class, DestinationId, DestinationKind, HostEntry, HostId, HostState, Message};
+use crate::types::{
+    Class, DestinationId, DestinationKind, HostEntry, HostId, HostState, Message, RouteKey,
+};
 
 /// The kind of a host whose kind the settings do not have.
 const DEFAULT_KIND: DestinationKind = DestinationKind {
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,14 +1,47 @@
 //! Selection: whether a route takes a call now, and which host of which route a message goes to.
 
-use crate::decision::{Readiness, Selection, Urgency};
+use crate::host_record::HostRecord;
 use crate::queued_message::QueuedMessage;
-use crate::route::{BreakerState, HostRecord, Route, RouteKey};
+use crate::route::{BreakerState, Route};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{
     EJECTED_HOST_COST, FAILURE_COST, FEE_COST, HEALTHY_SLOT_SHARE, MAX_COSTED_FAILURES,
     OVERDUE_FACTOR, RISKY_TIME_RESERVE, SECOND, SHUTDOWN_MARGIN_FACTOR, SUSPECT_SLOT_SHARE,
 };
-use crate::types::{HostId, HostState, Idempotency, MessageId, Micros};
+use crate::types::{HostId, HostState, Idempotency, MessageId, Micros, RouteKey};
+
+/// Where a message goes.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) struct Selection {
+    pub(crate) route: RouteKey,
+    pub(crate) host: HostId,
+}
+
+/// Whether a call is for recovered messages that have not been attempted yet. These go out despite an open breaker
+/// or a backoff, or they would reach their deadlines behind it; a wait that the destination asked for binds them too.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Urgency {
+    Normal,
+    Recovered,
+}
+
+impl From<bool> for Urgency {
+    fn from(is_recovered: bool) -> Self {
+        if is_recovered {
+            Urgency::Recovered
+        } else {
+            Urgency::Normal
+        }
+    }
+}
+
+/// Whether a route takes a call.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Readiness {
+    Ready,
+    /// Not before this moment; `Micros::MAX` until something happens.
+    NotBefore(Micros),
+}
 
 impl Route {
     /// Until when the breaker or the limits of concurrency allow no further call.
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -2,12 +2,14 @@
 
 use std::collections::BTreeMap;
 
+use crate::call::Call;
+use crate::host_record::HostRecord;
 use crate::queued_message::{OrderedKey, QueuedMessage};
 use crate::random::RandomFractions;
-use crate::route::{Call, HostRecord, Route, RouteKey};
+use crate::route::Route;
 use crate::scheduler::{NoTenants, TenantScheduler};
 use crate::tuning::{MIN_POLL_BACKOFF, OBJECTIVE_TO_LATENCY};
-use crate::types::{Class, HostId, MessageId, Micros, Settings};
+use crate::types::{Class, HostId, MessageId, Micros, RouteKey, Settings};
 
 /// The decisions of one relay. It does no I/O and reads no clock: its caller passes events and the time.
 pub struct DeliveryPolicy {
--- a/crates/policy/src/tables.rs
+++ b/crates/policy/src/tables.rs
@@ -1,7 +1,7 @@
 //! The tables of queued messages and calls in flight: insertion, removal and sums. Nothing here decides what is sent.
 
+use crate::call::Call;
 use crate::queued_message::{Attempt, AttemptState, QueuedMessage};
-use crate::route::Call;
 use crate::scheduler::Capacity;
 use crate::state::DeliveryPolicy;
 use crate::types::{HostId, Message, MessageId, Micros, PastAttempt};
--- a/crates/policy/src/types/ids.rs
+++ b/crates/policy/src/types/ids.rs
@@ -1,5 +1,7 @@
 //! Units and identifiers.
 
+use serde::{Deserialize, Serialize};
+
 /// A moment or a duration, in microseconds.
 pub type Micros = u64;
 /// Identifies a message.
@@ -10,3 +12,12 @@
 pub type DestinationId = u16;
 /// Identifies a tenant: its index in the settings, or the number that it has while it is known.
 pub type TenantId = u16;
+
+/// A destination, or one host of it where its hosts are separate routes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct RouteKey {
+    /// The destination.
+    pub destination: DestinationId,
+    /// The host, where hosts are separate routes.
+    pub host: Option<HostId>,
+}
--- a/crates/policy/src/types/mod.rs
+++ b/crates/policy/src/types/mod.rs
@@ -11,7 +11,7 @@
 pub use action::Action;
 pub use event::{AttemptEnd, AttemptOutcome, Event};
 pub use host::{HostEntry, HostState};
-pub use ids::{DestinationId, HostId, MessageId, Micros, TenantId};
+pub use ids::{DestinationId, HostId, MessageId, Micros, RouteKey, TenantId};
 pub use message::{Message, Outage, PastAttempt};
 pub use settings::{
     Class, DestinationKind, Idempotency, PlatformRules, ReportField, Settings, ValueDecay,
