--- a/crates/policy/src/call.rs
+++ b/crates/policy/src/call.rs
@@ -6,17 +6,18 @@
 pub(crate) struct Call {
     pub(crate) route: RouteKey,
     pub(crate) host: HostId,
-    /// From this moment it counts as failed, though it may still be answered.
-    pub(crate) overdue_at: Micros,
-    pub(crate) is_overdue: bool,
+    /// From this moment it counts as slow and as failed, though it may still be answered.
+    pub(crate) slow_at: Micros,
+    /// It was counted as failed when it became slow.
+    pub(crate) is_slow: bool,
     /// Messages whose attempts have not ended.
     pub(crate) pending_messages: usize,
 }
 
 impl Call {
-    /// Marks the call as overdue; returns its route and host.
-    pub(crate) fn mark_overdue(&mut self) -> (RouteKey, HostId) {
-        self.is_overdue = true;
+    /// Marks the call as slow; returns its route and host.
+    pub(crate) fn mark_slow(&mut self) -> (RouteKey, HostId) {
+        self.is_slow = true;
         (self.route, self.host)
     }
 }
@@ -27,8 +28,8 @@
     pub(crate) host: HostId,
     pub(crate) outcome: AttemptOutcome,
     pub(crate) elapsed: Micros,
-    /// It was counted as failed when it became overdue.
-    pub(crate) was_overdue: bool,
+    /// It was counted as failed when it became slow.
+    pub(crate) was_slow: bool,
     /// Class of its message; none for a probe.
     pub(crate) class: Option<usize>,
 }
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -15,8 +15,8 @@
 /// Why a call counts as failed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FailureKind {
-    /// It is in flight for too long.
-    Overdue,
+    /// It has been in flight for longer than the threshold of slow calls.
+    Slow,
     /// It ended and may have been executed.
     MayHaveExecuted,
     /// It ended and provably was not executed.
@@ -59,7 +59,7 @@
         if self.consecutive_failures == 1 {
             self.failing_since = now;
         }
-        self.is_failure_harmless = kind == FailureKind::NotExecuted;
+        self.last_failure_not_executed = kind == FailureKind::NotExecuted;
     }
 
     /// Whether many of the latest calls failed. A few broken answers of a healthy destination are no outage.
@@ -87,15 +87,15 @@
     pub(crate) fn is_risky(&self) -> bool {
         let failed = self.window.count(CallResult::Failure) as f64;
         let is_unreliable = failed > 1.0 && failed > RISKY_FAILURE_RATIO * self.window.len() as f64;
-        !self.is_failure_harmless && (self.is_suspect() || is_unreliable)
+        !self.last_failure_not_executed && (self.is_suspect() || is_unreliable)
     }
 
     /// Whether a call is a probe that its message may not survive.
     pub(crate) fn risks_message(&self) -> bool {
-        !self.is_closed() && !self.is_failure_harmless
+        !self.is_closed() && !self.last_failure_not_executed
     }
 
-    /// Opens the breaker until this moment.
+    /// Opens the breaker until the moment `until`.
     pub(crate) fn trip(&mut self, until: Micros) {
         self.state = BreakerState::Open(until);
     }
@@ -148,15 +148,15 @@
         let (now, chance) = (self.now, self.random.next_fraction());
         match end.outcome {
             AttemptOutcome::Delivered => {
-                // The failure that was counted when the call became overdue was a false alarm.
-                if let (true, Some(route)) = (end.was_overdue, self.routes.get_mut(&end.route)) {
+                // The failure that was counted when the call became slow was a false positive.
+                if let (true, Some(route)) = (end.was_slow, self.routes.get_mut(&end.route)) {
                     route.breaker.window.remove_last(CallResult::Failure);
                 }
                 self.record_success(end, chance);
             }
             AttemptOutcome::Rejected { .. } => self.record_rejection(end.route),
             // A reused connection that breaks says nothing of its host; the next call opens a new one.
-            outcome if outcome.is_inconclusive() && !end.was_overdue => {
+            outcome if outcome.is_inconclusive() && !end.was_slow => {
                 let route = self.routes.get_mut(&end.route);
                 if let Some(route) =
                     route.filter(|route| route.breaker.state == BreakerState::HalfOpen)
@@ -164,7 +164,7 @@
                     route.breaker.trip(now);
                 }
             }
-            _ if end.was_overdue => {
+            _ if end.was_slow => {
                 // Only now is it certain that the calls failed.
                 let route = self
                     .routes
@@ -214,7 +214,7 @@
             .limit
             .remaining_allowance
             .is_some_and(|left| left < EXHAUSTED_ALLOWANCE);
-        route.breaker.is_limit_likely = is_exhausted || route.uses_its_part(now, replicas);
+        route.breaker.is_limit_likely = is_exhausted || route.uses_even_share(now, replicas);
         if route.breaker.consecutive_rejections == 1 || is_exhausted {
             route.breaker.rejected_since = now;
         }
@@ -237,7 +237,7 @@
             route.record_outage(route.breaker.rejected_since, chance);
         }
         if only_rejections {
-            route.breaker.is_failure_harmless = true;
+            route.breaker.last_failure_not_executed = true;
             route
                 .breaker
                 .trip(now + route.open_duration(replicas, &self.settings.rules, chance));
@@ -261,26 +261,26 @@
         };
         let has_alternative = route.hosts.iter().any(is_available);
         route.breaker.count_failure(now, kind);
-        if kind != FailureKind::Overdue && route.breaker.indicates_outage() {
+        if kind != FailureKind::Slow && route.breaker.indicates_outage() {
             route.record_outage(now, chance);
         }
         let trips = route.breaker.has_too_many_errors() && !has_alternative;
         if !route.breaker.is_closed() || trips {
-            let rest = route.open_duration(self.replicas, &self.settings.rules, chance);
-            route.breaker.trip(now + rest);
+            let open_for = route.open_duration(self.replicas, &self.settings.rules, chance);
+            route.breaker.trip(now + open_for);
         }
     }
 
-    /// Counts calls that are in flight for far too long as failed: a hang shows before the first time-out.
-    pub(crate) fn record_overdue_calls(&mut self) {
+    /// Counts slow calls as failed while they are in flight: a hang is detected before the first time-out.
+    pub(crate) fn record_slow_calls(&mut self) {
         let now = self.now;
-        let late = self
+        let slow = self
             .calls
             .values_mut()
-            .filter(|call| !call.is_overdue && call.overdue_at <= now);
-        let late: Vec<_> = late.map(Call::mark_overdue).collect();
-        for (route, host) in late {
-            self.record_failure(route, host, FailureKind::Overdue);
+            .filter(|call| !call.is_slow && call.slow_at <= now);
+        let slow: Vec<_> = slow.map(Call::mark_slow).collect();
+        for (route, host) in slow {
+            self.record_failure(route, host, FailureKind::Slow);
         }
     }
 }
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -17,14 +17,14 @@
             .join(" | ")
     }
 
-    /// Number of listed hosts that get nothing now: they drain, are ejected, asked for a wait, or their circuit
-    /// breaker is not closed.
+    /// Number of listed hosts that are sent nothing now: they drain or are ejected, or their route has a Retry-After or
+    /// a circuit breaker that is not closed.
     #[must_use]
     pub fn ejected_hosts(&self, now: Micros) -> usize {
-        let is_shut = |route: &Route| {
+        let is_route_paused = |route: &Route| {
             route.breaker.state != BreakerState::Closed || route.retry_after_until > now
         };
-        let is_resting =
+        let is_host_paused =
             |host: &HostRecord| host.entry.state == HostState::Draining || host.ejected_until > now;
         let listed = self
             .hosts
@@ -32,12 +32,14 @@
             .filter(|(_, host)| host.entry.state != HostState::Removed);
         let ejected = listed.filter(|(id, host)| {
             let route = self.route_of(**id).and_then(|key| self.routes.get(&key));
-            is_resting(host) || route.is_some_and(is_shut)
+            is_host_paused(host) || route.is_some_and(is_route_paused)
         });
         ejected.count()
     }
 }
 
+/// The state of a route for the call log. Tools that count over logs, also over those of earlier versions, match the
+/// words: durations are in milliseconds, rates in calls a second.
 fn describe_route(route: &Route, now: Micros) -> String {
     let state = match route.breaker.state {
         BreakerState::Closed => "closed",
@@ -45,13 +47,13 @@
         BreakerState::Open(_) => "open",
     };
     let pacing = &route.pacing;
-    let rest = route
+    let paused_ms = route
         .backoff_until
         .max(route.retry_after_until)
         .saturating_sub(now)
         / 1000;
     format!(
-        "{state} pace={:.2} gap={} rest={rest} out={} cap={:.1} told={:.1} left={:.2} cold={}",
+        "{state} pace={:.2} gap={} rest={paused_ms} out={} cap={:.1} told={:.1} left={:.2} cold={}",
         pacing.rate,
         pacing.backoff / 1000,
         route.in_flight,
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -280,7 +280,7 @@
             return;
         };
         let expected_latency = self.expected_latency(queued, route);
-        let overdue_at = self.now + self.overdue_after(queued, route);
+        let slow_at = self.now + self.slow_call_threshold(queued, route);
         let timeout = self.attempt_timeout(queued, expected_latency);
         if mode == CallMode::New {
             self.next_call += 1;
@@ -291,8 +291,8 @@
             self.start_call(Call {
                 route: key,
                 host,
-                overdue_at,
-                is_overdue: false,
+                slow_at,
+                is_slow: false,
                 pending_messages: 0,
             });
         }
@@ -316,23 +316,24 @@
         self.add_call(call);
     }
 
-    /// Once few slots are free, cancels the overdue attempt in flight longest; only then, as it may still be answered.
+    /// Once few slots are free, cancels the slow attempt that has been in flight longest; only then, as it may still be
+    /// answered.
     pub(crate) fn free_slots(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.can_cancel || self.calls.len() + 1 < self.settings.max_calls {
             return;
         }
-        let hung_since = |queued: &QueuedMessage| {
+        let slow_since = |queued: &QueuedMessage| {
             let last = queued.cancellable_attempt()?;
             self.calls
                 .get(&last.call)
-                .filter(|call| call.is_overdue)
+                .filter(|call| call.is_slow)
                 .map(|_| last.sent_at)
         };
-        let hung = self
+        let slow = self
             .queue
             .iter()
-            .filter_map(|(id, queued)| Some((hung_since(queued)?, *id)));
-        let Some((_, id)) = hung.min_by_key(|(sent_at, _)| *sent_at) else {
+            .filter_map(|(id, queued)| Some((slow_since(queued)?, *id)));
+        let Some((_, id)) = slow.min_by_key(|(sent_at, _)| *sent_at) else {
             return;
         };
         let Some(queued) = self.queue.get_mut(&id) else {
--- a/crates/policy/src/handover.rs
+++ b/crates/policy/src/handover.rs
@@ -12,14 +12,25 @@
 /// Samples of a rolling window that are handed over. All samples of a busy route would take too long to write.
 const MAX_SAMPLES: usize = 64;
 
+/// An ordering key, and until when no further message of it may be sent.
+///
+/// Stored as part of [`HandoverSnapshot`]: the order of fields is fixed.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct OrderingKeyBlock {
+    /// The ordering key.
+    pub key: u64,
+    /// An attempt may still be running at its host until this moment; zero if there is none.
+    pub blocked_until: Micros,
+}
+
 /// What a process that takes over has to know of routes, ordering keys and classes.
 ///
 /// The state directory stores it in a format that goes by position: the order of fields is fixed.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct HandoverSnapshot {
     pub(crate) routes: BTreeMap<RouteKey, Route>,
-    /// Each ordering key, and until when it is blocked.
-    pub ordered_keys: Vec<(u64, Micros)>,
+    /// The ordering keys with what blocks them.
+    pub ordered_keys: Vec<OrderingKeyBlock>,
     /// Mean duration of the calls of each class.
     pub(crate) class_latency: Vec<f64>,
 }
@@ -35,7 +46,10 @@
         let ordered_keys = self
             .ordered_keys
             .iter()
-            .map(|(key, order)| (*key, order.blocked_until))
+            .map(|(key, order)| OrderingKeyBlock {
+                key: *key,
+                blocked_until: order.blocked_until,
+            })
             .collect();
         HandoverSnapshot {
             routes,
@@ -56,7 +70,7 @@
             known.breaker.forget_probe();
             *route = known;
         }
-        for (key, blocked_until) in snapshot.ordered_keys {
+        for OrderingKeyBlock { key, blocked_until } in snapshot.ordered_keys {
             self.ordered_keys.insert(
                 key,
                 OrderedKey {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -25,7 +25,7 @@
 mod tuning;
 pub mod types;
 
-pub use handover::HandoverSnapshot;
+pub use handover::{HandoverSnapshot, OrderingKeyBlock};
 pub use scheduler::TenantScheduler;
 pub use state::DeliveryPolicy;
 pub use types::{Action, Event, RouteKey, Settings};
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -20,7 +20,7 @@
         for event in events {
             self.handle_event(event, actions);
         }
-        self.record_overdue_calls();
+        self.record_slow_calls();
         self.give_up_undeliverable(actions);
         self.dispatch(actions);
         self.shed_load(0, actions);
@@ -71,13 +71,13 @@
             } => {
                 self.record_load_report(host, &load_report);
                 if let Some(route) = self.route_of(host) {
-                    let (was_overdue, class) = (false, None);
+                    let (was_slow, class) = (false, None);
                     self.record_outcome(&CallEnd {
                         route,
                         host,
                         outcome,
                         elapsed,
-                        was_overdue,
+                        was_slow,
                         class,
                     });
                 }
@@ -120,12 +120,12 @@
         } else {
             self.poll_at
         };
-        let overdue_at = self
+        let slow_at = self
             .calls
             .values()
-            .filter(|call| !call.is_overdue)
-            .map(|call| call.overdue_at);
-        let wake = overdue_at.fold(poll_at.min(self.next_message_change()), Micros::min);
+            .filter(|call| !call.is_slow)
+            .map(|call| call.slow_at);
+        let wake = slow_at.fold(poll_at.min(self.next_message_change()), Micros::min);
         let wake = wake
             .min(self.next_ready_route())
             .max(now + self.settings.tick.max(1));
--- a/crates/policy/src/rate_limit.rs
+++ b/crates/policy/src/rate_limit.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether this replica's even part of the limit is in use, so that the limit is the likely cause of a rejection.
-    pub(crate) fn uses_its_part(&self, now: Micros, replicas: f64) -> bool {
+    pub(crate) fn uses_even_share(&self, now: Micros, replicas: f64) -> bool {
         self.success_rate(now) * replicas.min(MAX_BUSY_REPLICAS) * 2.0
             > self.limit.per_second.unwrap_or(0.0)
     }
--- a/crates/policy/src/recovery.rs
+++ b/crates/policy/src/recovery.rs
@@ -4,11 +4,14 @@
 use crate::queued_message::AttemptState;
 use crate::route::Route;
 use crate::state::DeliveryPolicy;
-use crate::tuning::{MAX_GLITCH, MIN_OUTAGE, OUTAGE_RETENTION, SMALL_FLEET, UNAVAILABLE_AFTER};
+use crate::tuning::{
+    MIN_OUTAGE, MIN_SUCCESS_GAP_OF_OUTAGE, OUTAGE_RETENTION, SMALL_FLEET, UNAVAILABLE_AFTER,
+};
 use crate::types::{HostId, Message, Micros, Outage, PastAttempt};
 
 impl Route {
-    /// Whether a route without hosts must still be remembered: calls, waits and outages outlast a change of the list.
+    /// Whether a route without hosts must be retained: calls, a Retry-After, a backoff and an outage
+    /// outlast a change of the list.
     pub(crate) fn must_be_retained(&self, now: Micros) -> bool {
         let recent_call = self
             .breaker
@@ -29,14 +32,15 @@
         self.recovery.recovered_at = None;
     }
 
-    /// At a success: an outage that few calls met, as calls hung or backed off, counts from the first error.
+    /// At a success: an outage that few calls met, as they had no answer or were held back, counts from the first error.
     pub(crate) fn detect_unseen_outage(&mut self, now: Micros, chance: f64) {
         let breaker = &self.breaker;
         let was_rejecting = breaker.consecutive_rejections > 0
             && !breaker.is_limit_likely
             && now >= breaker.rejected_since + UNAVAILABLE_AFTER;
-        let hung_since = Some(breaker.failing_since).filter(|_| breaker.consecutive_failures > 1);
-        let was_failing = hung_since.is_some_and(|since| now >= since + UNAVAILABLE_AFTER);
+        let failing_since =
+            Some(breaker.failing_since).filter(|_| breaker.consecutive_failures > 1);
+        let was_failing = failing_since.is_some_and(|since| now >= since + UNAVAILABLE_AFTER);
         let since = if was_rejecting {
             breaker.rejected_since
         } else {
@@ -53,8 +57,8 @@
         let recovery = &mut self.recovery;
         let is_down = recovery.is_active && recovery.recovered_at.is_none();
         if is_down && sent_at >= recovery.down_since && now >= self.retry_after_until {
-            recovery.is_active =
-                recovery.down_since < last_success || now >= last_success + MAX_GLITCH;
+            recovery.is_active = recovery.down_since < last_success
+                || now >= last_success + MIN_SUCCESS_GAP_OF_OUTAGE;
             recovery.recovered_at = Some(now).filter(|_| recovery.is_active);
         }
     }
@@ -69,8 +73,8 @@
         }
         self.recovered_count += usize::from(attempts.is_empty());
         // A call that the end of a process cut off may still be running at its host.
-        let may_run_on = attempts.last().is_some_and(|past| past.may_have_executed);
-        let key = message.ordering_key.filter(|_| may_run_on);
+        let may_still_run = attempts.last().is_some_and(|past| past.may_have_executed);
+        let key = message.ordering_key.filter(|_| may_still_run);
         if let Some(order) = key.and_then(|key| self.ordered_keys.get_mut(&key)) {
             order.blocked_until = self.now + self.settings.rules.ordering_delay;
         }
@@ -109,12 +113,12 @@
         let Some(route) = self.routes.get(&key) else {
             return;
         };
-        let overdue_at = self.now + self.overdue_after(&self.queue[&message.id], route);
+        let slow_at = self.now + self.slow_call_threshold(&self.queue[&message.id], route);
         self.start_call(Call {
             route: key,
             host,
-            overdue_at,
-            is_overdue: false,
+            slow_at,
+            is_slow: false,
             pending_messages: 1,
         });
     }
@@ -130,9 +134,9 @@
             route.recovery.recovered_at = outage.recovered_at.map(|at| at.min(now));
             if route.recovery.recovered_at.is_none() {
                 // Most of a large fleet may have started just now.
-                let rest = route.open_duration(self.replicas, &self.settings.rules, chance);
+                let open_for = route.open_duration(self.replicas, &self.settings.rules, chance);
                 route.breaker.trip(if self.replicas > SMALL_FLEET {
-                    now + rest
+                    now + open_for
                 } else {
                     now
                 });
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -72,7 +72,7 @@
             return;
         };
         call.pending_messages -= 1;
-        let (key, was_overdue, is_last) = (call.route, call.is_overdue, call.pending_messages == 0);
+        let (key, was_slow, is_last) = (call.route, call.is_slow, call.pending_messages == 0);
         if let Some(route) = self.routes.get_mut(&key) {
             route.in_flight -= usize::from(is_last);
             // The wait of any message of a call binds, whatever became of the others.
@@ -103,7 +103,7 @@
             host,
             outcome,
             elapsed,
-            was_overdue,
+            was_slow,
             class: Some(class),
         });
     }
--- a/crates/policy/src/rolling_window.rs
+++ b/crates/policy/src/rolling_window.rs
@@ -13,7 +13,7 @@
     Success,
     /// The destination rejected it unseen.
     Rejected,
-    /// It failed, or is in flight so long that it counts as failed.
+    /// It failed, or counts as failed since it became slow.
     Failure,
 }
 
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -36,7 +36,7 @@
     /// The last rejection can be put down to the limit.
     pub(crate) is_limit_likely: bool,
     /// The last failure proves that nothing was executed.
-    pub(crate) is_failure_harmless: bool,
+    pub(crate) last_failure_not_executed: bool,
 }
 
 /// What the destination says of its limit.
@@ -111,7 +111,7 @@
             relative_latency: 1.0,
             ..Route::default()
         };
-        route.breaker.is_failure_harmless = true;
+        route.breaker.last_failure_not_executed = true;
         route.limit.usage_factor = MAX_USAGE_FACTOR;
         route.pacing = Pacing {
             rate: f64::INFINITY,
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -6,7 +6,7 @@
 use crate::state::DeliveryPolicy;
 use crate::tuning::{
     EJECTED_HOST_COST, FAILURE_COST, FEE_COST, HEALTHY_SLOT_SHARE, MAX_COSTED_FAILURES,
-    OVERDUE_FACTOR, RISKY_TIME_RESERVE, SECOND, SHUTDOWN_MARGIN_FACTOR, SUSPECT_SLOT_SHARE,
+    RISKY_TIME_RESERVE, SECOND, SHUTDOWN_MARGIN_FACTOR, SLOW_CALL_FACTOR, SUSPECT_SLOT_SHARE,
 };
 use crate::types::{HostId, HostState, Idempotency, MessageId, Micros, RouteKey};
 
@@ -139,7 +139,7 @@
         let time_needed = if is_repeatable {
             (SHUTDOWN_MARGIN_FACTOR * self.expected_latency(queued, route)) as Micros
         } else {
-            self.overdue_after(queued, route)
+            self.slow_call_threshold(queued, route)
         };
         if self.now.saturating_add(time_needed) > self.shutdown_at {
             return false;
@@ -193,8 +193,8 @@
             + (cross_zone_fee + zone_fee.copied().unwrap_or(0.0)) * FEE_COST
     }
 
-    /// How long a call with this message may be in flight before it counts as failed.
-    pub(crate) fn overdue_after(&self, queued: &QueuedMessage, route: &Route) -> Micros {
-        (OVERDUE_FACTOR * self.expected_latency(queued, route)) as Micros + SECOND / 4
+    /// How long a call with this message may be in flight before it counts as slow, and so as failed.
+    pub(crate) fn slow_call_threshold(&self, queued: &QueuedMessage, route: &Route) -> Micros {
+        (SLOW_CALL_FACTOR * self.expected_latency(queued, route)) as Micros + SECOND / 4
     }
 }
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket with so many tokens.
+    /// A bucket with this number of tokens.
     pub(crate) fn with_tokens(tokens: f64) -> Self {
         TokenBucket {
             tokens,
--- a/crates/policy/src/tuning.rs
+++ b/crates/policy/src/tuning.rs
@@ -17,26 +17,27 @@
 pub(crate) const OPEN_DURATION: Micros = 3 * SECOND / 2;
 /// How long a host that failed is ejected where another one serves.
 pub(crate) const EJECTION_DURATION: Micros = 3 * SECOND;
-/// A call in flight for this many times its expected latency counts as failed: slow calls are seldom so slow.
-pub(crate) const OVERDUE_FACTOR: f64 = 5.0;
+/// Threshold of slow calls as a multiple of the expected latency: few calls that succeed take longer. A call in flight
+/// beyond it counts as failed.
+pub(crate) const SLOW_CALL_FACTOR: f64 = 5.0;
 /// Latest calls by which an outage is judged, and the ratio of failures among them that is one.
 pub(crate) const OUTAGE_SAMPLES: usize = 12;
 pub(crate) const OUTAGE_FAILURE_RATIO: f64 = 0.4;
-/// Rejections alone for so long, a probe among them, are an outage and not a limit.
+/// Rejections alone over this time, a probe among them, are an outage and not a limit.
 pub(crate) const UNAVAILABLE_AFTER: Micros = 13 * SECOND / 10;
-/// Between two successes no further apart there was no outage, whatever was rejected or failed between them.
-pub(crate) const MAX_GLITCH: Micros = 3 * SECOND / 2;
-/// An outage counts as at least so long, also what is left of it: most replicas see its start late.
+/// Least time between two successes with an outage between them: within less, rejections and failures are none.
+pub(crate) const MIN_SUCCESS_GAP_OF_OUTAGE: Micros = 3 * SECOND / 2;
+/// Least duration that is assumed for an outage, also for what is left of it: most replicas see its start late.
 pub(crate) const MIN_OUTAGE: Micros = 5 * SECOND;
-/// The recovery ramp of a removed route is remembered for so long after its last call.
+/// How long after its last call the recovery ramp of a removed route is retained.
 pub(crate) const OUTAGE_RETENTION: Micros = 6 * ERROR_WINDOW;
 
 /// Pause before the next attempt after an error, for each attempt so far.
 pub(crate) const RETRY_BACKOFF: Micros = SECOND / 5;
 
-/// Weight of a reported limit: so many times its relative distance from the limit believed so far.
+/// Weight of a reported limit, as a multiple of its relative distance from the limit known before.
 pub(crate) const LIMIT_WEIGHT_FACTOR: f64 = 2.0;
-/// Lowest and highest limit that is believed, in calls a second; a route is never given up.
+/// Lowest and highest limit that is accepted, in calls a second; a route is never given up.
 pub(crate) const MIN_RATE: f64 = 0.3;
 pub(crate) const MAX_RATE: f64 = 1e6;
 /// Shares of the allowance left: a rejection is due to the limit (reports are noisy), little is left, it is not due.
@@ -94,9 +95,10 @@
 pub(crate) const FAILURE_COST: f64 = 5.0;
 pub(crate) const MAX_COSTED_FAILURES: u32 = 5;
 pub(crate) const FEE_COST: f64 = 10.0;
-/// One part in so many of the queue is kept free for what comes in one round.
+/// The share of the queue that is kept free for the arrivals of one round is one over this.
 pub(crate) const QUEUE_HEADROOM_DIVISOR: usize = 10;
-/// At most one in so many recovered messages makes room for others: most are attempted also after two restarts.
+/// The share of recovered messages that may be rejected to make room is one over this: after two restarts most are
+/// attempted still.
 pub(crate) const RECOVERED_SHED_DIVISOR: usize = 4;
 /// Share of a message's value that delay costs at its latency objective, less where that is further away.
 pub(crate) const EARLY_OBJECTIVE_COST: f64 = 0.02;
