--- a/crates/policy/src/call.rs
+++ b/crates/policy/src/call.rs
@@ -15,6 +15,17 @@
 }
 
 impl Call {
+    /// A call that starts now, without messages; it counts as slow from `slow_at` on.
+    pub(crate) fn starting(route: RouteKey, host: HostId, slow_at: Micros) -> Self {
+        Call {
+            route,
+            host,
+            slow_at,
+            is_slow: false,
+            pending_messages: 0,
+        }
+    }
+
     /// Marks the call as slow; returns its route and host.
     pub(crate) fn mark_slow(&mut self) -> (RouteKey, HostId) {
         self.is_slow = true;
--- /dev/null
+++ b/crates/policy/src/call_outcome.rs
@@ -0,0 +1,146 @@
+//! The end of a call: what its outcome says of the route and the host that it went to.
+
+use crate::call::CallEnd;
+use crate::circuit_breaker::FailureKind;
+use crate::rolling_window::CallResult;
+use crate::route::BreakerState;
+use crate::state::DeliveryPolicy;
+use crate::tuning::{
+    jitter_factor, CONSECUTIVE_ERRORS_TO_TRIP, EJECTION_DURATION, EXHAUSTED_ALLOWANCE,
+    UNAVAILABLE_AFTER, UNUSED_ALLOWANCE,
+};
+use crate::types::{AttemptOutcome, HostId, Micros, RouteKey};
+
+impl DeliveryPolicy {
+    /// Records how a call or probe ended.
+    pub(crate) fn record_outcome(&mut self, end: &CallEnd) {
+        // Drawn for each outcome, also for those that do not use it.
+        let chance = self.random.next_fraction();
+        match end.outcome {
+            AttemptOutcome::Delivered => self.record_success(end, chance),
+            AttemptOutcome::Rejected { .. } => self.record_rejection(end.route),
+            // A reused connection that breaks says nothing of its host; the next call opens a new one.
+            outcome if outcome.is_inconclusive() && !end.was_slow => {
+                self.release_probe(end.route);
+            }
+            _ if end.was_slow => self.confirm_slow_failure(end.route, chance),
+            outcome => self.record_failure(end.route, end.host, FailureKind::of_outcome(outcome)),
+        }
+    }
+
+    /// The probe has proved nothing: another may start at once.
+    fn release_probe(&mut self, key: RouteKey) {
+        let now = self.now;
+        let Some(route) = self.routes.get_mut(&key) else {
+            return;
+        };
+        if route.breaker.state == BreakerState::HalfOpen {
+            route.breaker.trip(now);
+        }
+    }
+
+    /// A slow call, which was counted as failed before, has failed: only now it may be part of an outage.
+    fn confirm_slow_failure(&mut self, key: RouteKey, chance: f64) {
+        let now = self.now;
+        let Some(route) = self.routes.get_mut(&key) else {
+            return;
+        };
+        if !route.recovery.is_active && route.breaker.indicates_outage() {
+            route.record_outage(now, chance);
+        }
+    }
+
+    fn record_success(&mut self, end: &CallEnd, chance: f64) {
+        let now = self.now;
+        if let Some(host) = self.hosts.get_mut(&end.host) {
+            host.consecutive_failures = 0;
+            host.ejected_until = 0;
+        }
+        let Some(route) = self.routes.get_mut(&end.route) else {
+            return;
+        };
+        if end.was_slow {
+            // The failure that was counted when the call became slow was a false positive.
+            route.breaker.window.remove_last(CallResult::Failure);
+        }
+        route.detect_unseen_outage(now, chance);
+        let last_success = route.breaker.window.last_at(CallResult::Success);
+        route.breaker.count_success(now);
+        route.shorten_backoff(now, self.replicas);
+        if !route.breaker.is_closed() {
+            route.breaker.state = BreakerState::Closed;
+            // Waiting fills no bucket: what has queued up must not go out at once.
+            route.pacing.bucket.limit_to(0.0);
+        }
+        let sent_at = now.saturating_sub(end.elapsed);
+        route.end_outage(now, sent_at, last_success.unwrap_or(0));
+        route.raise_rate(now, self.replicas, self.settings.weight_source);
+        self.record_latency(end);
+    }
+
+    fn record_rejection(&mut self, key: RouteKey) {
+        let now = self.now;
+        let replicas = self.replicas;
+        let chance = self.random.next_fraction();
+        let Some(route) = self.routes.get_mut(&key) else {
+            return;
+        };
+        route.breaker.count_rejection(now);
+        let allowance = route.limit.remaining_allowance;
+        let is_exhausted = allowance.is_some_and(|left| left < EXHAUSTED_ALLOWANCE);
+        let is_unused = allowance.is_some_and(|left| left > UNUSED_ALLOWANCE);
+        route.breaker.is_limit_likely = is_exhausted || route.uses_even_share(now, replicas);
+        if route.breaker.consecutive_rejections == 1 || is_exhausted {
+            route.breaker.rejected_since = now;
+        }
+        if is_exhausted {
+            // The usage factor says how soon; not all who were rejected may come again at once.
+            route.pacing.bucket.limit_to(chance);
+            route.backoff_until = route.backoff_until.max(route.retry_after_until);
+        } else if route.backoff_until <= now {
+            // Of calls that were in flight together the first rejection counts.
+            route.lengthen_backoff(now, replicas, chance);
+        }
+        // A few rejections are due to the limit. They are an outage after a while without a success, and at once where
+        // the allowance is unused.
+        let only_rejections = route.breaker.consecutive_rejections > CONSECUTIVE_ERRORS_TO_TRIP
+            || !route.breaker.is_closed();
+        let rejected_since = route.breaker.rejected_since;
+        if is_unused || only_rejections && now >= rejected_since + UNAVAILABLE_AFTER {
+            route.record_outage(rejected_since, chance);
+        }
+        if only_rejections {
+            let open_for = route.open_duration(replicas, &self.settings.rules, chance);
+            route.breaker.last_failure_not_executed = true;
+            route.breaker.trip(now + open_for);
+        }
+    }
+
+    /// Records a failed call: ejects its host, and trips the breaker where no other host of the route is left.
+    pub(crate) fn record_failure(&mut self, key: RouteKey, host: HostId, kind: FailureKind) {
+        let now = self.now;
+        let chance = self.random.next_fraction();
+        if let Some(host) = self.hosts.get_mut(&host) {
+            let ejected_for = EJECTION_DURATION as f64 * jitter_factor(chance);
+            host.consecutive_failures += 1;
+            host.ejected_until = now + ejected_for as Micros;
+        }
+        let Some(route) = self.routes.get_mut(&key) else {
+            return;
+        };
+        // The failure of one host must not stop the others: while one is in good standing, that is used.
+        let has_alternative = route.hosts.iter().any(|id| {
+            let host = self.hosts.get(id);
+            host.is_some_and(|host| host.ejected_until <= now)
+        });
+        route.breaker.count_failure(now, kind);
+        if kind != FailureKind::Slow && route.breaker.indicates_outage() {
+            route.record_outage(now, chance);
+        }
+        let trips = route.breaker.has_too_many_errors() && !has_alternative;
+        if !route.breaker.is_closed() || trips {
+            let open_for = route.open_duration(self.replicas, &self.settings.rules, chance);
+            route.breaker.trip(now + open_for);
+        }
+    }
+}
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -1,16 +1,13 @@
-//! The circuit breaker of a route: what the results of calls say of it, when it trips and for how long.
+//! The circuit breaker of a route: when it trips, for how long, and what its window of results says of the route.
 
-use crate::call::{Call, CallEnd};
 use crate::rolling_window::CallResult;
 use crate::route::{BreakerState, CircuitBreaker, Route};
-use crate::state::DeliveryPolicy;
 use crate::tuning::{
-    jitter_factor, CONSECUTIVE_ERRORS_TO_TRIP, CONSECUTIVE_FAILURES_OF_OUTAGE, EJECTION_DURATION,
-    ERROR_RATIO_TO_TRIP, ERROR_WINDOW, EXHAUSTED_ALLOWANCE, MIN_CALLS_TO_TRIP, MIN_OUTAGE,
+    jitter_factor, CONSECUTIVE_ERRORS_TO_TRIP, CONSECUTIVE_FAILURES_OF_OUTAGE, ERROR_RATIO_TO_TRIP,
+    ERROR_WINDOW, MIN_CALLS_TO_TRIP, MIN_INITIAL_CAPACITY, MIN_OPEN_FACTOR, MIN_OUTAGE,
     OPEN_DURATION, OUTAGE_FAILURE_RATIO, OUTAGE_SAMPLES, RISKY_FAILURE_RATIO, SECOND, SMALL_FLEET,
-    UNAVAILABLE_AFTER, UNUSED_ALLOWANCE,
 };
-use crate::types::{AttemptOutcome, HostId, Micros, PlatformRules, RouteKey};
+use crate::types::{AttemptOutcome, Micros, PlatformRules};
 
 /// Why a call counts as failed.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -43,7 +40,8 @@
     /// Counts a success, which ends a series of failures or rejections.
     pub(crate) fn count_success(&mut self, now: Micros) {
         self.window.record(now, ERROR_WINDOW, CallResult::Success);
-        (self.consecutive_failures, self.consecutive_rejections) = (0, 0);
+        self.consecutive_failures = 0;
+        self.consecutive_rejections = 0;
     }
 
     /// Counts a rejection.
@@ -64,15 +62,15 @@
 
     /// Whether many of the latest calls failed. A few broken answers of a healthy destination are no outage.
     fn is_failing(&self) -> bool {
+        let samples = self.window.len().min(OUTAGE_SAMPLES);
         let failed = self
             .window
             .count_latest(OUTAGE_SAMPLES, CallResult::Failure);
-        failed > 1
-            && failed as f64 >= OUTAGE_FAILURE_RATIO * self.window.len().min(OUTAGE_SAMPLES) as f64
+        failed > 1 && failed as f64 >= OUTAGE_FAILURE_RATIO * samples as f64
     }
 
     /// Whether a failure is part of an outage; behind a tripped breaker it is, whatever came before.
-    fn indicates_outage(&self) -> bool {
+    pub(crate) fn indicates_outage(&self) -> bool {
         self.is_failing()
             || !self.is_closed()
             || self.consecutive_failures >= CONSECUTIVE_FAILURES_OF_OUTAGE
@@ -115,12 +113,14 @@
     }
 
     /// Whether the window trips the breaker. Where many calls succeed, two failures in a row are no rarity.
-    fn has_too_many_errors(&self) -> bool {
-        let errors =
-            self.window.count(CallResult::Failure) + self.window.count(CallResult::Rejected);
-        let ratio = errors as f64 / self.window.len() as f64;
-        self.consecutive_failures >= CONSECUTIVE_ERRORS_TO_TRIP && self.is_failing()
-            || self.window.len() >= MIN_CALLS_TO_TRIP && ratio > ERROR_RATIO_TO_TRIP
+    pub(crate) fn has_too_many_errors(&self) -> bool {
+        let calls = self.window.len();
+        let failures = self.window.count(CallResult::Failure);
+        let errors = failures + self.window.count(CallResult::Rejected);
+        let ratio = errors as f64 / calls as f64;
+        let is_ratio_high = calls >= MIN_CALLS_TO_TRIP && ratio > ERROR_RATIO_TO_TRIP;
+        let is_series_long = self.consecutive_failures >= CONSECUTIVE_ERRORS_TO_TRIP;
+        is_ratio_high || is_series_long && self.is_failing()
     }
 }
 
@@ -136,151 +136,10 @@
         if replicas <= SMALL_FLEET {
             return (OPEN_DURATION as f64 * jitter_factor(chance)) as Micros;
         }
-        let initial_capacity = (rules.overload_factor * rules.initial_capacity_share).max(0.1);
-        let even = self.limit.even_interval(replicas) / initial_capacity * SECOND as f64;
-        (even.clamp(OPEN_DURATION as f64, MIN_OUTAGE as f64) * (0.5 + chance)) as Micros
-    }
-}
-
-impl DeliveryPolicy {
-    /// Records how a call or probe ended.
-    pub(crate) fn record_outcome(&mut self, end: &CallEnd) {
-        let (now, chance) = (self.now, self.random.next_fraction());
-        match end.outcome {
-            AttemptOutcome::Delivered => {
-                // The failure that was counted when the call became slow was a false positive.
-                if let (true, Some(route)) = (end.was_slow, self.routes.get_mut(&end.route)) {
-                    route.breaker.window.remove_last(CallResult::Failure);
-                }
-                self.record_success(end, chance);
-            }
-            AttemptOutcome::Rejected { .. } => self.record_rejection(end.route),
-            // A reused connection that breaks says nothing of its host; the next call opens a new one.
-            outcome if outcome.is_inconclusive() && !end.was_slow => {
-                let route = self.routes.get_mut(&end.route);
-                if let Some(route) =
-                    route.filter(|route| route.breaker.state == BreakerState::HalfOpen)
-                {
-                    route.breaker.trip(now);
-                }
-            }
-            _ if end.was_slow => {
-                // Only now is it certain that the calls failed.
-                let route = self
-                    .routes
-                    .get_mut(&end.route)
-                    .filter(|route| !route.recovery.is_active);
-                if let Some(route) = route.filter(|route| route.breaker.indicates_outage()) {
-                    route.record_outage(now, chance);
-                }
-            }
-            outcome => self.record_failure(end.route, end.host, FailureKind::of_outcome(outcome)),
-        }
-    }
-
-    fn record_success(&mut self, end: &CallEnd, chance: f64) {
-        let now = self.now;
-        if let Some(host) = self.hosts.get_mut(&end.host) {
-            (host.consecutive_failures, host.ejected_until) = (0, 0);
-        }
-        let Some(route) = self.routes.get_mut(&end.route) else {
-            return;
-        };
-        route.detect_unseen_outage(now, chance);
-        let last_success = route
-            .breaker
-            .window
-            .last_at(CallResult::Success)
-            .unwrap_or(0);
-        route.breaker.count_success(now);
-        route.shorten_backoff(now, self.replicas);
-        if !route.breaker.is_closed() {
-            route.breaker.state = BreakerState::Closed;
-            // Waiting fills no bucket: what has queued up must not go out at once.
-            route.pacing.bucket.limit_to(0.0);
-        }
-        route.end_outage(now, now.saturating_sub(end.elapsed), last_success);
-        route.raise_rate(now, self.replicas, self.settings.weight_source);
-        self.record_latency(end);
-    }
-
-    fn record_rejection(&mut self, key: RouteKey) {
-        let (now, chance, replicas) = (self.now, self.random.next_fraction(), self.replicas);
-        let Some(route) = self.routes.get_mut(&key) else {
-            return;
-        };
-        route.breaker.count_rejection(now);
-        let is_exhausted = route
-            .limit
-            .remaining_allowance
-            .is_some_and(|left| left < EXHAUSTED_ALLOWANCE);
-        route.breaker.is_limit_likely = is_exhausted || route.uses_even_share(now, replicas);
-        if route.breaker.consecutive_rejections == 1 || is_exhausted {
-            route.breaker.rejected_since = now;
-        }
-        if is_exhausted {
-            // The usage factor says how soon; not all who were rejected may come again at once.
-            route.pacing.bucket.limit_to(chance);
-            route.backoff_until = route.backoff_until.max(route.retry_after_until);
-        } else if route.backoff_until <= now {
-            // Of calls that were in flight together the first rejection counts.
-            route.lengthen_backoff(now, replicas, chance);
-        }
-        // Rejections alone for long are an outage, a few are the limit; with the allowance unused they are one at once.
-        let is_unused = route
-            .limit
-            .remaining_allowance
-            .is_some_and(|left| left > UNUSED_ALLOWANCE);
-        let only_rejections = route.breaker.consecutive_rejections > CONSECUTIVE_ERRORS_TO_TRIP
-            || !route.breaker.is_closed();
-        if is_unused || only_rejections && now >= route.breaker.rejected_since + UNAVAILABLE_AFTER {
-            route.record_outage(route.breaker.rejected_since, chance);
-        }
-        if only_rejections {
-            route.breaker.last_failure_not_executed = true;
-            route
-                .breaker
-                .trip(now + route.open_duration(replicas, &self.settings.rules, chance));
-        }
-    }
-
-    fn record_failure(&mut self, key: RouteKey, host: HostId, kind: FailureKind) {
-        let (now, chance) = (self.now, self.random.next_fraction());
-        if let Some(host) = self.hosts.get_mut(&host) {
-            host.consecutive_failures += 1;
-            host.ejected_until = now + (EJECTION_DURATION as f64 * jitter_factor(chance)) as Micros;
-        }
-        let Some(route) = self.routes.get_mut(&key) else {
-            return;
-        };
-        // The failure of one host must not stop the others: while one is in good standing, that is used.
-        let is_available = |id| {
-            self.hosts
-                .get(id)
-                .is_some_and(|host| host.ejected_until <= now)
-        };
-        let has_alternative = route.hosts.iter().any(is_available);
-        route.breaker.count_failure(now, kind);
-        if kind != FailureKind::Slow && route.breaker.indicates_outage() {
-            route.record_outage(now, chance);
-        }
-        let trips = route.breaker.has_too_many_errors() && !has_alternative;
-        if !route.breaker.is_closed() || trips {
-            let open_for = route.open_duration(self.replicas, &self.settings.rules, chance);
-            route.breaker.trip(now + open_for);
-        }
-    }
-
-    /// Counts slow calls as failed while they are in flight: a hang is detected before the first time-out.
-    pub(crate) fn record_slow_calls(&mut self) {
-        let now = self.now;
-        let slow = self
-            .calls
-            .values_mut()
-            .filter(|call| !call.is_slow && call.slow_at <= now);
-        let slow: Vec<_> = slow.map(Call::mark_slow).collect();
-        for (route, host) in slow {
-            self.record_failure(route, host, FailureKind::Slow);
-        }
+        let initial_capacity =
+            (rules.overload_factor * rules.initial_capacity_share).max(MIN_INITIAL_CAPACITY);
+        let even_interval = self.limit.even_interval(replicas) / initial_capacity * SECOND as f64;
+        let mean = even_interval.clamp(OPEN_DURATION as f64, MIN_OUTAGE as f64);
+        (mean * (MIN_OPEN_FACTOR + chance)) as Micros
     }
 }
--- /dev/null
+++ b/crates/policy/src/dispatch_order.rs
@@ -0,0 +1,118 @@
+//! The order of dispatch: which waiting messages may be attempted, and which of them go first.
+
+use std::collections::BTreeMap;
+
+use crate::queued_message::{AttemptState, QueuedMessage, Urgency};
+use crate::scheduler::Candidate;
+use crate::selection::Readiness;
+use crate::state::DeliveryPolicy;
+use crate::tuning::{SECOND, STALL_RESERVE};
+use crate::types::{DestinationId, MessageId, Micros};
+
+impl DeliveryPolicy {
+    /// The messages that are to be sent, in this order, as far as there are slots: recovered ones that were not
+    /// attempted by their deadlines, the others by their cost of delay, and the whole as the tenants' shares allow.
+    pub(crate) fn ordered_candidates(&mut self) -> Vec<Candidate> {
+        let waiting = self.waiting_messages();
+        let mut candidates = self.candidates(&waiting);
+        candidates.sort_by(|a, b| {
+            b.cost_of_delay
+                .total_cmp(&a.cost_of_delay)
+                .then(a.id.cmp(&b.id))
+        });
+        candidates.sort_by_key(|candidate| self.dispatch_deadline(candidate.id));
+        self.scheduler.order_candidates(self.now, &mut candidates);
+        candidates
+    }
+
+    /// The messages that may be attempted now, by destination.
+    fn waiting_messages(&self) -> BTreeMap<DestinationId, Vec<MessageId>> {
+        let mut waiting: BTreeMap<DestinationId, Vec<MessageId>> = BTreeMap::new();
+        for (id, queued) in &self.queue {
+            let may_start =
+                !self.hosts_unconfirmed && queued.is_waiting() && queued.not_before <= self.now;
+            if may_start && self.is_next_of_its_key(queued) {
+                let destination = queued.message.destination;
+                waiting.entry(destination).or_default().push(*id);
+            }
+        }
+        waiting
+    }
+
+    /// Those of the waiting messages whose destinations take calls.
+    fn candidates(&mut self, waiting: &BTreeMap<DestinationId, Vec<MessageId>>) -> Vec<Candidate> {
+        let mut candidates = Vec::new();
+        for (destination, ids) in waiting {
+            let urgent_rate = self.urgent_rate(ids);
+            let keys = self.routes_to(*destination);
+            for key in &keys {
+                let Some(route) = self.routes.get_mut(key) else {
+                    continue;
+                };
+                route.waiting_messages = ids.len();
+                route.urgent_rate = urgent_rate.min(route.limit.per_second.unwrap_or(urgent_rate));
+            }
+            let urgency = Urgency::of_rate(urgent_rate);
+            let takes_calls = keys
+                .iter()
+                .any(|key| self.readiness(*key, urgency) == Readiness::Ready);
+            if takes_calls {
+                candidates.extend(ids.iter().map(|id| self.candidate(&self.queue[id])));
+            }
+        }
+        candidates
+    }
+
+    fn candidate(&self, queued: &QueuedMessage) -> Candidate {
+        let destination = queued.message.destination;
+        let keys = self.routes_to(destination);
+        let route = keys.first().and_then(|key| self.routes.get(key));
+        Candidate {
+            id: queued.message.id,
+            tenant: queued.message.tenant,
+            destination,
+            cost_of_delay: self.cost_of_delay(queued),
+            expected_duration: route
+                .map_or(0, |route| self.expected_latency(queued, route) as Micros),
+        }
+    }
+
+    /// The deadline of a recovered message that was not attempted, as these go first; `Micros::MAX` for all others.
+    pub(crate) fn dispatch_deadline(&self, id: MessageId) -> Micros {
+        let queued = &self.queue[&id];
+        if queued.is_unattempted() {
+            queued.message.deadline
+        } else {
+            Micros::MAX
+        }
+    }
+
+    /// Calls a second at which the recovered messages among these are attempted before their deadlines.
+    fn urgent_rate(&self, ids: &[MessageId]) -> f64 {
+        let mut count = 0.0;
+        let mut total_time = 0.0;
+        let queued = ids.iter().map(|id| &self.queue[id]);
+        for queued in queued.filter(|queued| queued.urgency() == Urgency::Recovered) {
+            let latest_start = self.now + STALL_RESERVE;
+            let time_left = queued.message.deadline.saturating_sub(latest_start);
+            count += 1.0;
+            total_time += time_left.max(self.settings.tick) as f64;
+        }
+        count * count / f64::max(total_time, 1.0) * SECOND as f64
+    }
+
+    /// Whether no earlier message of its ordering key is queued or may still run at a host.
+    fn is_next_of_its_key(&self, queued: &QueuedMessage) -> bool {
+        let is_ordered = self.class(&queued.message).is_ordered;
+        let key = queued.message.ordering_key.filter(|_| is_ordered);
+        let Some(order) = key.and_then(|key| self.ordered_keys.get(&key)) else {
+            return true;
+        };
+        let blocks_itself = queued
+            .attempts
+            .iter()
+            .any(|attempt| attempt.state == AttemptState::MayHaveExecuted);
+        order.queue.front() == Some(&queued.message.id)
+            && (order.blocked_until <= self.now || blocks_itself)
+    }
+}
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,12 +1,9 @@
 //! The state machine that joins the decisions: events in, actions out.
 
-use std::collections::BTreeSet;
-
 use crate::call::CallEnd;
-use crate::selection::{Readiness, Urgency};
 use crate::state::DeliveryPolicy;
-use crate::tuning::{MIN_POLL_BACKOFF, SECOND};
-use crate::types::{Action, Event, HostEntry, Micros, WeightSource};
+use crate::tuning::{MIN_POLL_BACKOFF, POLL_BACKOFF_DIVISOR, POLL_INTERVAL_DIVISOR, SECOND};
+use crate::types::{Action, AttemptOutcome, Event, HostEntry, HostId, Micros, WeightSource};
 
 impl DeliveryPolicy {
     /// Takes the events of one round and appends the actions that follow from them.
@@ -25,10 +22,7 @@
         self.dispatch(actions);
         self.shed_load(0, actions);
         self.free_slots(actions);
-        if !self.is_subscribed && self.poll_at <= now {
-            actions.push(Action::Subscribe(true));
-            self.poll_at = now + (self.settings.rules.max_poll_interval / 2).max(SECOND);
-        }
+        self.subscribe_if_due(actions);
         self.set_timer(actions);
     }
 
@@ -37,16 +31,24 @@
             Event::HostsUpdated {
                 is_full,
                 cached,
-                entries,
-            } => self.update_hosts(is_full, cached, entries),
+                mut entries,
+            } => {
+                if is_full {
+                    entries.extend(self.unlisted_hosts(&entries));
+                }
+                self.update_hosts(entries);
+                if !cached {
+                    self.confirm_subscription();
+                }
+            }
             Event::DiscoveryFailed => self.back_off_discovery(),
             Event::HostsUnconfirmed(is_unconfirmed) => self.hosts_unconfirmed = is_unconfirmed,
             Event::MessageReceived(message) => self.admit(message, actions),
             Event::MessageRestored { message, attempts } => {
-                self.restore_message(message, &attempts)
+                self.restore_message(message, &attempts);
             }
             Event::MessageResent { message, attempts } => {
-                self.enqueue_with_attempts(message, &attempts)
+                self.enqueue_with_attempts(message, &attempts);
             }
             Event::MessageAdopted {
                 message,
@@ -60,7 +62,7 @@
             Event::AttemptEnded(end) => self.end_attempt(end),
             Event::MessageWithdrawn(id) => self.settle(id),
             Event::TenantChanged(tenant, terms) => {
-                self.scheduler.update_tenant(self.now, tenant, terms)
+                self.scheduler.update_tenant(self.now, tenant, terms);
             }
             Event::TimerFired(token) => self.timer_at = self.timer_at.filter(|at| *at != token),
             Event::ProbeEnded {
@@ -68,124 +70,66 @@
                 outcome,
                 elapsed,
                 load_report,
-            } => {
-                self.record_load_report(host, &load_report);
-                if let Some(route) = self.route_of(host) {
-                    let (was_slow, class) = (false, None);
-                    self.record_outcome(&CallEnd {
-                        route,
-                        host,
-                        outcome,
-                        elapsed,
-                        was_slow,
-                        class,
-                    });
-                }
-            }
+            } => self.end_probe(host, outcome, elapsed, &load_report),
             Event::PeerMessage { .. } => {}
         }
     }
 
-    /// Takes over the list of hosts, or what changed of it.
-    fn update_hosts(&mut self, is_full: bool, is_cached: bool, mut entries: Vec<HostEntry>) {
-        if is_full {
-            entries.extend(self.unlisted_hosts(&entries));
-        }
+    /// Records how a probe ended that carried no message.
+    fn end_probe(
+        &mut self,
+        host: HostId,
+        outcome: AttemptOutcome,
+        elapsed: Micros,
+        load_report: &[f32],
+    ) {
+        self.record_load_report(host, load_report);
+        let Some(route) = self.route_of(host) else {
+            return;
+        };
+        self.record_outcome(&CallEnd {
+            route,
+            host,
+            outcome,
+            elapsed,
+            was_slow: false,
+            class: None,
+        });
+    }
+
+    /// Takes over entries of the list of hosts, and the limits that they advertise.
+    fn update_hosts(&mut self, entries: Vec<HostEntry>) {
+        let has_weights = self.settings.weight_source != WeightSource::Absent;
         for entry in entries {
-            let key = self
-                .place_host(entry)
-                .filter(|_| self.settings.weight_source != WeightSource::Absent);
+            let key = self.place_host(entry).filter(|_| has_weights);
             if let Some(route) = key.and_then(|key| self.routes.get_mut(&key)) {
                 route.record_limit(f64::from(entry.weight), 1.0, self.replicas);
             }
         }
         self.forget_removed_hosts();
-        if !is_cached {
-            (self.is_subscribed, self.poll_backoff) = (true, MIN_POLL_BACKOFF);
-        }
     }
 
-    /// Discovery failed: polls again after a backoff.
-    fn back_off_discovery(&mut self) {
-        (self.is_subscribed, self.poll_at) = (false, self.now + self.poll_backoff);
-        let longest = (self.settings.rules.max_poll_interval / 4).max(MIN_POLL_BACKOFF);
-        self.poll_backoff = (self.poll_backoff * 2).min(longest);
+    /// Discovery has answered: its list is watched, and need not be polled.
+    fn confirm_subscription(&mut self) {
+        self.is_subscribed = true;
+        self.poll_backoff = MIN_POLL_BACKOFF;
     }
 
-    /// Sets one timer, for the next moment at which something can change by itself.
-    fn set_timer(&mut self, actions: &mut Vec<Action>) {
-        let now = self.now;
-        let poll_at = if self.is_subscribed {
-            Micros::MAX
-        } else {
-            self.poll_at
-        };
-        let slow_at = self
-            .calls
-            .values()
-            .filter(|call| !call.is_slow)
-            .map(|call| call.slow_at);
-        let wake = slow_at.fold(poll_at.min(self.next_message_change()), Micros::min);
-        let wake = wake
-            .min(self.next_ready_route())
-            .max(now + self.settings.tick.max(1));
-        if wake < Micros::MAX && self.timer_at.is_none_or(|at| at > wake || at <= now) {
-            self.timer_at = Some(wake);
-            actions.push(Action::SetTimer {
-                delay: wake - now,
-                token: wake,
-            });
-        }
-    }
-
-    /// When the next message reaches its deadline, or may be attempted as far as it and its key are concerned.
-    fn next_message_change(&self) -> Micros {
-        let mut next = Micros::MAX;
-        for queued in self.open_messages() {
-            next = next.min(
-                queued
-                    .message
-                    .deadline
-                    .saturating_sub(2 * self.settings.tick),
-            );
-            if !queued.is_in_flight() {
-                let order = queued
-                    .message
-                    .ordering_key
-                    .and_then(|key| self.ordered_keys.get(&key));
-                let pauses = [
-                    queued.not_before,
-                    order.map_or(0, |order| order.blocked_until),
-                ];
-                next = pauses
-                    .into_iter()
-                    .filter(|until| *until > self.now)
-                    .fold(next, Micros::min);
-            }
-        }
-        next
+    /// Discovery failed: polls again after a backoff.
+    fn back_off_discovery(&mut self) {
+        self.is_subscribed = false;
+        self.poll_at = self.now + self.poll_backoff;
+        let longest = self.settings.rules.max_poll_interval / POLL_BACKOFF_DIVISOR;
+        self.poll_backoff = (self.poll_backoff * 2).min(longest.max(MIN_POLL_BACKOFF));
     }
 
-    /// When the next route that messages wait for takes a call.
-    fn next_ready_route(&mut self) -> Micros {
-        let waiting = self.open_messages().filter(|queued| !queued.is_in_flight());
-        let destinations: BTreeSet<_> = waiting.map(|queued| queued.message.destination).collect();
-        let keys: Vec<_> = destinations
-            .into_iter()
-            .flat_map(|to| self.routes_to(to))
-            .collect();
-        let mut next = Micros::MAX;
-        for key in keys {
-            let urgency = Urgency::from(
-                self.routes
-                    .get(&key)
-                    .is_some_and(|route| route.urgent_rate > 0.0),
-            );
-            next = next.min(match self.readiness(key, urgency) {
-                Readiness::Ready => self.now + SECOND / 2,
-                Readiness::NotBefore(at) => at,
-            });
+    /// Asks for the list of hosts again while it is not watched.
+    fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
+        if self.is_subscribed || self.poll_at > self.now {
+            return;
         }
-        next
+        actions.push(Action::Subscribe(true));
+        let interval = self.settings.rules.max_poll_interval / POLL_INTERVAL_DIVISOR;
+        self.poll_at = self.now + interval.max(SECOND);
     }
 }
--- a/crates/policy/src/recovery.rs
+++ b/crates/policy/src/recovery.rs
@@ -13,13 +13,11 @@
     /// Whether a route without hosts must be retained: calls, a Retry-After, a backoff and an outage
     /// outlast a change of the list.
     pub(crate) fn must_be_retained(&self, now: Micros) -> bool {
-        let recent_call = self
-            .breaker
-            .window
-            .latest_at()
-            .filter(|at| at + OUTAGE_RETENTION > now);
-        let has_outage = self.recovery.is_active && recent_call.is_some();
-        self.in_flight > 0 || has_outage || self.retry_after_until.max(self.backoff_until) > now
+        let last_call = self.breaker.window.latest_at();
+        let is_recent = last_call.is_some_and(|at| at + OUTAGE_RETENTION > now);
+        let has_outage = self.recovery.is_active && is_recent;
+        let paused_until = self.retry_after_until.max(self.backoff_until);
+        self.in_flight > 0 || has_outage || paused_until > now
     }
 
     /// Starts the recovery ramp. `chance` of 0 to 1 spreads the turns of all replicas that saw the outage.
@@ -38,9 +36,8 @@
         let was_rejecting = breaker.consecutive_rejections > 0
             && !breaker.is_limit_likely
             && now >= breaker.rejected_since + UNAVAILABLE_AFTER;
-        let failing_since =
-            Some(breaker.failing_since).filter(|_| breaker.consecutive_failures > 1);
-        let was_failing = failing_since.is_some_and(|since| now >= since + UNAVAILABLE_AFTER);
+        let was_failing =
+            breaker.consecutive_failures > 1 && now >= breaker.failing_since + UNAVAILABLE_AFTER;
         let since = if was_rejecting {
             breaker.rejected_since
         } else {
@@ -57,8 +54,9 @@
         let recovery = &mut self.recovery;
         let is_down = recovery.is_active && recovery.recovered_at.is_none();
         if is_down && sent_at >= recovery.down_since && now >= self.retry_after_until {
-            recovery.is_active = recovery.down_since < last_success
-                || now >= last_success + MIN_SUCCESS_GAP_OF_OUTAGE;
+            let had_success = recovery.down_since < last_success;
+            let is_gap_long = now >= last_success + MIN_SUCCESS_GAP_OF_OUTAGE;
+            recovery.is_active = had_success || is_gap_long;
             recovery.recovered_at = Some(now).filter(|_| recovery.is_active);
         }
     }
@@ -100,12 +98,13 @@
     ) {
         self.enqueue_with_attempts(message, attempts);
         let Some(host) = host else { return };
-        self.next_call += 1;
+        self.latest_call += 1;
         let Some(queued) = self.queue.get_mut(&message.id) else {
             return;
         };
         if let Some(last) = queued.attempts.last_mut() {
-            (last.call, last.state) = (self.next_call, AttemptState::InFlight);
+            last.call = self.latest_call;
+            last.state = AttemptState::InFlight;
         }
         let Some(key) = self.route_of(host) else {
             return;
@@ -115,17 +114,15 @@
         };
         let slow_at = self.now + self.slow_call_threshold(&self.queue[&message.id], route);
         self.start_call(Call {
-            route: key,
-            host,
-            slow_at,
-            is_slow: false,
             pending_messages: 1,
+            ..Call::starting(key, host, slow_at)
         });
     }
 
     /// Restores an outage from before a restart, or all that waits would go out at once. One that lasts gets a probe.
     pub(crate) fn restore_outage(&mut self, outage: Outage) {
-        let (now, chance) = (self.now, self.random.next_fraction());
+        let now = self.now;
+        let chance = self.random.next_fraction();
         for key in self.routes_to(outage.destination) {
             let Some(route) = self.routes.get_mut(&key) else {
                 continue;
@@ -135,11 +132,12 @@
             if route.recovery.recovered_at.is_none() {
                 // Most of a large fleet may have started just now.
                 let open_for = route.open_duration(self.replicas, &self.settings.rules, chance);
-                route.breaker.trip(if self.replicas > SMALL_FLEET {
+                let open_until = if self.replicas > SMALL_FLEET {
                     now + open_for
                 } else {
                     now
-                });
+                };
+                route.breaker.trip(open_until);
             }
         }
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -3,8 +3,10 @@
 use crate::call::CallEnd;
 use crate::queued_message::{AttemptState, QueuedMessage};
 use crate::state::DeliveryPolicy;
-use crate::tuning::{RETRY_BACKOFF, UNAVAILABLE_AFTER};
-use crate::types::{Action, AttemptEnd, AttemptOutcome, Idempotency, MessageId, Micros};
+use crate::tuning::{ANSWER_MARGIN_ROUNDS, RETRY_BACKOFF, UNAVAILABLE_AFTER};
+use crate::types::{
+    Action, AttemptEnd, AttemptOutcome, Idempotency, Message, MessageId, Micros, RouteKey,
+};
 
 /// What another attempt risks, the least first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,95 +21,91 @@
 impl DeliveryPolicy {
     /// Records what became of an attempt, and when the next may start.
     pub(crate) fn end_attempt(&mut self, end: AttemptEnd) {
-        let (now, outcome) = (self.now, end.outcome);
+        let outcome = end.outcome;
         let Some(queued) = self.queue.get_mut(&end.id) else {
             return;
         };
         queued.is_settled |= end.is_final;
         let attempt_count = queued.attempts.len();
-        let attempt = queued.attempts.get_mut(usize::from(end.attempt));
-        let Some(attempt) = attempt.filter(|attempt| attempt.state == AttemptState::InFlight)
-        else {
+        let Some(attempt) = queued.attempts.get_mut(usize::from(end.attempt)) else {
             return;
         };
+        if attempt.state != AttemptState::InFlight {
+            return;
+        }
         attempt.state = AttemptState::of_ended(outcome.may_have_executed());
         let call = attempt.call;
+        let expected_duration = attempt.expected_duration;
         self.scheduler
-            .call_ended(&queued.message, attempt.expected_duration, end.elapsed);
-        queued
-            .attempts
-            .truncate(attempt_count - usize::from(outcome == AttemptOutcome::NotStarted));
+            .call_ended(&queued.message, expected_duration, end.elapsed);
+        if outcome == AttemptOutcome::NotStarted {
+            queued.attempts.pop();
+        }
         queued.is_recovered &= !outcome.reached_host();
-        // A class that always fails somewhere, or a call that can't be made, must not be repeated without a pause.
-        let is_error = matches!(
-            outcome,
-            AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::Obsolete
-        );
-        let backoff = if is_error {
-            RETRY_BACKOFF * attempt_count as u64
-        } else {
-            0
-        };
-        queued.not_before = now + backoff;
-        let key = queued
-            .message
-            .ordering_key
-            .filter(|_| outcome.may_still_run());
-        if let Some(order) = key.and_then(|key| self.ordered_keys.get_mut(&key)) {
-            order.blocked_until = order
-                .blocked_until
-                .max(now + self.settings.rules.ordering_delay);
+        queued.not_before = self.now + retry_backoff(outcome, attempt_count);
+        let message = queued.message;
+        let is_settled = queued.is_settled;
+        if outcome.may_still_run() {
+            self.block_ordering_key(&message);
         }
-        let (message, is_settled) = (queued.message, queued.is_settled);
         if is_settled {
             self.settle(end.id);
         }
         self.end_call(call, self.class_index(&message), end);
     }
 
+    /// Blocks the ordering key of a message with an attempt that may still be running at its host.
+    fn block_ordering_key(&mut self, message: &Message) {
+        let blocked_until = self.now + self.settings.rules.ordering_delay;
+        let key = message.ordering_key;
+        if let Some(order) = key.and_then(|key| self.ordered_keys.get_mut(&key)) {
+            order.blocked_until = order.blocked_until.max(blocked_until);
+        }
+    }
+
     /// Takes one message out of a call; with the last one the call's outcome counts.
     fn end_call(&mut self, call_id: u64, class: usize, end: AttemptEnd) {
-        let (now, chance) = (self.now, self.random.next_fraction());
+        // Drawn for each message, also for those without a Retry-After.
+        let chance = self.random.next_fraction();
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
         call.pending_messages -= 1;
-        let (key, was_slow, is_last) = (call.route, call.is_slow, call.pending_messages == 0);
-        if let Some(route) = self.routes.get_mut(&key) {
-            route.in_flight -= usize::from(is_last);
-            // The wait of any message of a call binds, whatever became of the others.
-            if let AttemptOutcome::Rejected {
-                retry_after: wait @ 1..,
-            } = end.outcome
-            {
-                let until = now.saturating_add(wait + self.settings.tick);
-                route.retry_after_until = route.retry_after_until.max(until);
-                if wait > UNAVAILABLE_AFTER {
-                    route.record_outage(now, chance);
-                }
-            }
+        let route = call.route;
+        let was_slow = call.is_slow;
+        let is_last = call.pending_messages == 0;
+        if let AttemptOutcome::Rejected { retry_after } = end.outcome {
+            self.record_retry_after(route, retry_after, chance);
         }
         if !is_last {
             return;
         }
-        self.remove_call(call_id, end.host);
+        self.remove_call(call_id, route, end.host);
         self.record_load_report(end.host, &end.load_report);
-        let AttemptEnd {
-            host,
-            outcome,
-            elapsed,
-            ..
-        } = end;
         self.record_outcome(&CallEnd {
-            route: key,
-            host,
-            outcome,
-            elapsed,
+            route,
+            host: end.host,
+            outcome: end.outcome,
+            elapsed: end.elapsed,
             was_slow,
             class: Some(class),
         });
     }
 
+    /// Honours the Retry-After of any message of a call, whatever became of the others; zero is none. A long one is an
+    /// outage.
+    fn record_retry_after(&mut self, key: RouteKey, retry_after: Micros, chance: f64) {
+        let now = self.now;
+        let Some(route) = self.routes.get_mut(&key).filter(|_| retry_after > 0) else {
+            return;
+        };
+        let until = now.saturating_add(retry_after + self.settings.tick);
+        route.retry_after_until = route.retry_after_until.max(until);
+        if retry_after > UNAVAILABLE_AFTER {
+            route.record_outage(now, chance);
+        }
+    }
+
     /// Gives the final answer without a delivery: a rejection only where provably nothing was executed.
     pub(crate) fn give_up(
         &mut self,
@@ -127,21 +125,22 @@
 
     /// Answers messages whose deadline is near, and at once those that may not be sent any more.
     pub(crate) fn give_up_undeliverable(&mut self, actions: &mut Vec<Action>) {
-        let limit = self.now + 2 * self.settings.tick;
-        let has_ended = |queued: &QueuedMessage| {
-            !self.may_attempt(queued) || self.scheduler.abandons_messages(queued.message.tenant)
+        let latest_answer = self.now + self.answer_margin();
+        let may_be_sent = |queued: &QueuedMessage| {
+            self.may_attempt(queued) && !self.scheduler.abandons_messages(queued.message.tenant)
         };
         let is_due = |queued: &&QueuedMessage| {
-            queued.message.deadline <= limit || !queued.is_in_flight() && has_ended(queued)
+            queued.message.deadline <= latest_answer
+                || !queued.is_in_flight() && !may_be_sent(queued)
         };
-        let due = self
+        let due: Vec<Message> = self
             .open_messages()
             .filter(is_due)
-            .map(|queued| (queued.message.id, queued.message.deadline));
-        let due: Vec<_> = due.collect();
-        for (id, deadline) in due {
+            .map(|queued| queued.message)
+            .collect();
+        for Message { id, deadline, .. } in due {
             // One that ends before its deadline has used up its attempts: its client may come again.
-            let retry_after = if deadline <= limit {
+            let retry_after = if deadline <= latest_answer {
                 0
             } else {
                 self.rejection_retry_after()
@@ -150,13 +149,16 @@
         }
     }
 
+    /// How long before its deadline a message gets its final answer at the latest.
+    pub(crate) fn answer_margin(&self) -> Micros {
+        ANSWER_MARGIN_ROUNDS * self.settings.tick
+    }
+
     /// Whether idempotency and the limit of attempts allow another attempt.
     pub(crate) fn may_attempt(&self, queued: &QueuedMessage) -> bool {
-        let (class, soon) = (
-            self.class(&queued.message),
-            self.now + 2 * self.settings.tick,
-        );
-        let is_safe = match (class.idempotency, queued.first_possible_execution()) {
+        let idempotency = self.class(&queued.message).idempotency;
+        let soon = self.now + self.answer_margin();
+        let is_safe = match (idempotency, queued.first_possible_execution()) {
             (_, None) | (Idempotency::Idempotent, _) => true,
             (Idempotency::NonIdempotent, _) => false,
             (Idempotency::Keyed { window, .. }, Some(first)) => soon < first.sent_at + window,
@@ -169,10 +171,8 @@
         let Some(queued) = self.queue.get(&id) else {
             return RepeatRisk::UnknownMessage;
         };
-        match (
-            self.class(&queued.message).idempotency,
-            queued.first_possible_execution(),
-        ) {
+        let idempotency = self.class(&queued.message).idempotency;
+        match (idempotency, queued.first_possible_execution()) {
             (Idempotency::Idempotent, _) => RepeatRisk::Idempotent,
             (Idempotency::Keyed { .. }, Some(_)) => RepeatRisk::KeyAlreadyUsed,
             (Idempotency::Keyed { .. }, None) => RepeatRisk::KeyUnused,
@@ -180,3 +180,14 @@
         }
     }
 }
+
+/// Pause of a message after its attempt with this number. A class that always fails somewhere, or a call that can't be
+/// made, must not be repeated without a pause.
+fn retry_backoff(outcome: AttemptOutcome, attempt_count: usize) -> Micros {
+    match outcome {
+        AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::Obsolete => {
+            RETRY_BACKOFF * attempt_count as u64
+        }
+        _ => 0,
+    }
+}
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::rolling_window::{CallResult, RollingWindow};
+use crate::rolling_window::RollingWindow;
 use crate::token_bucket::TokenBucket;
-use crate::tuning::{INITIAL_CONCURRENCY, MAX_USAGE_FACTOR, RATE_SPAN_SECONDS, SECOND};
+use crate::tuning::{INITIAL_CONCURRENCY, MAX_USAGE_FACTOR};
 use crate::types::{HostId, Micros};
 
 /// State of a circuit breaker.
@@ -46,25 +46,18 @@
     pub(crate) per_second: Option<f64>,
     /// Share of the allowance that the last answer left.
     pub(crate) remaining_allowance: Option<f64>,
-    /// What this replica may use, as a multiple of its even part of the limit.
+    /// What this replica may use, as a multiple of its even share of the limit.
     pub(crate) usage_factor: f64,
 }
 
-impl AdvertisedLimit {
-    /// Seconds between two calls of a replica at which all together use the limit.
-    pub(crate) fn even_interval(&self, replicas: f64) -> f64 {
-        replicas / self.per_second.unwrap_or(replicas)
-    }
-}
-
 /// How fast this replica calls the route.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Pacing {
-    /// Calls a second.
+    /// Calls a second, at most.
     pub(crate) rate: f64,
     /// Least time between calls after rejections; zero if there were none lately.
     pub(crate) backoff: Micros,
-    /// Best rate of successes seen; it decays.
+    /// Best rate of successes so far, in calls a second; it decays.
     pub(crate) best_rate: f64,
     pub(crate) bucket: TokenBucket,
     /// Calls in flight at most.
@@ -87,7 +80,7 @@
     /// Its hosts, in ascending order.
     pub(crate) hosts: Vec<HostId>,
     pub(crate) breaker: CircuitBreaker,
-    /// End of the wait that the destination asked for.
+    /// End of the Retry-After of the destination.
     pub(crate) retry_after_until: Micros,
     /// End of the backoff after rejections.
     pub(crate) backoff_until: Micros,
@@ -121,13 +114,4 @@
         };
         route
     }
-
-    /// This replica's successes a second of late.
-    pub(crate) fn success_rate(&self, now: Micros) -> f64 {
-        let span = RATE_SPAN_SECONDS * SECOND;
-        self.breaker
-            .window
-            .count_within(CallResult::Success, span, now) as f64
-            / RATE_SPAN_SECONDS as f64
-    }
 }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -2,14 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use crate::call::CallEnd;
 use crate::host_record::HostRecord;
-use crate::queued_message::QueuedMessage;
 use crate::route::Route;
 use crate::state::DeliveryPolicy;
-use crate::tuning::{
-    AVERAGE_WEIGHT, CLASS_WEIGHT_SHARE, MAX_RELATIVE_LATENCY, MIN_RELATIVE_LATENCY,
-};
 use crate::types::{
     Class, DestinationId, DestinationKind, HostEntry, HostId, HostState, Message, RouteKey,
 };
@@ -25,8 +20,8 @@
     pub(crate) fn unlisted_hosts(&self, entries: &[HostEntry]) -> Vec<HostEntry> {
         let listed: BTreeSet<HostId> = entries.iter().map(|entry| entry.host).collect();
         let known = self.hosts.values().map(|host| host.entry);
-        let unlisted = known.filter(|entry| !listed.contains(&entry.host));
-        unlisted
+        known
+            .filter(|entry| !listed.contains(&entry.host))
             .map(|entry| HostEntry {
                 state: HostState::Removed,
                 ..entry
@@ -34,19 +29,16 @@
             .collect()
     }
 
-    /// Puts a host in its place in the table; returns its route if it is ready.
+    /// Enters a host into the table, with its present state; returns its route if it is ready.
     pub(crate) fn place_host(&mut self, entry: HostEntry) -> Option<RouteKey> {
-        if let Some(route) = self
-            .route_of(entry.host)
-            .and_then(|key| self.routes.get_mut(&key))
-        {
+        let old_key = self.route_of(entry.host);
+        if let Some(route) = old_key.and_then(|key| self.routes.get_mut(&key)) {
             route.hosts.retain(|host| *host != entry.host);
         }
-        let known = self
-            .hosts
+        self.hosts
             .entry(entry.host)
-            .and_modify(|host| host.entry = entry);
-        known.or_insert_with(|| HostRecord::new(entry));
+            .and_modify(|host| host.entry = entry)
+            .or_insert_with(|| HostRecord::new(entry));
         match entry.state {
             HostState::Draining => return None,
             HostState::Removed => {
@@ -65,18 +57,18 @@
     /// Forgets removed hosts once no call to them is in flight, and their routes once nothing of them must be kept.
     pub(crate) fn forget_removed_hosts(&mut self) {
         for id in std::mem::take(&mut self.removed_hosts) {
-            let removed = self
-                .hosts
-                .get(&id)
-                .filter(|host| host.entry.state == HostState::Removed);
-            let Some(host) = removed else { continue };
+            let Some(host) = self.hosts.get(&id) else {
+                continue;
+            };
+            if host.entry.state != HostState::Removed {
+                continue;
+            }
             let key = self.route_of(id);
-            let empty_route = key
-                .and_then(|key| self.routes.get(&key))
-                .filter(|route| route.hosts.is_empty());
-            if host.in_flight > 0
-                || empty_route.is_some_and(|route| route.must_be_retained(self.now))
-            {
+            let route = key.and_then(|key| self.routes.get(&key));
+            let empty_route = route.filter(|route| route.hosts.is_empty());
+            let is_route_retained =
+                empty_route.is_some_and(|route| route.must_be_retained(self.now));
+            if host.in_flight > 0 || is_route_retained {
                 self.removed_hosts.push(id);
                 continue;
             }
@@ -131,31 +123,4 @@
             .map(|(key, _)| *key)
             .collect()
     }
-
-    /// Mean duration of a call with this message at the route, in microseconds.
-    pub(crate) fn expected_latency(&self, queued: &QueuedMessage, route: &Route) -> f64 {
-        let class = usize::from(queued.message.class);
-        self.class_latency
-            .get(class)
-            .unwrap_or(&self.class_latency[0])
-            * route.relative_latency
-    }
-
-    /// Updates the moving averages of the call's class and of its route, which are relative to each other.
-    pub(crate) fn record_latency(&mut self, end: &CallEnd) {
-        let Some(mean) = end
-            .class
-            .and_then(|class| self.class_latency.get_mut(class))
-        else {
-            return;
-        };
-        let Some(route) = self.routes.get_mut(&end.route) else {
-            return;
-        };
-        let (elapsed, relative) = (end.elapsed as f64, route.relative_latency);
-        let ratio = elapsed / *mean;
-        *mean += AVERAGE_WEIGHT * CLASS_WEIGHT_SHARE * (elapsed / relative - *mean);
-        let average = relative + AVERAGE_WEIGHT * (ratio - relative);
-        route.relative_latency = average.clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
-    }
 }
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,12 +1,13 @@
 //! Selection: whether a route takes a call now, and which host of which route a message goes to.
 
 use crate::host_record::HostRecord;
-use crate::queued_message::QueuedMessage;
+use crate::queued_message::{QueuedMessage, Urgency};
 use crate::route::{BreakerState, Route};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{
-    EJECTED_HOST_COST, FAILURE_COST, FEE_COST, HEALTHY_SLOT_SHARE, MAX_COSTED_FAILURES,
-    RISKY_TIME_RESERVE, SECOND, SHUTDOWN_MARGIN_FACTOR, SLOW_CALL_FACTOR, SUSPECT_SLOT_SHARE,
+    EJECTED_HOST_COST, FAILURE_COST, FEE_COST, HEALTHY_SLOT_MARGIN, HEALTHY_SLOT_SHARE,
+    MAX_COSTED_FAILURES, MIN_SUSPECT_SLOTS, RISKY_TIME_RESERVE, SHUTDOWN_MARGIN_FACTOR,
+    SUSPECT_SLOT_SHARE,
 };
 use crate::types::{HostId, HostState, Idempotency, MessageId, Micros, RouteKey};
 
@@ -17,24 +18,6 @@
     pub(crate) host: HostId,
 }
 
-/// Whether a call is for recovered messages that have not been attempted yet. These go out despite an open breaker
-/// or a backoff, or they would reach their deadlines behind it; a wait that the destination asked for binds them too.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Urgency {
-    Normal,
-    Recovered,
-}
-
-impl From<bool> for Urgency {
-    fn from(is_recovered: bool) -> Self {
-        if is_recovered {
-            Urgency::Recovered
-        } else {
-            Urgency::Normal
-        }
-    }
-}
-
 /// Whether a route takes a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Readiness {
@@ -44,19 +27,21 @@
 }
 
 impl Route {
-    /// Until when the breaker or the limits of concurrency allow no further call.
+    /// Until when the breaker or the limits of concurrency allow no further call; `Micros::MAX` until a call ends.
     fn blocked_until(&self, now: Micros, max_calls: usize, urgency: Urgency) -> Option<Micros> {
         let slots = max_calls as f64;
         let most = if self.breaker.is_suspect() {
             (slots * SUSPECT_SLOT_SHARE).floor()
         } else {
-            (slots * HEALTHY_SLOT_SHARE - 0.01).floor()
+            (slots * HEALTHY_SLOT_SHARE - HEALTHY_SLOT_MARGIN).floor()
         };
-        let (in_flight, is_urgent) = (self.in_flight as f64, urgency == Urgency::Recovered);
+        let in_flight = self.in_flight as f64;
+        let is_urgent = urgency == Urgency::Recovered;
+        let lacks_probe_slot = in_flight >= most.max(MIN_SUSPECT_SLOTS);
         let is_full = match self.breaker.state {
             BreakerState::Open(until) if until > now && !is_urgent => return Some(until),
-            BreakerState::Open(_) => in_flight >= most.max(2.0),
-            BreakerState::HalfOpen => !is_urgent || in_flight >= most.max(2.0),
+            BreakerState::Open(_) => lacks_probe_slot,
+            BreakerState::HalfOpen => !is_urgent || lacks_probe_slot,
             BreakerState::Closed => in_flight >= most.min(self.pacing.concurrency_limit).max(1.0),
         };
         is_full.then_some(Micros::MAX)
@@ -71,10 +56,9 @@
         let Some(route) = self.routes.get(&key) else {
             return Readiness::NotBefore(Micros::MAX);
         };
-        let backoff_until = if urgency == Urgency::Normal {
-            route.backoff_until
-        } else {
-            0
+        let backoff_until = match urgency {
+            Urgency::Normal => route.backoff_until,
+            Urgency::Recovered => 0,
         };
         let paused_until = route.retry_after_until.max(backoff_until);
         if paused_until > now {
@@ -83,48 +67,40 @@
         if let Some(until) = route.blocked_until(now, self.settings.max_calls, urgency) {
             return Readiness::NotBefore(until);
         }
-        if route.pacing.bucket.tokens < 1.0 {
-            return Readiness::NotBefore(
-                route
-                    .pacing
-                    .bucket
-                    .time_to_token(rate)
-                    .saturating_add(now + 1),
-            );
+        let bucket = &route.pacing.bucket;
+        if bucket.tokens < 1.0 {
+            let next_token_at = bucket.time_to_token(rate).saturating_add(now + 1);
+            return Readiness::NotBefore(next_token_at);
         }
         Readiness::Ready
     }
 
-    /// The cheapest host that the message may go to now.
+    /// The cheapest host that the message may go to now; of equals the first.
     pub(crate) fn select(&mut self, id: MessageId) -> Option<Selection> {
         let queued = self.queue.get(&id)?;
-        let (destination, urgency) = (
-            queued.message.destination,
-            Urgency::from(queued.is_urgent()),
-        );
+        let destination = queued.message.destination;
+        let urgency = queued.urgency();
         let mut best: Option<(f64, Selection)> = None;
         for key in self.routes_to(destination) {
             if self.readiness(key, urgency) != Readiness::Ready {
                 continue;
             }
-            let (queued, route) = (self.queue.get(&id)?, self.routes.get(&key)?);
+            let queued = self.queue.get(&id)?;
+            let route = self.routes.get(&key)?;
             if !self.may_use_route(queued, route) {
                 continue;
             }
-            for host_id in route
-                .hosts
-                .iter()
-                .filter(|host| self.may_use_host(queued, **host))
-            {
-                let cost = self.host_cost(&self.hosts[host_id], route, key);
+            for host in &route.hosts {
+                if !self.may_use_host(queued, *host) {
+                    continue;
+                }
+                let cost = self.host_cost(&self.hosts[host], route, key);
                 if best.is_none_or(|(least, _)| cost < least) {
-                    best = Some((
-                        cost,
-                        Selection {
-                            route: key,
-                            host: *host_id,
-                        },
-                    ));
+                    let selection = Selection {
+                        route: key,
+                        host: *host,
+                    };
+                    best = Some((cost, selection));
                 }
             }
         }
@@ -156,12 +132,9 @@
         };
         let idempotency = self.class(&queued.message).idempotency;
         let is_key_known = match (idempotency, queued.first_possible_execution()) {
-            (
-                Idempotency::Keyed {
-                    zone_only: true, ..
-                },
-                Some(first),
-            ) => first.zone == host.entry.zone,
+            (Idempotency::Keyed { zone_only, .. }, Some(first)) if zone_only => {
+                first.zone == host.entry.zone
+            }
             _ => true,
         };
         let has_quota = self.scheduler.may_start_call(queued.message.tenant);
@@ -192,9 +165,4 @@
             + host.in_flight as f64 * route.relative_latency
             + (cross_zone_fee + zone_fee.copied().unwrap_or(0.0)) * FEE_COST
     }
-
-    /// How long a call with this message may be in flight before it counts as slow, and so as failed.
-    pub(crate) fn slow_call_threshold(&self, queued: &QueuedMessage, route: &Route) -> Micros {
-        (SLOW_CALL_FACTOR * self.expected_latency(queued, route)) as Micros + SECOND / 4
-    }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,4 @@
-//! What a relay remembers. Nothing here decides what is sent: the deciding modules add the methods that do.
+//! The state of the policy. Nothing here decides what is sent: the deciding modules add the methods that do.
 
 use std::collections::BTreeMap;
 
@@ -8,38 +8,46 @@
 use crate::random::RandomFractions;
 use crate::route::Route;
 use crate::scheduler::{NoTenants, TenantScheduler};
-use crate::tuning::{MIN_POLL_BACKOFF, OBJECTIVE_TO_LATENCY};
-use crate::types::{Class, HostId, MessageId, Micros, RouteKey, Settings};
+use crate::tuning::{initial_latency, MIN_POLL_BACKOFF};
+use crate::types::{HostId, MessageId, Micros, RouteKey, Settings};
 
 /// The decisions of one relay. It does no I/O and reads no clock: its caller passes events and the time.
 pub struct DeliveryPolicy {
     pub(crate) settings: Settings,
-    /// Orders the messages of different tenants.
+    /// Shares queue, slots and rate among tenants.
     pub(crate) scheduler: Box<dyn TenantScheduler>,
     /// Replicas of the relay, this one included.
     pub(crate) replicas: f64,
     pub(crate) random: RandomFractions,
+    /// The time of this round.
     pub(crate) now: Micros,
     /// Messages that wait or are in flight.
     pub(crate) queue: BTreeMap<MessageId, QueuedMessage>,
+    /// Bytes of these messages.
     pub(crate) queued_bytes: usize,
-    /// Messages that a restart found without an attempt, and those of them that were rejected to make room.
+    /// Messages that a restart found without an attempt.
     pub(crate) recovered_count: usize,
+    /// Those of them that were rejected to make room.
     pub(crate) recovered_shed: usize,
     pub(crate) hosts: BTreeMap<HostId, HostRecord>,
     /// Hosts that left the list and are not yet forgotten.
     pub(crate) removed_hosts: Vec<HostId>,
     pub(crate) routes: BTreeMap<RouteKey, Route>,
+    /// Calls in flight by number.
     pub(crate) calls: BTreeMap<u64, Call>,
     /// Number of the latest call.
-    pub(crate) next_call: u64,
+    pub(crate) latest_call: u64,
+    /// Ordering keys with queued messages, or with an attempt that may still be running.
     pub(crate) ordered_keys: BTreeMap<u64, OrderedKey>,
-    /// Mean duration of the calls of each class at a route of ordinary speed.
+    /// Mean duration of the calls of each class in microseconds, at a route whose relative latency is 1.
     pub(crate) class_latency: Vec<f64>,
+    /// Discovery's list is watched, and need not be polled.
     pub(crate) is_subscribed: bool,
     /// The list of hosts is still to be confirmed, and no call starts.
     pub(crate) hosts_unconfirmed: bool,
+    /// When discovery is polled next, while it is not watched.
     pub(crate) poll_at: Micros,
+    /// Pause after the next failure of discovery.
     pub(crate) poll_backoff: Micros,
     /// When the latest timer is due.
     pub(crate) timer_at: Option<Micros>,
@@ -73,7 +81,7 @@
             removed_hosts: Vec::new(),
             routes: BTreeMap::new(),
             calls: BTreeMap::new(),
-            next_call: 0,
+            latest_call: 0,
             ordered_keys: BTreeMap::new(),
             class_latency: settings.classes.iter().map(initial_latency).collect(),
             is_subscribed: !settings.polls_discovery,
@@ -102,8 +110,3 @@
         &mut *self.scheduler
     }
 }
-
-/// Expected latency of a class of which nothing is known.
-pub(crate) fn initial_latency(class: &Class) -> f64 {
-    class.latency_objective as f64 / OBJECTIVE_TO_LATENCY
-}
--- a/crates/policy/src/tables.rs
+++ b/crates/policy/src/tables.rs
@@ -1,10 +1,11 @@
-//! The tables of queued messages and calls in flight: insertion, removal and sums. Nothing here decides what is sent.
+//! The tables of queued messages and calls in flight: insertion, removal and sums. Nothing here decides what is
+//! sent.
 
 use crate::call::Call;
 use crate::queued_message::{Attempt, AttemptState, QueuedMessage};
 use crate::scheduler::Capacity;
 use crate::state::DeliveryPolicy;
-use crate::types::{HostId, Message, MessageId, Micros, PastAttempt};
+use crate::types::{HostId, Message, MessageId, Micros, PastAttempt, RouteKey};
 
 impl DeliveryPolicy {
     /// Messages without a final answer.
@@ -105,7 +106,7 @@
         host: HostId,
         expected_duration: Micros,
     ) -> Option<Message> {
-        if let Some(call) = self.calls.get_mut(&self.next_call) {
+        if let Some(call) = self.calls.get_mut(&self.latest_call) {
             call.pending_messages += 1;
         }
         let zone = self.hosts.get(&host)?.entry.zone;
@@ -113,7 +114,7 @@
         queued.attempts.push(Attempt {
             sent_at: self.now,
             zone,
-            call: self.next_call,
+            call: self.latest_call,
             state: AttemptState::InFlight,
             is_cancelled: false,
             expected_duration,
@@ -129,12 +130,15 @@
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.in_flight += 1;
         }
-        self.calls.insert(self.next_call, call);
+        self.calls.insert(self.latest_call, call);
     }
 
     /// Takes out a call that has ended.
-    pub(crate) fn remove_call(&mut self, id: u64, host: HostId) {
+    pub(crate) fn remove_call(&mut self, id: u64, route: RouteKey, host: HostId) {
         self.calls.remove(&id);
+        if let Some(route) = self.routes.get_mut(&route) {
+            route.in_flight -= 1;
+        }
         if let Some(host) = self.hosts.get_mut(&host) {
             host.in_flight = host.in_flight.saturating_sub(1);
         }
