--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -53,8 +53,8 @@
             Event::MessageAdopted {
                 message,
                 attempts,
-                out,
-            } => self.adopt_message(message, &attempts, out),
+                in_flight_at,
+            } => self.adopt_message(message, &attempts, in_flight_at),
             Event::OutageRestored(outage) => self.restore_outage(outage),
             Event::SettingsChanged(settings) => self.change_settings(*settings),
             Event::ShuttingDown { at } => self.shutdown_at = at,
--- a/crates/policy/src/types/event.rs
+++ b/crates/policy/src/types/event.rs
@@ -142,7 +142,7 @@
         /// Its attempts so far, in order.
         attempts: Vec<PastAttempt>,
         /// The host where the last of them is still in flight, if it is.
-        out: Option<HostId>,
+        in_flight_at: Option<HostId>,
     },
     /// An outage that this replica saw before a restart.
     OutageRestored(Outage),
--- a/crates/relay/src/event_loop/restore.rs
+++ b/crates/relay/src/event_loop/restore.rs
@@ -196,7 +196,7 @@
             Event::MessageAdopted {
                 message,
                 attempts,
-                out: open_host,
+                in_flight_at: open_host,
             }
         } else {
             Event::MessageRestored { message, attempts }
