--- a/crates/relay-events/src/lib.rs
+++ b/crates/relay-events/src/lib.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use policy::types::{AttemptOutcome, DestinationId, HostId, HostState, MessageId, Micros};
+use policy::types::{AttemptOutcome, HostId, HostState, MessageId, Micros};
 use runtime::Runtime;
 use serde::{Deserialize, Serialize};
 use tenancy::registry::Login;
@@ -132,9 +132,6 @@
     Undeliverable(undeliverable::UndeliverableEvent),
 }
 
-/// A destination, or one of its hosts where each host is a route of its own.
-pub type Route = (DestinationId, Option<HostId>);
-
 /// The end of a call to a host.
 ///
 /// Stored with postcard in the hand-over's file: the order of the fields is part of the format.
--- a/crates/relay/src/host_connections/mod.rs
+++ b/crates/relay/src/host_connections/mod.rs
@@ -25,7 +25,8 @@
 use hyper::body::Body;
 use membership::HostMembership;
 use policy::types::{HostId, MessageId, Micros};
-use relay_events::{CompletedCall, RelayEvent, Route};
+use policy::RouteKey;
+use relay_events::{CompletedCall, RelayEvent};
 use runtime::Runtime;
 use tokio::sync::{mpsc, oneshot};
 
@@ -53,7 +54,7 @@
     /// The host.
     pub host: HostId,
     /// The route to which a wait holds that a host requests in response to the call.
-    pub route: Route,
+    pub route: RouteKey,
     /// The address at which the host accepts connections.
     pub address: SocketAddr,
     /// The message's name, sent unchanged.
--- a/crates/relay/src/host_connections/retry_after.rs
+++ b/crates/relay/src/host_connections/retry_after.rs
@@ -3,17 +3,17 @@
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::time::Instant;
 
-use relay_events::Route;
+use policy::RouteKey;
 
 /// Until when no call on a route may start.
 #[derive(Default)]
 pub(super) struct RetryAfterDeadlines {
-    deadlines: BTreeMap<Route, Instant>,
+    deadlines: BTreeMap<RouteKey, Instant>,
 }
 
 impl RetryAfterDeadlines {
     /// Records a wait. It never shortens one that was recorded earlier.
-    pub(super) fn extend(&mut self, route: Route, deadline: Instant) {
+    pub(super) fn extend(&mut self, route: RouteKey, deadline: Instant) {
         match self.deadlines.entry(route) {
             Entry::Vacant(entry) => {
                 entry.insert(deadline);
@@ -26,7 +26,7 @@
     }
 
     /// Whether calls on a route have to wait.
-    pub(super) fn is_waiting(&self, route: Route, now: Instant) -> bool {
+    pub(super) fn is_waiting(&self, route: RouteKey, now: Instant) -> bool {
         self.deadlines
             .get(&route)
             .is_some_and(|deadline| *deadline > now)
--- a/crates/relay/src/host_connections/tests.rs
+++ b/crates/relay/src/host_connections/tests.rs
@@ -20,7 +20,10 @@
         id: 1,
         attempt: 0,
         host: HOST_ID,
-        route: (1, None),
+        route: RouteKey {
+            destination: 1,
+            host: None,
+        },
         address,
         name: "9b1f03aa5c7e2d41".into(),
         key: key.map(String::from),
--- a/crates/relay/src/host_directory.rs
+++ b/crates/relay/src/host_directory.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddr;
 
 use policy::types::{DestinationId, DestinationKind, HostEntry, HostId, HostState};
-use relay_events::{HostList, HostListEntry, Route};
+use policy::RouteKey;
+use relay_events::{HostList, HostListEntry};
 
 /// A host that is in the list.
 #[derive(Clone, Copy)]
@@ -14,7 +15,7 @@
     /// Its zone.
     pub zone: u8,
     /// The route whose calls share a Retry-After.
-    pub route: Route,
+    pub route: RouteKey,
 }
 
 /// The configured names to which entries of the list refer, by index.
@@ -175,7 +176,10 @@
             let listed = ListedHost {
                 address: line.address,
                 zone,
-                route: (line.destination, has_own_route.then_some(host)),
+                route: RouteKey {
+                    destination: line.destination,
+                    host: has_own_route.then_some(host),
+                },
             };
             self.listed.insert(host, listed);
         }
