--- a/crates/policy/src/dispatch_order.rs
+++ b/crates/policy/src/dispatch_order.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::queued_message::{AttemptState, QueuedMessage, Urgency};
+use crate::queued_message::{AttemptState, QueuedMessage};
 use crate::scheduler::Candidate;
-use crate::selection::Readiness;
+use crate::selection::{Readiness, Urgency};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{SECOND, STALL_RESERVE};
 use crate::types::{DestinationId, MessageId, Micros};
--- a/crates/policy/src/queued_message.rs
+++ b/crates/policy/src/queued_message.rs
@@ -53,25 +53,6 @@
     }
 }
 
-/// Whether a call is for recovered messages that have not been attempted yet. These go out despite an open breaker
-/// or a backoff, or they would reach their deadlines behind it; a Retry-After holds for them too.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Urgency {
-    Normal,
-    Recovered,
-}
-
-impl Urgency {
-    /// The urgency of a route or destination at which recovered messages are to be attempted at `rate` calls a second.
-    pub(crate) fn of_rate(rate: f64) -> Self {
-        if rate > 0.0 {
-            Urgency::Recovered
-        } else {
-            Urgency::Normal
-        }
-    }
-}
-
 /// A message in the queue, waiting or in flight.
 pub(crate) struct QueuedMessage {
     pub(crate) message: Message,
@@ -121,15 +102,6 @@
         self.is_recovered && !self.is_in_flight()
     }
 
-    /// Recovered if not even a connection was tried for it since the restart.
-    pub(crate) fn urgency(&self) -> Urgency {
-        if self.is_recovered && self.attempts.is_empty() {
-            Urgency::Recovered
-        } else {
-            Urgency::Normal
-        }
-    }
-
     /// The last attempt, if it is in flight and was not cancelled.
     pub(crate) fn cancellable_attempt(&self) -> Option<&Attempt> {
         let last = self.attempts.last()?;
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,7 +1,7 @@
 //! Selection: whether a route takes a call now, and which host of which route a message goes to.
 
 use crate::host_record::HostRecord;
-use crate::queued_message::{QueuedMessage, Urgency};
+use crate::queued_message::QueuedMessage;
 use crate::route::{BreakerState, Route};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{
@@ -18,6 +18,36 @@
     pub(crate) host: HostId,
 }
 
+/// Whether a call is for recovered messages that have not been attempted yet. These go out despite an open breaker
+/// or a backoff, or they would reach their deadlines behind it; a Retry-After holds for them too.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Urgency {
+    Normal,
+    Recovered,
+}
+
+impl Urgency {
+    /// The urgency of a route or destination at which recovered messages are to be attempted at `rate` calls a second.
+    pub(crate) fn of_rate(rate: f64) -> Self {
+        if rate > 0.0 {
+            Urgency::Recovered
+        } else {
+            Urgency::Normal
+        }
+    }
+}
+
+impl QueuedMessage {
+    /// Recovered if not even a connection was tried for it since the restart.
+    pub(crate) fn urgency(&self) -> Urgency {
+        if self.is_recovered && self.attempts.is_empty() {
+            Urgency::Recovered
+        } else {
+            Urgency::Normal
+        }
+    }
+}
+
 /// Whether a route takes a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Readiness {
--- a/crates/policy/src/wakeup_timer.rs
+++ b/crates/policy/src/wakeup_timer.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use crate::queued_message::{QueuedMessage, Urgency};
-use crate::selection::Readiness;
+use crate::queued_message::QueuedMessage;
+use crate::selection::{Readiness, Urgency};
 use crate::state::DeliveryPolicy;
 use crate::tuning::READY_ROUTE_RECHECK;
 use crate::types::{Action, Micros};
