--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -1,6 +1,7 @@
 //! Log text and gauges about destinations and hosts. Nothing here decides what is sent.
 
-use crate::route::{BreakerState, HostRecord, Route};
+use crate::host_record::HostRecord;
+use crate::route::{BreakerState, Route};
 use crate::state::DeliveryPolicy;
 use crate::types::{DestinationId, HostState, Micros};
 
@@ -10,26 +11,35 @@
     pub fn describe_destination(&self, destination: DestinationId) -> String {
         let keys = self.routes_to(destination);
         let routes = keys.iter().filter_map(|key| self.routes.get(key));
-        routes.map(|route| describe_route(route, self.now)).collect::<Vec<_>>().join(" | ")
+        routes
+            .map(|route| describe_route(route, self.now))
+            .collect::<Vec<_>>()
+            .join(" | ")
     }
 
-    /// Number of listed hosts that get nothing now: they drain, are ejected, asked for a wait, or their circuit
-    /// breaker is not closed.
+    /// Number of listed hosts that are sent nothing now: they drain or are ejected, or their route has a Retry-After or
+    /// a circuit breaker that is not closed.
     #[must_use]
     pub fn ejected_hosts(&self, now: Micros) -> usize {
-        let is_shut =
-            |route: &Route| route.breaker.state != BreakerState::Closed || route.retry_after_until > now;
-        let is_resting =
+        let is_route_paused = |route: &Route| {
+            route.breaker.state != BreakerState::Closed || route.retry_after_until > now
+        };
+        let is_host_paused =
             |host: &HostRecord| host.entry.state == HostState::Draining || host.ejected_until > now;
-        let listed = self.hosts.iter().filter(|(_, host)| host.entry.state != HostState::Removed);
+        let listed = self
+            .hosts
+            .iter()
+            .filter(|(_, host)| host.entry.state != HostState::Removed);
         let ejected = listed.filter(|(id, host)| {
             let route = self.route_of(**id).and_then(|key| self.routes.get(&key));
-            is_resting(host) || route.is_some_and(is_shut)
+            is_host_paused(host) || route.is_some_and(is_route_paused)
         });
         ejected.count()
     }
 }
 
+/// The state of a route for the call log. Tools that count over logs, also over those of earlier versions, match the
+/// words: durations are in milliseconds, rates in calls a second.
 fn describe_route(route: &Route, now: Micros) -> String {
     let state = match route.breaker.state {
         BreakerState::Closed => "closed",
@@ -37,9 +47,13 @@
         BreakerState::Open(_) => "open",
     };
     let pacing = &route.pacing;
-    let rest = route.backoff_until.max(route.retry_after_until).saturating_sub(now) / 1000;
+    let paused_ms = route
+        .backoff_until
+        .max(route.retry_after_until)
+        .saturating_sub(now)
+        / 1000;
     format!(
-        "{state} pace={:.2} gap={} rest={rest} out={} cap={:.1} told={:.1} left={:.2} cold={}",
+        "{state} pace={:.2} gap={} rest={paused_ms} out={} cap={:.1} told={:.1} left={:.2} cold={}",
         pacing.rate,
         pacing.backoff / 1000,
         route.in_flight,
--- a/crates/policy/src/queued_message.rs
+++ b/crates/policy/src/queued_message.rs
@@ -87,7 +87,9 @@
 
     /// Whether an attempt has not ended.
     pub(crate) fn is_in_flight(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
     /// Whether it needs an attempt: no final answer was given or started, and none is in flight.
@@ -100,11 +102,6 @@
         self.is_recovered && !self.is_in_flight()
     }
 
-    /// Whether it was recovered and not even a connection was tried for it.
-    pub(crate) fn is_urgent(&self) -> bool {
-        self.is_recovered && self.attempts.is_empty()
-    }
-
     /// The last attempt, if it is in flight and was not cancelled.
     pub(crate) fn cancellable_attempt(&self) -> Option<&Attempt> {
         let last = self.attempts.last()?;
@@ -113,7 +110,9 @@
 
     /// The first attempt that may have been executed, or may yet be.
     pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted)
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.state != AttemptState::NotExecuted)
     }
 }
 
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,56 +1,11 @@
-//! The records of routes, hosts and calls. The modules that decide on them add the methods that compare.
+//! What is known of a route. The modules that decide on it add the methods that compare.
 
 use serde::{Deserialize, Serialize};
 
-use crate::decision::FailureKind;
-use crate::rolling_window::{CallResult, RollingWindow};
+use crate::rolling_window::RollingWindow;
 use crate::token_bucket::TokenBucket;
-use crate::tuning::{ERROR_WINDOW, INITIAL_CONCURRENCY, MAX_USAGE_FACTOR, RATE_SPAN_SECONDS, SECOND};
-use crate::types::{DestinationId, HostEntry, HostId, Micros};
-
-/// A destination, or one host of it where its hosts are separate routes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RouteKey {
-    /// The destination.
-    pub destination: DestinationId,
-    /// The host, where hosts are separate routes.
-    pub host: Option<HostId>,
-}
-
-/// A listed host.
-pub(crate) struct HostRecord {
-    pub(crate) entry: HostEntry,
-    pub(crate) consecutive_failures: u32,
-    pub(crate) ejected_until: Micros,
-    /// Calls in flight.
-    pub(crate) in_flight: usize,
-}
-
-impl HostRecord {
-    /// A host that has taken no call yet.
-    pub(crate) fn new(entry: HostEntry) -> Self {
-        HostRecord { entry, consecutive_failures: 0, ejected_until: 0, in_flight: 0 }
-    }
-}
-
-/// A call in flight; it may carry several messages.
-pub(crate) struct Call {
-    pub(crate) route: RouteKey,
-    pub(crate) host: HostId,
-    /// From this moment it counts as failed, though it may still be answered.
-    pub(crate) overdue_at: Micros,
-    pub(crate) is_overdue: bool,
-    /// Messages whose attempts have not ended.
-    pub(crate) pending_messages: usize,
-}
-
-impl Call {
-    /// Marks the call as overdue; returns its route and host.
-    pub(crate) fn mark_overdue(&mut self) -> (RouteKey, HostId) {
-        self.is_overdue = true;
-        (self.route, self.host)
-    }
-}
+use crate::tuning::{INITIAL_CONCURRENCY, MAX_USAGE_FACTOR};
+use crate::types::{HostId, Micros};
 
 /// State of a circuit breaker.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -81,36 +36,7 @@
     /// The last rejection can be put down to the limit.
     pub(crate) is_limit_likely: bool,
     /// The last failure proves that nothing was executed.
-    pub(crate) is_failure_harmless: bool,
-}
-
-impl CircuitBreaker {
-    /// Whether calls pass.
-    pub(crate) fn is_closed(&self) -> bool {
-        self.state == BreakerState::Closed
-    }
-
-    /// Counts a success, which ends a series of failures or rejections.
-    pub(crate) fn count_success(&mut self, now: Micros) {
-        self.window.record(now, ERROR_WINDOW, CallResult::Success);
-        (self.consecutive_failures, self.consecutive_rejections) = (0, 0);
-    }
-
-    /// Counts a rejection.
-    pub(crate) fn count_rejection(&mut self, now: Micros) {
-        self.window.record(now, ERROR_WINDOW, CallResult::Rejected);
-        self.consecutive_rejections += 1;
-    }
-
-    /// Counts a failure.
-    pub(crate) fn count_failure(&mut self, now: Micros, kind: FailureKind) {
-        self.window.record(now, ERROR_WINDOW, CallResult::Failure);
-        self.consecutive_failures += 1;
-        if self.consecutive_failures == 1 {
-            self.failing_since = now;
-        }
-        self.is_failure_harmless = kind == FailureKind::NotExecuted;
-    }
+    pub(crate) last_failure_not_executed: bool,
 }
 
 /// What the destination says of its limit.
@@ -120,25 +46,18 @@
     pub(crate) per_second: Option<f64>,
     /// Share of the allowance that the last answer left.
     pub(crate) remaining_allowance: Option<f64>,
-    /// What this replica may use, as a multiple of its even part of the limit.
+    /// What this replica may use, as a multiple of its even share of the limit.
     pub(crate) usage_factor: f64,
 }
 
-impl AdvertisedLimit {
-    /// Seconds between two calls of a replica at which all together use the limit.
-    pub(crate) fn even_interval(&self, replicas: f64) -> f64 {
-        replicas / self.per_second.unwrap_or(replicas)
-    }
-}
-
 /// How fast this replica calls the route.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Pacing {
-    /// Calls a second.
+    /// Calls a second, at most.
     pub(crate) rate: f64,
     /// Least time between calls after rejections; zero if there were none lately.
     pub(crate) backoff: Micros,
-    /// Best rate of successes seen; it decays.
+    /// Best rate of successes so far, in calls a second; it decays.
     pub(crate) best_rate: f64,
     pub(crate) bucket: TokenBucket,
     /// Calls in flight at most.
@@ -161,7 +80,7 @@
     /// Its hosts, in ascending order.
     pub(crate) hosts: Vec<HostId>,
     pub(crate) breaker: CircuitBreaker,
-    /// End of the wait that the destination asked for.
+    /// End of the Retry-After of the destination.
     pub(crate) retry_after_until: Micros,
     /// End of the backoff after rejections.
     pub(crate) backoff_until: Micros,
@@ -181,8 +100,11 @@
 impl Route {
     /// A route of which nothing is known.
     pub(crate) fn initial() -> Self {
-        let mut route = Route { relative_latency: 1.0, ..Route::default() };
-        route.breaker.is_failure_harmless = true;
+        let mut route = Route {
+            relative_latency: 1.0,
+            ..Route::default()
+        };
+        route.breaker.last_failure_not_executed = true;
         route.limit.usage_factor = MAX_USAGE_FACTOR;
         route.pacing = Pacing {
             rate: f64::INFINITY,
@@ -192,10 +114,4 @@
         };
         route
     }
-
-    /// This replica's successes a second of late.
-    pub(crate) fn success_rate(&self, now: Micros) -> f64 {
-        let span = RATE_SPAN_SECONDS * SECOND;
-        self.breaker.window.count_within(CallResult::Success, span, now) as f64 / RATE_SPAN_SECONDS as f64
-    }
 }
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,29 +1,77 @@
 //! Selection: whether a route takes a call now, and which host of which route a message goes to.
 
-use crate::decision::{Readiness, Selection, Urgency};
+use crate::host_record::HostRecord;
 use crate::queued_message::QueuedMessage;
-use crate::route::{BreakerState, HostRecord, Route, RouteKey};
+use crate::route::{BreakerState, Route};
 use crate::state::DeliveryPolicy;
 use crate::tuning::{
-    EJECTED_HOST_COST, FAILURE_COST, FEE_COST, HEALTHY_SLOT_SHARE, MAX_COSTED_FAILURES, OVERDUE_FACTOR,
-    RISKY_TIME_RESERVE, SECOND, SHUTDOWN_MARGIN_FACTOR, SUSPECT_SLOT_SHARE,
+    EJECTED_HOST_COST, FAILURE_COST, FEE_COST, HEALTHY_SLOT_MARGIN, HEALTHY_SLOT_SHARE,
+    MAX_COSTED_FAILURES, MIN_SUSPECT_SLOTS, RISKY_TIME_RESERVE, SHUTDOWN_MARGIN_FACTOR,
+    SUSPECT_SLOT_SHARE,
 };
-use crate::types::{HostId, HostState, Idempotency, MessageId, Micros};
+use crate::types::{HostId, HostState, Idempotency, MessageId, Micros, RouteKey};
+
+/// Where a message goes.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) struct Selection {
+    pub(crate) route: RouteKey,
+    pub(crate) host: HostId,
+}
+
+/// Whether a call is for recovered messages that have not been attempted yet. These go out despite an open breaker
+/// or a backoff, or they would reach their deadlines behind it; a Retry-After holds for them too.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Urgency {
+    Normal,
+    Recovered,
+}
+
+impl Urgency {
+    /// The urgency of a route or destination at which recovered messages are to be attempted at `rate` calls a second.
+    pub(crate) fn of_rate(rate: f64) -> Self {
+        if rate > 0.0 {
+            Urgency::Recovered
+        } else {
+            Urgency::Normal
+        }
+    }
+}
+
+impl QueuedMessage {
+    /// Recovered if not even a connection was tried for it since the restart.
+    pub(crate) fn urgency(&self) -> Urgency {
+        if self.is_recovered && self.attempts.is_empty() {
+            Urgency::Recovered
+        } else {
+            Urgency::Normal
+        }
+    }
+}
+
+/// Whether a route takes a call.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum Readiness {
+    Ready,
+    /// Not before this moment; `Micros::MAX` until something happens.
+    NotBefore(Micros),
+}
 
 impl Route {
-    /// Until when the breaker or the limits of concurrency allow no further call.
+    /// Until when the breaker or the limits of concurrency allow no further call; `Micros::MAX` until a call ends.
     fn blocked_until(&self, now: Micros, max_calls: usize, urgency: Urgency) -> Option<Micros> {
         let slots = max_calls as f64;
         let most = if self.breaker.is_suspect() {
             (slots * SUSPECT_SLOT_SHARE).floor()
         } else {
-            (slots * HEALTHY_SLOT_SHARE - 0.01).floor()
+            (slots * HEALTHY_SLOT_SHARE - HEALTHY_SLOT_MARGIN).floor()
         };
-        let (in_flight, is_urgent) = (self.in_flight as f64, urgency == Urgency::Recovered);
+        let in_flight = self.in_flight as f64;
+        let is_urgent = urgency == Urgency::Recovered;
+        let lacks_probe_slot = in_flight >= most.max(MIN_SUSPECT_SLOTS);
         let is_full = match self.breaker.state {
             BreakerState::Open(until) if until > now && !is_urgent => return Some(until),
-            BreakerState::Open(_) => in_flight >= most.max(2.0),
-            BreakerState::HalfOpen => !is_urgent || in_flight >= most.max(2.0),
+            BreakerState::Open(_) => lacks_probe_slot,
+            BreakerState::HalfOpen => !is_urgent || lacks_probe_slot,
             BreakerState::Closed => in_flight >= most.min(self.pacing.concurrency_limit).max(1.0),
         };
         is_full.then_some(Micros::MAX)
@@ -35,8 +83,13 @@
     pub(crate) fn readiness(&mut self, key: RouteKey, urgency: Urgency) -> Readiness {
         let now = self.now;
         let rate = self.refill(key);
-        let Some(route) = self.routes.get(&key) else { return Readiness::NotBefore(Micros::MAX) };
-        let backoff_until = if urgency == Urgency::Normal { route.backoff_until } else { 0 };
+        let Some(route) = self.routes.get(&key) else {
+            return Readiness::NotBefore(Micros::MAX);
+        };
+        let backoff_until = match urgency {
+            Urgency::Normal => route.backoff_until,
+            Urgency::Recovered => 0,
+        };
         let paused_until = route.retry_after_until.max(backoff_until);
         if paused_until > now {
             return Readiness::NotBefore(paused_until);
@@ -44,29 +97,40 @@
         if let Some(until) = route.blocked_until(now, self.settings.max_calls, urgency) {
             return Readiness::NotBefore(until);
         }
-        if route.pacing.bucket.tokens < 1.0 {
-            return Readiness::NotBefore(route.pacing.bucket.time_to_token(rate).saturating_add(now + 1));
+        let bucket = &route.pacing.bucket;
+        if bucket.tokens < 1.0 {
+            let next_token_at = bucket.time_to_token(rate).saturating_add(now + 1);
+            return Readiness::NotBefore(next_token_at);
         }
         Readiness::Ready
     }
 
-    /// The cheapest host that the message may go to now.
+    /// The cheapest host that the message may go to now; of equals the first.
     pub(crate) fn select(&mut self, id: MessageId) -> Option<Selection> {
         let queued = self.queue.get(&id)?;
-        let (destination, urgency) = (queued.message.destination, Urgency::from(queued.is_urgent()));
+        let destination = queued.message.destination;
+        let urgency = queued.urgency();
         let mut best: Option<(f64, Selection)> = None;
         for key in self.routes_to(destination) {
             if self.readiness(key, urgency) != Readiness::Ready {
                 continue;
             }
-            let (queued, route) = (self.queue.get(&id)?, self.routes.get(&key)?);
+            let queued = self.queue.get(&id)?;
+            let route = self.routes.get(&key)?;
             if !self.may_use_route(queued, route) {
                 continue;
             }
-            for host_id in route.hosts.iter().filter(|host| self.may_use_host(queued, **host)) {
-                let cost = self.host_cost(&self.hosts[host_id], route, key);
+            for host in &route.hosts {
+                if !self.may_use_host(queued, *host) {
+                    continue;
+                }
+                let cost = self.host_cost(&self.hosts[host], route, key);
                 if best.is_none_or(|(least, _)| cost < least) {
-                    best = Some((cost, Selection { route: key, host: *host_id }));
+                    let selection = Selection {
+                        route: key,
+                        host: *host,
+                    };
+                    best = Some((cost, selection));
                 }
             }
         }
@@ -81,7 +145,7 @@
         let time_needed = if is_repeatable {
             (SHUTDOWN_MARGIN_FACTOR * self.expected_latency(queued, route)) as Micros
         } else {
-            self.overdue_after(queued, route)
+            self.slow_call_threshold(queued, route)
         };
         if self.now.saturating_add(time_needed) > self.shutdown_at {
             return false;
@@ -93,10 +157,14 @@
 
     /// Whether the message waits and may go to this host: it is ready, and its key is known there.
     pub(crate) fn may_use_host(&self, queued: &QueuedMessage, host: HostId) -> bool {
-        let Some(host) = self.hosts.get(&host) else { return false };
+        let Some(host) = self.hosts.get(&host) else {
+            return false;
+        };
         let idempotency = self.class(&queued.message).idempotency;
         let is_key_known = match (idempotency, queued.first_possible_execution()) {
-            (Idempotency::Keyed { zone_only: true, .. }, Some(first)) => first.zone == host.entry.zone,
+            (Idempotency::Keyed { zone_only, .. }, Some(first)) if zone_only => {
+                first.zone == host.entry.zone
+            }
             _ => true,
         };
         let has_quota = self.scheduler.may_start_call(queued.message.tenant);
@@ -107,17 +175,24 @@
     /// What a call to the host costs: ejection, failures, load and fees.
     fn host_cost(&self, host: &HostRecord, route: &Route, key: RouteKey) -> f64 {
         let zone = host.entry.zone;
-        let zone_fee = self.settings.zone_fees.get(usize::from(zone)).filter(|_| key.host.is_some());
-        let cross_zone_fee = if zone == self.settings.zone { 0.0 } else { self.settings.cross_zone_fee };
-        let ejection = if host.ejected_until > self.now { EJECTED_HOST_COST } else { 0.0 };
+        let zone_fee = self
+            .settings
+            .zone_fees
+            .get(usize::from(zone))
+            .filter(|_| key.host.is_some());
+        let cross_zone_fee = if zone == self.settings.zone {
+            0.0
+        } else {
+            self.settings.cross_zone_fee
+        };
+        let ejection = if host.ejected_until > self.now {
+            EJECTED_HOST_COST
+        } else {
+            0.0
+        };
         ejection
             + f64::from(host.consecutive_failures.min(MAX_COSTED_FAILURES)) * FAILURE_COST
             + host.in_flight as f64 * route.relative_latency
             + (cross_zone_fee + zone_fee.copied().unwrap_or(0.0)) * FEE_COST
     }
-
-    /// How long a call with this message may be in flight before it counts as failed.
-    pub(crate) fn overdue_after(&self, queued: &QueuedMessage, route: &Route) -> Micros {
-        (OVERDUE_FACTOR * self.expected_latency(queued, route)) as Micros + SECOND / 4
-    }
 }
--- a/crates/policy/src/types/mod.rs
+++ b/crates/policy/src/types/mod.rs
@@ -11,9 +11,10 @@
 pub use action::Action;
 pub use event::{AttemptEnd, AttemptOutcome, Event};
 pub use host::{HostEntry, HostState};
-pub use ids::{DestinationId, HostId, MessageId, Micros, TenantId};
+pub use ids::{DestinationId, HostId, MessageId, Micros, RouteKey, TenantId};
 pub use message::{Message, Outage, PastAttempt};
 pub use settings::{
-    Class, DestinationKind, Idempotency, PlatformRules, ReportField, Settings, ValueDecay, WeightSource,
+    Class, DestinationKind, Idempotency, PlatformRules, ReportField, Settings, ValueDecay,
+    WeightSource,
 };
 pub use tenant::{RateLimit, Tenant, TenantState, TenantTerms};
