--- a/crates/experiments/src/fleet/tests.rs
+++ b/crates/experiments/src/fleet/tests.rs
@@ -5,7 +5,24 @@
 
 const INTERVAL_MS: u64 = 1000;
 
+/// The lines of [`LEGACY_LOG`] as relays write them now.
 const LOG: &str = "\
+0.000 call_log: process_started time_ms=1000 replicas=100 max_calls=5 max_queued=32 warm_up_ms=10000 discovery=push
+0.000 call_log: host_listed time_ms=1000 destination=7 host=1 kind=0 weight=2 state=ready name=s-a
+discovery: watch_ended address=127.0.0.1:1 error=a line that is no call
+0.1 call_log: message_arrived time_ms=1100 destination=7 message=1 class=0 time_left_ms=11999 resubmitted=0
+0.1 call_log: attempt_sent time_ms=1100 destination=7 message=1 queued=1 host=1 breaker=closed pace=23.33 backoff_ms=0
+0.2 call_log: connection_opened time_ms=1150 destination=7 message=1
+0.2 call_log: attempt_ended time_ms=1150 destination=7 message=1 outcome=rejected retry_after_ms=300 elapsed_ms=50 report=0.25,2
+0.9 call_log: attempt_sent time_ms=2600 destination=7 message=1 queued=1 host=1 breaker=half_open pace=23.33 backoff_ms=0
+0.9 call_log: attempt_ended time_ms=2700 destination=7 message=1 outcome=delivered retry_after_ms=0 elapsed_ms=50 report=0.75,2
+1.0 call_log: attempt_ended time_ms=2800 destination=7 message=2 outcome=delivered retry_after_ms=0 elapsed_ms=50 report=-
+1.0 call_log: attempt_ended time_ms=x destination=7 message=2 outcome=delivered
+1.0 call_log: attempt_ended time_ms=2900
+";
+
+/// A log of the versions that wrote `fleet`, the time and a word.
+const LEGACY_LOG: &str = "\
 0.000 fleet 1000 start siblings=100 slots=5 held=32 cold=10000
 0.000 fleet 1000 list 7 host=1 kind=0 weight=2 Ready
 discovery: a line that is no call
@@ -36,15 +53,43 @@
         fleet 901 list 7 host=3 kind=0 weight=2 Ready name=s-b\nfleet 1500 send 7 1 held=1 to=1 closed\n\
         fleet 2700 send 7 1 held=1 to=1 closed\nfleet 2800 send 7 1 held=1 to=3 closed\n\
         fleet 2900 start\nfleet 3000 send 7 1 held=1 to=1 closed";
-    let counts = counts_of(&[first, second]);
+    assert_late_calls(&counts_of(&[first, second]));
+}
+
+#[test]
+fn calls_to_a_leaving_host_are_late_in_the_form_of_events_as_well() {
+    let first = "call_log: process_started time_ms=1000\n\
+        call_log: host_listed time_ms=1001 destination=7 host=3 kind=0 weight=2 state=ready name=s-a\n\
+        call_log: host_listed time_ms=2000 destination=7 host=3 kind=0 weight=2 state=draining name=s-a\n\
+        call_log: attempt_sent time_ms=2100 destination=7 message=1 queued=1 host=3 breaker=closed";
+    let second = "call_log: process_started time_ms=900\n\
+        call_log: host_listed time_ms=901 destination=7 host=1 kind=0 weight=2 state=ready name=s-a\n\
+        call_log: host_listed time_ms=901 destination=7 host=3 kind=0 weight=2 state=ready name=s-b\n\
+        call_log: attempt_sent time_ms=1500 destination=7 message=1 queued=1 host=1 breaker=closed\n\
+        call_log: attempt_sent time_ms=2700 destination=7 message=1 queued=1 host=1 breaker=closed\n\
+        call_log: attempt_sent time_ms=2800 destination=7 message=1 queued=1 host=3 breaker=closed\n\
+        call_log: process_started time_ms=2900\n\
+        call_log: attempt_sent time_ms=3000 destination=7 message=1 queued=1 host=1 breaker=closed";
+    assert_late_calls(&counts_of(&[first, second]));
+}
+
+fn assert_late_calls(counts: &FleetCounts) {
     assert_eq!(counts.departures.late_calls(), [700, 100]);
-    assert!(render(&counts, ReportDetail::TotalsOnly)
+    assert!(render(counts, ReportDetail::TotalsOnly)
         .contains("1 hosts announced as leaving; 2 calls to them after that"));
 }
 
 #[test]
 fn lines_are_counted_by_destination_and_interval_and_other_lines_ignored() {
-    let counts = counts_of(&[LOG]);
+    assert_counted(&counts_of(&[LOG]));
+}
+
+#[test]
+fn lines_of_earlier_versions_are_counted_alike() {
+    assert_counted(&counts_of(&[LEGACY_LOG]));
+}
+
+fn assert_counted(counts: &FleetCounts) {
     let intervals = &counts.destinations[&7];
     assert_eq!(counts.destinations.len(), 1);
     assert_eq!(intervals.len(), 2);
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -6,7 +6,7 @@
 use crate::types::{DestinationId, HostState, Micros};
 
 impl DeliveryPolicy {
-    /// State of a destination's routes, as `name=value` for the log.
+    /// State of a destination's routes, as `key=value` for the call log; each route's values begin with `breaker`.
     #[must_use]
     pub fn describe_destination(&self, destination: DestinationId) -> String {
         let keys = self.routes_to(destination);
@@ -14,7 +14,7 @@
         routes
             .map(|route| describe_route(route, self.now))
             .collect::<Vec<_>>()
-            .join(" | ")
+            .join(" ")
     }
 
     /// Number of listed hosts that are sent nothing now: they drain or are ejected, or their route has a Retry-After or
@@ -38,12 +38,11 @@
     }
 }
 
-/// The state of a route for the call log. Tools that count over logs, also over those of earlier versions, match the
-/// words: durations are in milliseconds, rates in calls a second.
+/// The state of a route for the call log, which begins with that of its circuit breaker. Rates are in calls a second.
 fn describe_route(route: &Route, now: Micros) -> String {
     let state = match route.breaker.state {
         BreakerState::Closed => "closed",
-        BreakerState::HalfOpen => "half",
+        BreakerState::HalfOpen => "half_open",
         BreakerState::Open(_) => "open",
     };
     let pacing = &route.pacing;
@@ -53,7 +52,8 @@
         .saturating_sub(now)
         / 1000;
     format!(
-        "{state} pace={:.2} gap={} rest={paused_ms} out={} cap={:.1} told={:.1} left={:.2} cold={}",
+        "breaker={state} pace={:.2} backoff_ms={} paused_ms={paused_ms} in_flight={} concurrency_limit={:.1} \
+         advertised_limit={:.1} allowance={:.2} warming_up={}",
         pacing.rate,
         pacing.backoff / 1000,
         route.in_flight,
--- a/crates/relay/src/call_log.rs
+++ b/crates/relay/src/call_log.rs
@@ -1,8 +1,8 @@
 //! The call log: one line for each event that the policy sees and each action that it takes, for statistics over a
 //! fleet of relays.
 //!
-//! A line is `fleet`, the Unix time in milliseconds, a label and its values; `relay-experiments fleet` parses it.
-//! Bodies, keys and names of messages are never written.
+//! A line is `call_log: event time_ms=T key=value`, with `T` in Unix milliseconds; `relay-experiments fleet` parses it, and
+//! also the form of earlier versions, `fleet T label values`. Bodies, keys and names of messages are never written.
 
 #[cfg(test)]
 mod tests;
@@ -70,13 +70,13 @@
             ..
         } = settings;
         let discovery = if settings.polls_discovery {
-            "ask"
+            "poll"
         } else {
             "push"
         };
         log!(
             self.runtime,
-            "fleet {} start siblings={replicas} slots={max_calls} held={max_queued} cold={} discovery={discovery}",
+            "call_log: process_started time_ms={} replicas={replicas} max_calls={max_calls} max_queued={max_queued} warm_up_ms={} discovery={discovery}",
             now / MICROS_PER_MS,
             rules.warm_up / MICROS_PER_MS
         );
@@ -88,7 +88,7 @@
             let destination = self.destination_of(id);
             log!(
                 self.runtime,
-                "fleet {} opened {destination} {id}",
+                "call_log: connection_opened time_ms={} destination={destination} message={id}",
                 now / MICROS_PER_MS
             );
         }
@@ -111,14 +111,14 @@
                     self.host_listed(now, entry, directory);
                 }
             }
-            Event::MessageReceived(message) => self.message_queued(now, "arrived", message),
+            Event::MessageReceived(message) => self.message_queued(now, "message_arrived", message),
             Event::MessageRestored { message, .. } | Event::MessageResent { message, .. } => {
-                self.message_queued(now, "restored", message);
+                self.message_queued(now, "message_restored", message);
             }
             Event::AttemptEnded(end) => self.attempt_ended(now, end),
             Event::OutageRestored(outage) => log!(
                 self.runtime,
-                "fleet {} outage {}",
+                "call_log: outage_restored time_ms={} destination={}",
                 now / MICROS_PER_MS,
                 outage.destination
             ),
@@ -138,18 +138,18 @@
         let name = directory.name_of(*host).unwrap_or_default();
         log!(
             self.runtime,
-            "fleet {} list {destination} host={host} kind={kind} weight={weight} {} name={name}",
+            "call_log: host_listed time_ms={} destination={destination} host={host} kind={kind} weight={weight} state={} name={name}",
             now / MICROS_PER_MS,
             state_label(*state)
         );
     }
 
-    fn message_queued(&mut self, now: Micros, label: &str, message: &Message) {
+    fn message_queued(&mut self, now: Micros, event: &str, message: &Message) {
         self.destinations.insert(message.id, message.destination);
         let time_left = message.deadline.saturating_sub(now) / MICROS_PER_MS;
         log!(
             self.runtime,
-            "fleet {} {label} {} {} class={} left={time_left} again={}",
+            "call_log: {event} time_ms={} destination={} message={} class={} time_left_ms={time_left} resubmitted={}",
             now / MICROS_PER_MS,
             message.destination,
             message.id,
@@ -166,13 +166,13 @@
         };
         log!(
             self.runtime,
-            "fleet {} ended {destination} {} {} wait={} took={} report={:?}",
+            "call_log: attempt_ended time_ms={} destination={destination} message={} outcome={} retry_after_ms={} elapsed_ms={} report={}",
             now / MICROS_PER_MS,
             end.id,
             outcome_label(end.outcome),
             retry_after / MICROS_PER_MS,
             end.elapsed / MICROS_PER_MS,
-            end.load_report
+            listed(&end.load_report)
         );
         if end.is_final {
             self.destinations.remove(&end.id);
@@ -194,7 +194,11 @@
             .iter()
             .map(|level| format!(" {}={}/{}", level.name, level.used, level.capacity))
             .collect();
-        log!(self.runtime, "fleet {} levels{text}", now / MICROS_PER_MS);
+        log!(
+            self.runtime,
+            "call_log: table_levels time_ms={}{text}",
+            now / MICROS_PER_MS
+        );
     }
 
     /// Records the actions of a round, before they are carried out.
@@ -205,34 +209,36 @@
         for action in actions {
             match action {
                 Action::Send { id, host, .. } => {
-                    self.action(now, "send", *id, &format!(" to={host}"), policy);
+                    self.action(now, "attempt_sent", *id, &format!(" host={host}"), policy);
                 }
-                Action::Reject { id, .. } => self.message_ended(now, "refuse", *id, policy),
-                Action::Fail(id) => self.message_ended(now, "fail", *id, policy),
+                Action::Reject { id, .. } => {
+                    self.message_ended(now, "message_rejected", *id, policy)
+                }
+                Action::Fail(id) => self.message_ended(now, "message_failed", *id, policy),
                 _ => {}
             }
         }
     }
 
-    fn message_ended(&mut self, now: Micros, label: &str, id: MessageId, policy: &DeliveryPolicy) {
-        self.action(now, label, id, "", policy);
+    fn message_ended(&mut self, now: Micros, event: &str, id: MessageId, policy: &DeliveryPolicy) {
+        self.action(now, event, id, "", policy);
         self.destinations.remove(&id);
     }
 
     fn action(
         &self,
         now: Micros,
-        label: &str,
+        event: &str,
         id: MessageId,
         target: &str,
         policy: &DeliveryPolicy,
     ) {
         let destination = self.destination_of(id);
         let queued = self.destinations.len();
-        let description = policy.describe_destination(destination);
+        let routes = policy.describe_destination(destination);
         log!(
             self.runtime,
-            "fleet {} {label} {destination} {id} held={queued}{target} {description}",
+            "call_log: {event} time_ms={} destination={destination} message={id} queued={queued}{target} {routes}",
             now / MICROS_PER_MS
         );
     }
@@ -245,27 +251,36 @@
     }
 }
 
-/// The label of an outcome. Tools that count over logs match it, also in logs of earlier versions.
+/// The label of an outcome. Tools that count over logs match it.
 fn outcome_label(outcome: AttemptOutcome) -> &'static str {
     match outcome {
-        AttemptOutcome::Delivered => "Ok",
-        AttemptOutcome::Error => "Error",
-        AttemptOutcome::Rejected { .. } => "Full",
-        AttemptOutcome::Timeout => "Timeout",
-        AttemptOutcome::ConnectFailed => "ConnectFailed",
-        AttemptOutcome::Reset => "Reset",
-        AttemptOutcome::ConnectionLost => "Dropped",
-        AttemptOutcome::Cancelled => "Cancelled",
-        AttemptOutcome::Obsolete => "Moot",
-        AttemptOutcome::NotStarted => "NotBegun",
+        AttemptOutcome::Delivered => "delivered",
+        AttemptOutcome::Error => "error",
+        AttemptOutcome::Rejected { .. } => "rejected",
+        AttemptOutcome::Timeout => "timeout",
+        AttemptOutcome::ConnectFailed => "connect_failed",
+        AttemptOutcome::Reset => "reset",
+        AttemptOutcome::ConnectionLost => "connection_lost",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::Obsolete => "obsolete",
+        AttemptOutcome::NotStarted => "not_started",
     }
 }
 
 /// The label of a host's state, matched like that of an outcome.
 fn state_label(state: HostState) -> &'static str {
     match state {
-        HostState::Ready => "Ready",
-        HostState::Draining => "Draining",
-        HostState::Removed => "Gone",
+        HostState::Ready => "ready",
+        HostState::Draining => "draining",
+        HostState::Removed => "removed",
+    }
+}
+
+/// The values of a load report, separated by commas; `-` if there are none.
+fn listed(report: &[f32]) -> String {
+    if report.is_empty() {
+        return "-".into();
     }
+    let values: Vec<String> = report.iter().map(f32::to_string).collect();
+    values.join(",")
 }
--- a/crates/relay/tests/restart.rs
+++ b/crates/relay/tests/restart.rs
@@ -200,7 +200,9 @@
     scene.start();
     until("refused connections of most", || {
         let log = scene.log();
-        let failed = log.lines().filter(|line| line.contains(" ConnectFailed "));
+        let failed = log
+            .lines()
+            .filter(|line| line.contains(" outcome=connect_failed "));
         let failed: BTreeSet<&str> = failed.filter_map(|line| line.split(' ').nth(4)).collect();
         (3 * failed.len() > 2 * ids.len()).then_some(())
     });
--- a/crates/simulator/tests/soak.rs
+++ b/crates/simulator/tests/soak.rs
@@ -11,11 +11,11 @@
 /// For each table what it held at each look, and its bound, as the log has them.
 fn levels(report: &Report) -> BTreeMap<String, Vec<(usize, usize)>> {
     let mut levels: BTreeMap<String, Vec<(usize, usize)>> = BTreeMap::new();
-    for line in report.trace.iter().filter(|line| line.contains("fleet ")) {
-        let Some((_, text)) = line.split_once(" levels ") else {
+    for line in &report.trace {
+        let Some((_, text)) = line.split_once("call_log: table_levels ") else {
             continue;
         };
-        for pair in text.split(' ') {
+        for pair in text.split(' ').skip(1) {
             let (name, level) = pair.split_once('=').expect("a name and a level");
             let (has, most) = level.split_once('/').expect("a level and a bound");
             let number = |text: &str| text.parse().expect("a number");
