--- a/crates/admin/src/undeliverable.rs
+++ b/crates/admin/src/undeliverable.rs
@@ -55,7 +55,7 @@
         RecordError::Claimed(_) => problem(StatusCode::LOCKED, "record-claimed"),
         RecordError::Sending => problem(StatusCode::CONFLICT, "record-sending"),
         RecordError::Closed(_) => problem(StatusCode::CONFLICT, "record-closed"),
-        RecordError::ResendBlocked(need) => problem(StatusCode::CONFLICT, need.word()),
+        RecordError::ResendBlocked(need) => problem(StatusCode::CONFLICT, need.as_str()),
         RecordError::Settling => problem(StatusCode::TOO_MANY_REQUESTS, "record-resting"),
         RecordError::NotAccepted => problem(StatusCode::CONFLICT, "not-handed-over"),
         RecordError::Malformed(_) => problem(StatusCode::UNPROCESSABLE_ENTITY, "invalid-value"),
@@ -335,7 +335,7 @@
         UndeliverableRecord {
             id,
             version: record.version,
-            state: record.state.word(),
+            state: record.state.as_str(),
             holder,
             state_at,
             message: record.origin.name.clone(),
@@ -353,7 +353,7 @@
             resends: record.resends,
             attempts: record.attempts.iter().map(Into::into).collect(),
             statements: record.attestations.iter().map(Into::into).collect(),
-            needs: need.map(|need| need.map(undeliverable::ResendBlocked::word)),
+            needs: need.map(|need| need.map(undeliverable::ResendBlocked::as_str)),
         }
     }
 }
@@ -470,8 +470,8 @@
 impl RecordFilter {
     fn read(self, caller: &Caller, state: Option<String>) -> Result<Filter, Problem> {
         let reason = self.reason.as_deref().map(|word| {
-            Reason::of(word).ok_or_else(|| {
-                let words: Vec<&str> = Reason::ALL.iter().map(|reason| reason.word()).collect();
+            Reason::parse(word).ok_or_else(|| {
+                let words: Vec<&str> = Reason::ALL.iter().map(|reason| reason.as_str()).collect();
                 Problem::malformed(format!("reason is none of {}", words.join(", ")))
             })
         });
@@ -494,7 +494,7 @@
         RecordFilter {
             destination: filter.destination,
             class: filter.class,
-            reason: filter.reason.map(|reason| reason.word().into()),
+            reason: filter.reason.map(|reason| reason.as_str().into()),
             tenant: filter.tenant,
             since: filter.since.map(at),
             until: filter.until.map(at),
@@ -564,7 +564,7 @@
         ResendBatch {
             name: batch.spec.name,
             version: batch.version,
-            state: batch.state.word(),
+            state: batch.state.as_str(),
             by: batch.by,
             made_at: at(batch.created_at),
             filter: batch.spec.filter.into(),
--- a/crates/undeliverable/src/batch.rs
+++ b/crates/undeliverable/src/batch.rs
@@ -52,7 +52,7 @@
 impl BatchState {
     /// Its word.
     #[must_use]
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             BatchState::Planned => "planned",
             BatchState::Running => "running",
@@ -106,7 +106,7 @@
         self.found += 1;
         match may_go {
             Ok(()) => self.may_go += 1,
-            Err(need) => *self.needs.entry(need.word().into()).or_default() += 1,
+            Err(need) => *self.needs.entry(need.as_str().into()).or_default() += 1,
         }
     }
 }
@@ -237,7 +237,7 @@
             return Err(BatchError::Version(self.version));
         }
         if self.state.is_over() {
-            return Err(BatchError::Over(self.state.word()));
+            return Err(BatchError::Over(self.state.as_str()));
         }
         let state = match (order, &self.state) {
             (BatchCommand::Run, BatchState::Running)
--- a/crates/undeliverable/src/filter.rs
+++ b/crates/undeliverable/src/filter.rs
@@ -52,14 +52,14 @@
             && self
                 .state
                 .as_ref()
-                .is_none_or(|wanted| *wanted == record.state.word())
+                .is_none_or(|wanted| *wanted == record.state.as_str())
     }
 
     /// The same filter, for records that wait to be sent again.
     #[must_use]
     pub fn only_open(&self) -> Self {
         Filter {
-            state: Some(RecordState::Open.word().into()),
+            state: Some(RecordState::Open.as_str().into()),
             ..self.clone()
         }
     }
--- a/crates/undeliverable/src/record.rs
+++ b/crates/undeliverable/src/record.rs
@@ -65,7 +65,7 @@
 
     /// Its word.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Reason::OutOfTimeUnsent => "out-of-time-unsent",
             Reason::OutOfTime => "out-of-time",
@@ -80,8 +80,8 @@
 
     /// The reason of a word.
     #[must_use]
-    pub fn of(word: &str) -> Option<Self> {
-        Reason::ALL.into_iter().find(|reason| reason.word() == word)
+    pub fn parse(text: &str) -> Option<Self> {
+        Reason::ALL.into_iter().find(|reason| reason.as_str() == text)
     }
 }
 
@@ -197,7 +197,7 @@
 impl RecordState {
     /// Its word.
     #[must_use]
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             RecordState::Open => "open",
             RecordState::Claimed { .. } => "claimed",
@@ -323,7 +323,7 @@
             }
             RecordState::Open | RecordState::Claimed { .. } => Ok(()),
             RecordState::Sending { .. } => Err(RecordError::Sending),
-            closed @ RecordState::Closed(..) => Err(RecordError::Closed(closed.word())),
+            closed @ RecordState::Closed(..) => Err(RecordError::Closed(closed.as_str())),
         }
     }
 
@@ -546,18 +546,18 @@
         one.record_unknown_outcome(950);
         assert_eq!(one.attempts.len(), 2, "nothing is under way");
         one.continue_resend("ann", 3, 1000);
-        assert_eq!((one.state.word(), one.resends), ("sending", 3));
+        assert_eq!((one.state.as_str(), one.resends), ("sending", 3));
         one.resolve(Resolution::Delivered, 1001);
         one.continue_resend("ann", 4, 1002);
-        assert_eq!(one.state.word(), "delivered");
+        assert_eq!(one.state.as_str(), "delivered");
     }
 
     #[test]
     fn words_of_reasons_are_read_back_and_are_as_serde_has_them() {
         for reason in Reason::ALL {
-            assert_eq!(Reason::of(reason.word()), Some(reason));
+            assert_eq!(Reason::parse(reason.as_str()), Some(reason));
         }
-        assert_eq!(Reason::of("nothing"), None);
+        assert_eq!(Reason::parse("nothing"), None);
     }
 
     #[test]
--- a/crates/undeliverable/src/resend_policy.rs
+++ b/crates/undeliverable/src/resend_policy.rs
@@ -67,7 +67,7 @@
 impl ResendBlocked {
     /// Its word.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             ResendBlocked::NeedsAttestation => "needs-word",
             ResendBlocked::NeedsAgreement => "needs-agreement",
--- a/crates/undeliverable/src/store.rs
+++ b/crates/undeliverable/src/store.rs
@@ -76,9 +76,9 @@
             // Of one length, so that their order is that of the numbers.
             GroupBy::Destination => format!("{:05}", record.origin.destination),
             GroupBy::Class => record.origin.class.clone(),
-            GroupBy::Reason => record.reason.word().into(),
+            GroupBy::Reason => record.reason.as_str().into(),
             GroupBy::Tenant => record.origin.tenant_name().into(),
-            GroupBy::State => record.state.word().into(),
+            GroupBy::State => record.state.as_str().into(),
         }
     }
 
@@ -86,7 +86,7 @@
         match self {
             GroupBy::Destination => filter.destination.map(|number| format!("{number:05}")),
             GroupBy::Class => filter.class.clone(),
-            GroupBy::Reason => filter.reason.map(|reason| reason.word().into()),
+            GroupBy::Reason => filter.reason.map(|reason| reason.as_str().into()),
             GroupBy::Tenant => filter.tenant.clone(),
             GroupBy::State => filter.state.clone(),
         }
--- a/crates/undeliverable/tests/resend_policy.rs
+++ b/crates/undeliverable/tests/resend_policy.rs
@@ -149,7 +149,7 @@
             assert_eq!(micros, 0, "whole seconds in the file");
             format!("may-go-with-key {seconds}")
         }
-        Err(need) => need.word().into(),
+        Err(need) => need.as_str().into(),
     }
 }
 
@@ -222,6 +222,6 @@
         ResendBlocked::Applied,
         ResendBlocked::ResendsExhausted,
     ];
-    let now = needs.map(|need| format!("{}: {need}\n", need.word()));
+    let now = needs.map(|need| format!("{}: {need}\n", need.as_str()));
     assert_eq!(now.concat(), golden);
 }
--- a/crates/undeliverable/tests/stored_format.rs
+++ b/crates/undeliverable/tests/stored_format.rs
@@ -311,7 +311,7 @@
             store.body(id).expect("read").as_deref(),
             Some(&b"\r\n\x00body"[..])
         );
-        words.push(read.state.word());
+        words.push(read.state.as_str());
     }
     assert_eq!(
         words,
@@ -343,7 +343,7 @@
     let batches = store.batches().expect("read");
     let batches: Vec<_> = batches
         .iter()
-        .map(|one| (one.spec.name.as_str(), one.state.word(), one.version))
+        .map(|one| (one.spec.name.as_str(), one.state.as_str(), one.version))
         .collect();
     assert_eq!(
         batches,
