--- /dev/null
+++ b/crates/undeliverable/src/attestation.rs
@@ -0,0 +1,238 @@
+//! Attestations: who claimed that a message took effect or did not, and how several claims resolve.
+//!
+//! An attestation of `applied` always counts, as an effect does not go away. One of `not applied` counts only if it
+//! covers every attempt: it was made for the present number of resends and requested after the last attempt had
+//! settled. `unknown` never counts. [`resolve`] reduces the attestations that count to [`Evidence`] and looks that up
+//! in a table:
+//!
+//! | claims that count | latest partner's claim | two operators agree on | resolution |
+//! | --- | --- | --- | --- |
+//! | none | any | any | needs an attestation |
+//! | all `not applied` | in date | any | not applied |
+//! | all `not applied` | expired or none | `not applied` | not applied |
+//! | all `not applied` | expired | nothing | needs an attestation |
+//! | all `not applied` | none | nothing | needs a second operator |
+//! | all `applied` | in date or expired | any | applied |
+//! | all `applied` | none | `applied` | applied |
+//! | all `applied` | none | nothing | needs a second operator |
+//! | both | any | `applied` | applied |
+//! | both | any | `not applied` | not applied |
+//! | both | any | nothing | needs agreement |
+//!
+//! Where both are claimed, only operators count who attested after the latest partner's claim and after the last
+//! change from one claim to the other.
+
+use std::collections::BTreeSet;
+
+use serde::{Deserialize, Serialize};
+
+use crate::resend_blocked::ResendBlocked;
+use crate::Micros;
+
+/// Different operators whose agreement settles a claim.
+const REQUIRED_OPERATORS: usize = 2;
+
+/// A claim on whether a message took effect.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum ExecutionClaim {
+    /// It took effect.
+    Applied,
+    /// It did not take effect, and will not.
+    NotApplied,
+    /// The attester does not know.
+    Unknown,
+}
+
+/// Who makes a claim.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Attester {
+    /// The partner, queried by the message's id.
+    Partner,
+    /// An operator, by name.
+    Operator(String),
+}
+
+/// A claim on a record.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Attestation {
+    /// Who claims it.
+    pub attester: Attester,
+    /// What is claimed.
+    pub claim: ExecutionClaim,
+    /// When the claim was requested, in Unix time: it does not cover what happened later.
+    pub at: Micros,
+    /// Resends of the record when the claim was made.
+    pub resends: u32,
+}
+
+/// What an attestation has to cover, and how long a partner's stays in date.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AttestationWindow {
+    /// Resends of the record by now.
+    pub(crate) resends: u32,
+    /// From when no attempt that may have run can still be running, in Unix time.
+    pub(crate) settled_at: Micros,
+    /// Now, in Unix time.
+    pub(crate) now: Micros,
+    /// How long a partner's claim of `not applied` stays in date.
+    pub(crate) validity: Micros,
+}
+
+impl AttestationWindow {
+    fn counts(&self, attestation: &Attestation) -> bool {
+        match attestation.claim {
+            ExecutionClaim::Applied => true,
+            ExecutionClaim::NotApplied => self.covers_all_attempts(attestation),
+            ExecutionClaim::Unknown => false,
+        }
+    }
+
+    /// An attestation from after `now` was made before the clock was set back, and says nothing of its age.
+    fn covers_all_attempts(&self, attestation: &Attestation) -> bool {
+        attestation.resends == self.resends
+            && attestation.at >= self.settled_at
+            && attestation.at <= self.now
+    }
+}
+
+/// What the attestations that count claim, all together.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Claims {
+    None,
+    NotApplied,
+    Applied,
+    Contradictory,
+}
+
+impl Claims {
+    fn of_attestations(counted: &[&Attestation]) -> Self {
+        let any = |claim| counted.iter().any(|attestation| attestation.claim == claim);
+        match (
+            any(ExecutionClaim::Applied),
+            any(ExecutionClaim::NotApplied),
+        ) {
+            (false, false) => Claims::None,
+            (false, true) => Claims::NotApplied,
+            (true, false) => Claims::Applied,
+            (true, true) => Claims::Contradictory,
+        }
+    }
+}
+
+/// The age of the partner's latest claim that counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PartnerClaim {
+    None,
+    Expired,
+    InDate,
+}
+
+/// The claim on which at least [`REQUIRED_OPERATORS`] operators agree.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum OperatorAgreement {
+    None,
+    NotApplied,
+    Applied,
+}
+
+/// All by which a claim is resolved.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Evidence {
+    claims: Claims,
+    partner: PartnerClaim,
+    operators: OperatorAgreement,
+}
+
+impl Evidence {
+    fn gather(attestations: &[Attestation], window: &AttestationWindow) -> Self {
+        let counted: Vec<&Attestation> = attestations
+            .iter()
+            .filter(|attestation| window.counts(attestation))
+            .collect();
+        let claims = Claims::of_attestations(&counted);
+        let latest_partner = counted
+            .iter()
+            .rposition(|attestation| attestation.attester == Attester::Partner);
+        let decisive = match claims {
+            Claims::Contradictory => after_last_contradiction(&counted, latest_partner),
+            _ => &counted[..],
+        };
+        Evidence {
+            claims,
+            partner: partner_claim(latest_partner.map(|index| counted[index]), window),
+            operators: operator_agreement(decisive),
+        }
+    }
+}
+
+/// The attestations after the latest partner's and from the last change of claim on; all of them claim the same.
+fn after_last_contradiction<'a, 'b>(
+    counted: &'a [&'b Attestation],
+    latest_partner: Option<usize>,
+) -> &'a [&'b Attestation] {
+    let after_partner = latest_partner.map_or(0, |index| index + 1);
+    let after_change = counted
+        .windows(2)
+        .rposition(|pair| pair[0].claim != pair[1].claim)
+        .map_or(0, |index| index + 1);
+    &counted[after_partner.max(after_change)..]
+}
+
+fn partner_claim(latest: Option<&Attestation>, window: &AttestationWindow) -> PartnerClaim {
+    match latest {
+        None => PartnerClaim::None,
+        Some(latest) if latest.at.saturating_add(window.validity) < window.now => {
+            PartnerClaim::Expired
+        }
+        Some(_) => PartnerClaim::InDate,
+    }
+}
+
+/// Takes attestations that all claim the same. An operator who attested twice counts once.
+fn operator_agreement(decisive: &[&Attestation]) -> OperatorAgreement {
+    let operators: BTreeSet<&str> = decisive
+        .iter()
+        .filter_map(|attestation| match &attestation.attester {
+            Attester::Operator(name) => Some(name.as_str()),
+            Attester::Partner => None,
+        })
+        .collect();
+    if operators.len() < REQUIRED_OPERATORS {
+        return OperatorAgreement::None;
+    }
+    match decisive[0].claim {
+        ExecutionClaim::Applied => OperatorAgreement::Applied,
+        ExecutionClaim::NotApplied => OperatorAgreement::NotApplied,
+        ExecutionClaim::Unknown => OperatorAgreement::None,
+    }
+}
+
+/// Whether the attestations establish that no attempt took effect; the module's table, line by line.
+///
+/// # Errors
+///
+/// [`ResendBlocked::Applied`] if they establish that one did, else what is missing.
+pub(crate) fn resolve(
+    attestations: &[Attestation],
+    window: &AttestationWindow,
+) -> Result<(), ResendBlocked> {
+    use OperatorAgreement as Operators;
+    use PartnerClaim as Partner;
+    use ResendBlocked::{Applied, NeedsAgreement, NeedsAttestation, NeedsSecondOperator};
+
+    let evidence = Evidence::gather(attestations, window);
+    match (evidence.claims, evidence.partner, evidence.operators) {
+        (Claims::None, _, _) => Err(NeedsAttestation),
+        (Claims::NotApplied, Partner::InDate, _) => Ok(()),
+        (Claims::NotApplied, _, Operators::NotApplied) => Ok(()),
+        (Claims::NotApplied, Partner::Expired, _) => Err(NeedsAttestation),
+        (Claims::NotApplied, Partner::None, _) => Err(NeedsSecondOperator),
+        (Claims::Applied, Partner::InDate | Partner::Expired, _) => Err(Applied),
+        (Claims::Applied, _, Operators::Applied) => Err(Applied),
+        (Claims::Applied, Partner::None, _) => Err(NeedsSecondOperator),
+        (Claims::Contradictory, _, Operators::Applied) => Err(Applied),
+        (Claims::Contradictory, _, Operators::NotApplied) => Ok(()),
+        (Claims::Contradictory, _, Operators::None) => Err(NeedsAgreement),
+    }
+}
--- a/crates/undeliverable/src/filter.rs
+++ b/crates/undeliverable/src/filter.rs
@@ -68,8 +68,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::tests::{attempt, record};
     use crate::record::Idempotency;
+    use crate::test_records::{attempt, record};
 
     #[test]
     fn a_record_fits_if_it_fits_all_that_is_set() {
--- a/crates/undeliverable/src/lib.rs
+++ b/crates/undeliverable/src/lib.rs
@@ -1,18 +1,22 @@
-//! Messages that were given up: kept with their story, looked through, and sent again without a second effect.
+//! Messages that were given up: their records, which of them may be sent again, and their store.
 //!
-//! What is decided here has no I/O: [`decide`] says whether a record may be sent again, [`record`] how its state
-//! changes, [`batch`] and [`rules`] which records are next. [`store`] keeps records in an embedded database over a
-//! file that the caller gives. Each record has a version that grows with every change; whoever wants to change one
-//! names the version that was seen, so that of two who ask for the same only one is heard.
+//! All decisions are free of I/O: [`resend_policy`] decides whether a record may be sent again, [`record`] has the
+//! transitions of its state, [`batch`] and [`rules`] decide which records are resent next. [`store`] keeps records in
+//! an embedded database over a file that the caller opens. Each record has a version that grows with every change; a
+//! request for a change names the version that its caller has read, so that of two concurrent requests one fails.
 
+pub mod attestation;
 pub mod batch;
 pub mod filter;
 pub mod record;
+mod resend_blocked;
 pub mod resend_policy;
 pub mod rules;
 pub mod store;
+#[cfg(test)]
+mod test_records;
 
-/// A moment or a span, in microseconds.
+/// A moment in Unix time or a duration, in microseconds.
 pub type Micros = u64;
 
 pub use filter::Filter;
--- /dev/null
+++ b/crates/undeliverable/src/resend_policy/tests.rs
@@ -0,0 +1,263 @@
+//! Tests of the resend policy and of how attestations resolve.
+
+use super::*;
+use crate::record::{Attempt, Attester, ExecutionClaim};
+use crate::test_records::{attempt, record};
+use proptest::prelude::*;
+use std::collections::BTreeSet;
+
+const SECOND: Micros = 1_000_000;
+const KEYED: Idempotency = Idempotency::Keyed { window: 6 * SECOND };
+
+fn policy_at(now: Micros) -> ResendPolicy {
+    ResendPolicy {
+        now,
+        key_expiry_margin: SECOND,
+        settle_time: 2 * SECOND,
+        attestation_validity: 60 * SECOND,
+        max_resends: 5,
+    }
+}
+
+/// The attester of a name; the empty name is the partner.
+fn attester(name: &str) -> Attester {
+    if name.is_empty() {
+        Attester::Partner
+    } else {
+        Attester::Operator(name.into())
+    }
+}
+
+fn attest(record: &mut Record, name: &str, claim: ExecutionClaim, at: Micros) {
+    record
+        .attest(attester(name), claim, at, None, at)
+        .expect("not claimed");
+}
+
+#[test]
+fn resend_without_attestations_follows_idempotency_attempts_and_key_window() {
+    let doubtful = || {
+        vec![
+            attempt(10 * SECOND, false),
+            attempt(11 * SECOND, true),
+            attempt(12 * SECOND, true),
+        ]
+    };
+    let rejected = || vec![attempt(10 * SECOND, false)];
+    let check =
+        |idempotency, attempts, now| check_resend(&record(idempotency, attempts), &policy_at(now));
+    assert_eq!(
+        check(Idempotency::Idempotent, doubtful(), 100 * SECOND),
+        Ok(ResendPermit::AsNew)
+    );
+    assert_eq!(
+        check(Idempotency::NonIdempotent, rejected(), 100 * SECOND),
+        Ok(ResendPermit::AsNew)
+    );
+    assert_eq!(
+        check(KEYED, rejected(), 100 * SECOND),
+        Ok(ResendPermit::AsNew)
+    );
+    assert_eq!(
+        check(KEYED, doubtful(), 15 * SECOND),
+        Ok(ResendPermit::Keyed { first: 11 * SECOND })
+    );
+    assert_eq!(
+        check(KEYED, doubtful(), 16 * SECOND),
+        Err(ResendBlocked::NeedsAttestation),
+        "within the margin of the key's expiry"
+    );
+    assert_eq!(
+        check(KEYED, doubtful(), 5 * SECOND),
+        Err(ResendBlocked::NeedsAttestation),
+        "the clock was set back"
+    );
+    assert_eq!(
+        check(Idempotency::NonIdempotent, doubtful(), 100 * SECOND),
+        Err(ResendBlocked::NeedsAttestation)
+    );
+}
+
+#[test]
+fn partner_claim_counts_if_requested_after_attempts_settled_and_in_date() {
+    let doubtful = || record(Idempotency::NonIdempotent, vec![attempt(10 * SECOND, true)]);
+    let check = |claim, at, now| {
+        let mut record = doubtful();
+        attest(&mut record, "", claim, at);
+        check_resend(&record, &policy_at(now))
+    };
+    assert_eq!(
+        check(ExecutionClaim::NotApplied, 11 * SECOND, 20 * SECOND),
+        Err(ResendBlocked::NeedsAttestation),
+        "the attempt could still be running"
+    );
+    assert_eq!(
+        check(ExecutionClaim::NotApplied, 12 * SECOND, 20 * SECOND),
+        Ok(ResendPermit::AsNew)
+    );
+    assert_eq!(
+        check(ExecutionClaim::NotApplied, 12 * SECOND, 73 * SECOND),
+        Err(ResendBlocked::NeedsAttestation),
+        "expired"
+    );
+    assert_eq!(
+        check(ExecutionClaim::NotApplied, 30 * SECOND, 20 * SECOND),
+        Err(ResendBlocked::NeedsAttestation),
+        "from before the clock was set back"
+    );
+    assert_eq!(
+        check(ExecutionClaim::Unknown, 12 * SECOND, 20 * SECOND),
+        Err(ResendBlocked::NeedsAttestation)
+    );
+    assert_eq!(
+        check(ExecutionClaim::Applied, 1, 20 * SECOND),
+        Err(ResendBlocked::Applied),
+        "an effect does not go away, whenever it was claimed"
+    );
+}
+
+#[test]
+fn contradictory_partner_claims_need_two_operators_afterwards() {
+    let mut record = record(Idempotency::NonIdempotent, vec![attempt(10 * SECOND, true)]);
+    attest(&mut record, "", ExecutionClaim::NotApplied, 20 * SECOND);
+    attest(&mut record, "", ExecutionClaim::Applied, 21 * SECOND);
+    assert_eq!(
+        check_resend(&record, &policy_at(22 * SECOND)),
+        Err(ResendBlocked::NeedsAgreement)
+    );
+    attest(&mut record, "ann", ExecutionClaim::NotApplied, 22 * SECOND);
+    assert_eq!(
+        check_resend(&record, &policy_at(23 * SECOND)),
+        Err(ResendBlocked::NeedsAgreement)
+    );
+    attest(&mut record, "ann", ExecutionClaim::NotApplied, 23 * SECOND);
+    assert_eq!(
+        check_resend(&record, &policy_at(24 * SECOND)),
+        Err(ResendBlocked::NeedsAgreement),
+        "an operator who attests twice counts once"
+    );
+    attest(&mut record, "bob", ExecutionClaim::NotApplied, 24 * SECOND);
+    assert_eq!(
+        check_resend(&record, &policy_at(25 * SECOND)),
+        Ok(ResendPermit::AsNew)
+    );
+    attest(&mut record, "", ExecutionClaim::Applied, 26 * SECOND);
+    assert_eq!(
+        check_resend(&record, &policy_at(27 * SECOND)),
+        Err(ResendBlocked::NeedsAgreement)
+    );
+}
+
+#[test]
+fn two_operators_permit_or_block_resend_and_one_does_neither() {
+    for (claim, after) in [
+        (ExecutionClaim::NotApplied, Ok(ResendPermit::AsNew)),
+        (ExecutionClaim::Applied, Err(ResendBlocked::Applied)),
+    ] {
+        let mut record = record(Idempotency::NonIdempotent, vec![attempt(10 * SECOND, true)]);
+        attest(&mut record, "ann", claim, 20 * SECOND);
+        assert_eq!(
+            check_resend(&record, &policy_at(21 * SECOND)),
+            Err(ResendBlocked::NeedsSecondOperator)
+        );
+        attest(&mut record, "bob", claim, 21 * SECOND);
+        assert_eq!(check_resend(&record, &policy_at(22 * SECOND)), after);
+    }
+}
+
+#[test]
+fn attestation_from_before_a_resend_does_not_cover_it_and_resends_are_limited() {
+    let mut record = record(Idempotency::NonIdempotent, vec![attempt(10 * SECOND, true)]);
+    attest(&mut record, "", ExecutionClaim::NotApplied, 20 * SECOND);
+    record.begin_resend("ann", 21 * SECOND);
+    record.reopen_after_resend(
+        vec![Attempt {
+            resend: 1,
+            ..attempt(21 * SECOND, true)
+        }],
+        None,
+    );
+    assert_eq!(
+        check_resend(&record, &policy_at(24 * SECOND)),
+        Err(ResendBlocked::NeedsAttestation)
+    );
+    attest(&mut record, "", ExecutionClaim::NotApplied, 24 * SECOND);
+    assert_eq!(
+        check_resend(&record, &policy_at(25 * SECOND)),
+        Ok(ResendPermit::AsNew)
+    );
+    for _ in 0..4 {
+        record.begin_resend("ann", 26 * SECOND);
+        record.abort_resend();
+    }
+    assert_eq!(
+        check_resend(&record, &policy_at(27 * SECOND)),
+        Err(ResendBlocked::ResendsExhausted)
+    );
+}
+
+/// A claim of the partner, whose name is empty, or of an operator; the moment is in seconds.
+#[derive(Clone, Debug)]
+struct Claimed {
+    name: &'static str,
+    claim: ExecutionClaim,
+    at: u64,
+}
+
+impl Claimed {
+    fn is_by_partner(&self) -> bool {
+        self.name.is_empty()
+    }
+}
+
+fn claims() -> impl Strategy<Value = Vec<Claimed>> {
+    let name = prop::sample::select(vec!["", "ann", "bob", "eve"]);
+    let claim = prop::sample::select(vec![
+        ExecutionClaim::Applied,
+        ExecutionClaim::NotApplied,
+        ExecutionClaim::Unknown,
+    ]);
+    let claimed =
+        (name, claim, 0u64..200).prop_map(|(name, claim, at)| Claimed { name, claim, at });
+    proptest::collection::vec(claimed, 0..10)
+}
+
+fn operators<'a>(claims: impl IntoIterator<Item = &'a Claimed>) -> BTreeSet<&'static str> {
+    let by_operators = claims
+        .into_iter()
+        .filter(|claimed| !claimed.is_by_partner());
+    by_operators.map(|claimed| claimed.name).collect()
+}
+
+proptest! {
+    /// A non-idempotent message that may have run is resent only on a claim of `not applied` that covers the attempt,
+    /// by the partner or by two operators, and after a partner's `applied` only by two operators.
+    #[test]
+    fn non_idempotent_message_is_never_resent_on_insufficient_evidence(
+        sent in 0u64..100,
+        claims in claims(),
+        now in 0u64..300,
+    ) {
+        let mut record = record(Idempotency::NonIdempotent, vec![attempt(sent * SECOND, true)]);
+        for claimed in &claims {
+            attest(&mut record, claimed.name, claimed.claim, claimed.at * SECOND);
+        }
+        if check_resend(&record, &policy_at(now * SECOND)).is_ok() {
+            let covers = |claimed: &&Claimed| {
+                claimed.claim == ExecutionClaim::NotApplied
+                    && claimed.at >= sent + 2
+                    && claimed.at <= now
+            };
+            let covering: Vec<&Claimed> = claims.iter().filter(covers).collect();
+            let by_partner = covering.iter().any(|claimed| claimed.is_by_partner());
+            prop_assert!(by_partner || operators(covering).len() >= 2, "{claims:?}");
+            let last_applied = claims
+                .iter()
+                .rposition(|claimed| claimed.claim == ExecutionClaim::Applied);
+            if let Some(index) = last_applied.filter(|index| claims[*index].is_by_partner()) {
+                let afterwards = claims[index + 1..].iter().filter(covers);
+                prop_assert!(operators(afterwards).len() >= 2, "{claims:?}");
+            }
+        }
+    }
+}
--- a/crates/undeliverable/src/rules.rs
+++ b/crates/undeliverable/src/rules.rs
@@ -158,8 +158,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::tests::{attempt, record};
     use crate::record::Idempotency;
+    use crate::test_records::{attempt, record};
 
     fn rule(when: RuleTrigger) -> Rule {
         Rule {
--- a/crates/undeliverable/src/store.rs
+++ b/crates/undeliverable/src/store.rs
@@ -783,8 +783,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::record::tests::{attempt, record};
     use crate::record::{Idempotency, Reason, RecordError, Resolution};
+    use crate::test_records::{attempt, record};
     use redb::backends::InMemoryBackend;
 
     fn store() -> Store {
--- a/crates/undeliverable/tests/resend_policy.rs
+++ b/crates/undeliverable/tests/resend_policy.rs
@@ -1,5 +1,5 @@
-//! Whether a message may be sent again, case by case: `tests/golden/resend-policy.txt` has the cases in plain terms, and
-//! what is here only maps its words to the crate's items. No test writes that file; its head says how to read it.
+//! Golden cases of the resend policy. `tests/golden/resend-policy.txt` has them in terms that do not depend on the code,
+//! and its head explains them; what is here maps them to the crate's items. No test writes that file.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,7 +12,7 @@
     ResendPolicy, Resolution,
 };
 
-/// The last column's words, each of which some case has.
+/// The outcomes in the last column; there is a case of each.
 const ALL_OUTCOMES: [&str; 7] = [
     "may-go",
     "may-go-with-key",
@@ -23,37 +23,37 @@
     "resends-spent",
 ];
 
-fn text() -> String {
+fn golden_cases() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/resend-policy.txt");
     fs::read_to_string(path).expect("a golden file")
 }
 
-/// Seconds, with up to six digits after the point, in microseconds; `max` is the end of time.
-fn moment(word: &str) -> u64 {
-    if word == "max" {
+/// Microseconds of a moment in seconds with up to six decimals; `max` is the largest one.
+fn moment(text: &str) -> u64 {
+    if text == "max" {
         return u64::MAX;
     }
-    let (whole, part) = word.split_once('.').unwrap_or((word, ""));
-    format!("{whole}{part:0<6}").parse().expect("a moment")
+    let (whole, decimals) = text.split_once('.').unwrap_or((text, ""));
+    format!("{whole}{decimals:0<6}").parse().expect("a moment")
 }
 
-fn number(word: &str) -> u32 {
-    word.parse().expect("a number")
+fn number(text: &str) -> u32 {
+    text.parse().expect("a number")
 }
 
-fn effect(words: &str) -> Idempotency {
-    match words.split_once(' ').unwrap_or((words, "")) {
+fn idempotency(text: &str) -> Idempotency {
+    match text.split_once(' ').unwrap_or((text, "")) {
         ("safe", "") => Idempotency::Idempotent,
         ("keyed", window) => Idempotency::Keyed {
             window: moment(window),
         },
         ("unsafe", "") => Idempotency::NonIdempotent,
-        _ => panic!("{words} is no effect"),
+        _ => panic!("{text} is no idempotency"),
     }
 }
 
-fn state(words: &str) -> RecordState {
-    match words.split(' ').collect::<Vec<_>>()[..] {
+fn state(text: &str) -> RecordState {
+    match text.split(' ').collect::<Vec<_>>()[..] {
         ["open"] => RecordState::Open,
         ["claimed", by, until] => RecordState::Claimed {
             by: by.into(),
@@ -66,16 +66,16 @@
         ["delivered", at] => RecordState::Closed(Resolution::Delivered, moment(at)),
         ["applied-before", at] => RecordState::Closed(Resolution::AppliedBefore, moment(at)),
         ["discarded", at] => RecordState::Closed(Resolution::Discarded, moment(at)),
-        _ => panic!("{words} is no state"),
+        _ => panic!("{text} is no state"),
     }
 }
 
-fn attempt(words: &str) -> Attempt {
-    let (sent, whether) = words.split_once(' ').expect("an attempt");
-    let may_have_run = match whether {
+fn attempt(text: &str) -> Attempt {
+    let (sent, execution) = text.split_once(' ').expect("an attempt");
+    let may_have_run = match execution {
         "may-have-run" => true,
         "did-not-run" => false,
-        _ => panic!("{words} is no attempt"),
+        _ => panic!("{text} is no attempt"),
     };
     Attempt {
         sent: moment(sent),
@@ -90,30 +90,30 @@
     }
 }
 
-fn statement(words: &str, resends: u32) -> Attestation {
-    let words: Vec<&str> = words.split(' ').collect();
+fn attestation(text: &str, resends: u32) -> Attestation {
+    let columns: Vec<&str> = text.split(' ').collect();
     Attestation {
-        attester: match words[0] {
+        attester: match columns[0] {
             "partner" => Attester::Partner,
             name => Attester::Operator(name.into()),
         },
-        claim: match words[1] {
+        claim: match columns[1] {
             "applied" => ExecutionClaim::Applied,
             "not-applied" => ExecutionClaim::NotApplied,
             "unknown" => ExecutionClaim::Unknown,
-            other => panic!("{other} is no statement"),
+            other => panic!("{other} is no claim"),
         },
-        at: moment(words[2]),
-        resends: words.get(3).map_or(resends, |word| {
-            number(word.strip_prefix("resend-").expect("a resend"))
+        at: moment(columns[2]),
+        resends: columns.get(3).map_or(resends, |column| {
+            number(column.strip_prefix("resend-").expect("a resend"))
         }),
     }
 }
 
-fn list<T>(words: &str, one: impl FnMut(&str) -> T) -> Vec<T> {
-    match words {
+fn list<T>(text: &str, parse: impl FnMut(&str) -> T) -> Vec<T> {
+    match text {
         "none" => Vec::new(),
-        words => words.split(", ").map(one).collect(),
+        text => text.split(", ").map(parse).collect(),
     }
 }
 
@@ -129,36 +129,36 @@
             ordering_key: None,
             deadline: 5_000_000,
         },
-        idempotency: effect(columns[0]),
+        idempotency: idempotency(columns[0]),
         size: 10,
         given_up_at: 5_000_000,
         reason: Reason::OutOfTime,
         attempts: list(columns[1], attempt),
-        attestations: list(columns[3], |words| statement(words, resends)),
+        attestations: list(columns[3], |text| attestation(text, resends)),
         state: state(columns[4]),
         version: 1,
         resends,
     }
 }
 
-fn outcome(record: &Record, terms: &ResendPolicy) -> String {
-    match check_resend(record, terms) {
+fn outcome(record: &Record, policy: &ResendPolicy) -> String {
+    match check_resend(record, policy) {
         Ok(ResendPermit::AsNew) => "may-go".into(),
         Ok(ResendPermit::Keyed { first }) => {
             let (seconds, micros) = (first / 1_000_000, first % 1_000_000);
             assert_eq!(micros, 0, "whole seconds in the file");
             format!("may-go-with-key {seconds}")
         }
-        Err(need) => need.as_str().into(),
+        Err(blocked) => blocked.as_str().into(),
     }
 }
 
-/// `terms: margin 1 settle 2 ...`, up to the next such line.
-fn terms(words: &str, now: u64) -> ResendPolicy {
-    let words: Vec<&str> = words.split(' ').collect();
+/// The policy of a line `terms: margin 1 settle 2 ...`, which holds for the cases below it up to the next such line.
+fn policy(text: &str, now: u64) -> ResendPolicy {
+    let columns: Vec<&str> = text.split(' ').collect();
     let value = |name: &str| {
-        let at = words.iter().position(|word| *word == name);
-        words[at.expect("all terms") + 1]
+        let index = columns.iter().position(|column| *column == name);
+        columns[index.expect("every limit") + 1]
     };
     ResendPolicy {
         now,
@@ -170,44 +170,44 @@
 }
 
 #[test]
-fn every_case_comes_out_as_before() {
-    let text = text();
-    let (mut in_force, mut differ, mut cases) = ("", Vec::new(), BTreeSet::new());
-    let mut seen = BTreeSet::new();
+fn every_golden_case_has_its_outcome() {
+    let text = golden_cases();
+    let (mut in_force, mut differences, mut cases) = ("", Vec::new(), BTreeSet::new());
+    let mut outcomes = BTreeSet::new();
     for line in text.lines() {
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
-        if let Some(words) = line.strip_prefix("terms: ") {
-            in_force = words;
+        if let Some(text) = line.strip_prefix("terms: ") {
+            in_force = text;
             continue;
         }
         let (case, expected) = line.split_once(" -> ").expect("a case and its outcome");
         let columns: Vec<&str> = case.split(" | ").collect();
         assert_eq!(columns.len(), 6, "{line}");
         assert!(cases.insert((in_force, case)), "twice: {line}");
-        let now = outcome(&record(&columns), &terms(in_force, moment(columns[5])));
-        seen.insert(now.split(' ').next().unwrap_or("").to_string());
+        let now = outcome(&record(&columns), &policy(in_force, moment(columns[5])));
+        outcomes.insert(now.split(' ').next().unwrap_or("").to_string());
         if now != expected {
-            differ.push(format!("{line}\nnow: {now}\n"));
+            differences.push(format!("{line}\nnow: {now}\n"));
         }
     }
     let count = cases.len();
     assert!(
-        differ.is_empty(),
+        differences.is_empty(),
         "{} of {count} differ:\n{}",
-        differ.len(),
-        differ.concat()
+        differences.len(),
+        differences.concat()
     );
     assert_eq!(
-        seen,
+        outcomes,
         ALL_OUTCOMES.map(String::from).into(),
         "each outcome has a case"
     );
 }
 
 #[test]
-fn every_need_has_its_word_and_text_as_before() {
+fn resend_blocked_identifiers_and_texts_are_unchanged() {
     let golden = "\
 needs-word: it may have taken effect; the partner's word or two operators' is needed
 needs-agreement: what was said of it is contradictory; two operators have to agree
@@ -215,13 +215,13 @@
 applied: it has taken effect
 resends-spent: it was sent again as often as may be
 ";
-    let needs = [
+    let all_blocked = [
         ResendBlocked::NeedsAttestation,
         ResendBlocked::NeedsAgreement,
         ResendBlocked::NeedsSecondOperator,
         ResendBlocked::Applied,
         ResendBlocked::ResendsExhausted,
     ];
-    let now = needs.map(|need| format!("{}: {need}\n", need.as_str()));
+    let now = all_blocked.map(|blocked| format!("{}: {blocked}\n", blocked.as_str()));
     assert_eq!(now.concat(), golden);
 }
