--- /dev/null
+++ b/crates/undeliverable/src/store/encoding.rs
@@ -0,0 +1,49 @@
+//! The encoding of stored values: a CRC-32 (little-endian) of all that follows it, the version of the encoding in one
+//! byte, and the payload.
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+use super::error::StoreError;
+
+/// Version of the encoding.
+const ENCODING_VERSION: u8 = 1;
+const CHECKSUM_BYTES: usize = 4;
+/// Bytes before the payload.
+pub(super) const HEADER_BYTES: usize = CHECKSUM_BYTES + 1;
+
+/// Encodes a value in postcard's form.
+pub(super) fn encode(value: &impl Serialize) -> Result<Vec<u8>, StoreError> {
+    let encoded = postcard::to_extend(value, vec![0; HEADER_BYTES])
+        .map_err(|e| StoreError::Database(e.to_string()))?;
+    Ok(fill_header(encoded))
+}
+
+/// Encodes bytes as they are.
+pub(super) fn encode_bytes(payload: &[u8]) -> Vec<u8> {
+    let mut encoded = vec![0; HEADER_BYTES];
+    encoded.extend_from_slice(payload);
+    fill_header(encoded)
+}
+
+/// The value, unless its header or its payload is damaged.
+pub(super) fn decode<T: DeserializeOwned>(encoded: &[u8]) -> Option<T> {
+    postcard::from_bytes(decode_bytes(encoded)?).ok()
+}
+
+/// The payload, unless its checksum or version is another one.
+pub(super) fn decode_bytes(encoded: &[u8]) -> Option<&[u8]> {
+    let (checksum, checked) = encoded.split_first_chunk::<CHECKSUM_BYTES>()?;
+    let (version, payload) = checked.split_first()?;
+    let is_intact =
+        *version == ENCODING_VERSION && crc32fast::hash(checked) == u32::from_le_bytes(*checksum);
+    is_intact.then_some(payload)
+}
+
+/// Fills the first [`HEADER_BYTES`], which are zero, for what follows them.
+fn fill_header(mut encoded: Vec<u8>) -> Vec<u8> {
+    encoded[CHECKSUM_BYTES] = ENCODING_VERSION;
+    let checksum = crc32fast::hash(&encoded[CHECKSUM_BYTES..]);
+    encoded[..CHECKSUM_BYTES].copy_from_slice(&checksum.to_le_bytes());
+    encoded
+}
--- /dev/null
+++ b/crates/undeliverable/src/store/queries.rs
@@ -0,0 +1,225 @@
+//! Pages, counts and totals.
+
+use std::ops::Range;
+
+use redb::{Key, ReadTransaction, ReadableDatabase, ReadableTable, Value};
+
+use super::database::Store;
+use super::error::StoreError;
+use super::group::GroupBy;
+use super::tables::{
+    read_total, value_or_zero, BYTE_TOTAL, COUNTS, DROPPED, INDEX, LAST_ID, RECORDS, RECORD_TOTAL,
+};
+use crate::filter::Filter;
+use crate::record::{Record, RecordId};
+
+/// Maximum records that one page examines: a filter that few records match gives a short page with a next one.
+const MAX_EXAMINED_RECORDS: usize = 4000;
+
+/// A page of records.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Page {
+    /// The records, in the order of the query.
+    pub records: Vec<(RecordId, Record)>,
+    /// The record from which the next page goes on; none at the end.
+    pub next: Option<RecordId>,
+}
+
+/// Totals of the store.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct GroupCounts {
+    /// Records.
+    pub records: u64,
+    /// Bytes that count against the limits.
+    pub bytes: u64,
+    /// Evicted records: tenant, cause and count.
+    pub dropped: Vec<(String, String, u64)>,
+    /// Values that could not be read since the store was opened.
+    pub unreadable_values: u64,
+}
+
+/// The order of a page's records by their numbers.
+#[derive(Clone, Copy)]
+enum PageOrder {
+    NewestFirst,
+    OldestFirst,
+}
+
+/// The records of a page, out of which the filter selects.
+struct PageQuery<'a> {
+    filter: &'a Filter,
+    ids: Range<RecordId>,
+    order: PageOrder,
+    max_records: usize,
+}
+
+/// A group that contains every record that a filter matches.
+struct FilteredGroup {
+    records: u64,
+    group_by: GroupBy,
+    group: String,
+}
+
+impl Store {
+    /// Records that match, newest first, with numbers below `before`.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn page(
+        &self,
+        filter: &Filter,
+        before: Option<RecordId>,
+        max_records: usize,
+    ) -> Result<Page, StoreError> {
+        self.scan(&PageQuery {
+            filter,
+            ids: 0..before.unwrap_or(RecordId::MAX),
+            order: PageOrder::NewestFirst,
+            max_records,
+        })
+    }
+
+    /// Records that match, oldest first, with numbers above `after`.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn page_after(
+        &self,
+        filter: &Filter,
+        after: RecordId,
+        max_records: usize,
+    ) -> Result<Page, StoreError> {
+        self.scan(&PageQuery {
+            filter,
+            ids: after.saturating_add(1)..RecordId::MAX,
+            order: PageOrder::OldestFirst,
+            max_records,
+        })
+    }
+
+    /// Scans the smallest group that the filter names, or all records.
+    fn scan(&self, query: &PageQuery) -> Result<Page, StoreError> {
+        let transaction = self.database.begin_read()?;
+        let smallest = smallest_group(&transaction, query.filter)?;
+        let records = transaction.open_table(RECORDS)?;
+        let Some(FilteredGroup {
+            group_by, group, ..
+        }) = smallest
+        else {
+            let ids = records.range(query.ids.clone())?;
+            return self.collect_page(query, &records, ids, |id| id);
+        };
+        let index = transaction.open_table(INDEX)?;
+        let key = |id| (group_by.key(), group.as_str(), id);
+        let ids = index.range(key(query.ids.start)..key(query.ids.end))?;
+        self.collect_page(query, &records, ids, |(_, _, id)| id)
+    }
+
+    /// Collects the records that match, until the page is full or has examined its maximum.
+    fn collect_page<K: Key + 'static, V: Value + 'static>(
+        &self,
+        query: &PageQuery,
+        records: &impl ReadableTable<u64, &'static [u8]>,
+        mut entries: redb::Range<K, V>,
+        id_of_key: impl for<'k> Fn(K::SelfType<'k>) -> RecordId,
+    ) -> Result<Page, StoreError> {
+        let mut page = Page::default();
+        let mut examined = 0;
+        while let Some(entry) = match query.order {
+            PageOrder::NewestFirst => entries.next_back(),
+            PageOrder::OldestFirst => entries.next(),
+        } {
+            let id = id_of_key(entry?.0.value());
+            examined += 1;
+            if let Some(encoded) = records.get(id)? {
+                // A record that can't be read is counted and skipped.
+                if let Ok(record) = self.decode_record(id, encoded.value()) {
+                    if query.filter.matches(&record) {
+                        page.records.push((id, record));
+                    }
+                }
+            }
+            if page.records.len() >= query.max_records || examined >= MAX_EXAMINED_RECORDS {
+                page.next = Some(id);
+                break;
+            }
+        }
+        Ok(page)
+    }
+
+    /// Records of each group that is not empty, by group.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn counts(&self, group_by: GroupBy) -> Result<Vec<(String, u64)>, StoreError> {
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(COUNTS)?;
+        let mut counts = Vec::new();
+        for entry in table.range((group_by.key(), "")..(group_by.key() + 1, ""))? {
+            let (key, count) = entry?;
+            if count.value() > 0 {
+                counts.push((key.value().1.to_string(), count.value()));
+            }
+        }
+        Ok(counts)
+    }
+
+    /// The last record's number; 0 if there has been none.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn last_id(&self) -> Result<RecordId, StoreError> {
+        read_total(&self.database.begin_read()?, LAST_ID)
+    }
+
+    /// Totals of the store.
+    ///
+    /// # Errors
+    ///
+    /// [`StoreError::Database`] if the database or its file fails.
+    pub fn totals(&self) -> Result<GroupCounts, StoreError> {
+        let transaction = self.database.begin_read()?;
+        let mut dropped = Vec::new();
+        for entry in transaction.open_table(DROPPED)?.iter()? {
+            let (key, count) = entry?;
+            let (tenant, cause) = key.value();
+            dropped.push((tenant.into(), cause.into(), count.value()));
+        }
+        Ok(GroupCounts {
+            records: read_total(&transaction, RECORD_TOTAL)?,
+            bytes: read_total(&transaction, BYTE_TOTAL)?,
+            dropped,
+            unreadable_values: self.unreadable_values(),
+        })
+    }
+}
+
+/// The smallest of the groups that a filter names, the first of equal ones; none if it names none.
+fn smallest_group(
+    transaction: &ReadTransaction,
+    filter: &Filter,
+) -> Result<Option<FilteredGroup>, StoreError> {
+    let counts = transaction.open_table(COUNTS)?;
+    let mut smallest: Option<FilteredGroup> = None;
+    for group_by in GroupBy::ALL {
+        let Some(group) = group_by.group_in(filter) else {
+            continue;
+        };
+        let records = value_or_zero(&counts, (group_by.key(), group.as_str()))?;
+        if smallest
+            .as_ref()
+            .is_none_or(|smallest| records < smallest.records)
+        {
+            smallest = Some(FilteredGroup {
+                records,
+                group_by,
+                group,
+            });
+        }
+    }
+    Ok(smallest)
+}
--- a/crates/undeliverable/tests/store_tables.rs
+++ b/crates/undeliverable/tests/store_tables.rs
@@ -1,6 +1,6 @@
-//! Golden files of the store beside those of `stored_format.rs`: the names and types of all tables, and every kind of
-//! key and every variant of a stored value, read from the file with the database's own interface. What is Rust of it
-//! is only how the values are made. No test writes the files in `tests/golden`.
+//! Golden files of the store beside those of `stored_format.rs`: the names and types of all tables, every kind of key
+//! and every variant of a stored value, as the database's own interface reads them from the file. Only how the values
+//! are made depends on the crate's items. No test writes the files in `tests/golden`.
 
 use std::any::type_name;
 use std::collections::BTreeSet;
@@ -23,7 +23,7 @@
 
 const NOW: u64 = 1_796_168_070_000_000;
 const DAY: u64 = 86_400_000_000;
-const NO_CAPS: StoreLimits = StoreLimits {
+const UNLIMITED: StoreLimits = StoreLimits {
     bytes: u64::MAX,
     tenant_bytes: u64::MAX,
     records: u64::MAX,
@@ -37,10 +37,10 @@
     fs::read_to_string(path).expect("a golden file")
 }
 
-fn folder(name: &str) -> PathBuf {
+fn create_directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("store-tables-{name}-{}", std::process::id()));
     drop(fs::remove_dir_all(&path));
-    fs::create_dir_all(&path).expect("a folder");
+    fs::create_dir_all(&path).expect("a directory");
     path
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// One record of each reason, each outcome and each effect, with and without key, order and attempts.
+/// One record of each reason, outcome and idempotency, with and without keys and attempts.
 fn record(number: u64, reason: Reason) -> Record {
     let outcomes = [
         Outcome::Unknown,
@@ -104,61 +104,66 @@
     }
 }
 
-fn change(store: &Store, id: u64, what: impl Fn(&mut Record) -> Result<(), RecordError>) {
-    let changed = store.update(id, |record| what(record)).expect("written");
-    assert_eq!(changed, Some(Ok(())));
+fn update(store: &Store, id: u64, change: impl Fn(&mut Record) -> Result<(), RecordError>) {
+    let updated = store.update(id, |record| change(record)).expect("written");
+    assert_eq!(updated, Some(Ok(())));
 }
 
-fn says(record: &mut Record, by: &str, says: ExecutionClaim, at: u64) -> Result<(), RecordError> {
-    let by = match by {
+fn attest(
+    record: &mut Record,
+    name: &str,
+    claim: ExecutionClaim,
+    at: u64,
+) -> Result<(), RecordError> {
+    let attester = match name {
         "" => Attester::Partner,
         name => Attester::Operator(name.into()),
     };
-    record.attest(by, says, at, None, NOW)
+    record.attest(attester, claim, at, None, NOW)
 }
 
-/// Each state, each statement, and resends that ended, were lost from sight, and never began.
+/// Records in each state and with each claim, and with resends that failed, have an unknown outcome, and were aborted.
 fn write_records(store: &Store) {
     let records: Vec<(Record, &[u8])> = Reason::ALL
         .into_iter()
         .zip(1..)
         .map(|(reason, number)| (record(number, reason), &b"\x00\xffab"[..]))
         .collect();
-    let kept = store.insert(&records).expect("kept");
-    assert_eq!(kept, (1..=8).collect::<Vec<_>>());
-    change(store, 2, |record| record.claim("ann", Some(1), NOW, 600));
-    change(store, 3, |record| {
+    let ids = store.insert(&records).expect("inserted");
+    assert_eq!(ids, (1..=8).collect::<Vec<_>>());
+    update(store, 2, |record| record.claim("ann", Some(1), NOW, 600));
+    update(store, 3, |record| {
         record.begin_resend("rule again", NOW);
         Ok(())
     });
-    let all_closed = [
+    let resolutions = [
         Resolution::Delivered,
         Resolution::AppliedBefore,
         Resolution::Discarded,
     ];
-    for (closed, id) in all_closed.into_iter().zip(4..) {
-        change(store, id, |record| {
-            record.resolve(closed, NOW + id);
+    for (resolution, id) in resolutions.into_iter().zip(4..) {
+        update(store, id, |record| {
+            record.resolve(resolution, NOW + id);
             Ok(())
         });
     }
-    change(store, 7, |record| {
-        says(record, "", ExecutionClaim::Applied, NOW)?;
-        says(record, "", ExecutionClaim::NotApplied, NOW + 1)?;
-        says(record, "", ExecutionClaim::Unknown, NOW + 2)?;
-        says(record, "ann", ExecutionClaim::Applied, NOW + 3)?;
-        says(record, "bob", ExecutionClaim::NotApplied, NOW + 4)?;
-        says(record, "eve", ExecutionClaim::Unknown, NOW + 5)
+    update(store, 7, |record| {
+        attest(record, "", ExecutionClaim::Applied, NOW)?;
+        attest(record, "", ExecutionClaim::NotApplied, NOW + 1)?;
+        attest(record, "", ExecutionClaim::Unknown, NOW + 2)?;
+        attest(record, "ann", ExecutionClaim::Applied, NOW + 3)?;
+        attest(record, "bob", ExecutionClaim::NotApplied, NOW + 4)?;
+        attest(record, "eve", ExecutionClaim::Unknown, NOW + 5)
     });
-    change(store, 8, |record| {
+    update(store, 8, |record| {
         record.begin_resend("ann", NOW);
-        let again = attempt(9, Outcome::TimedOut, true, 1);
-        record.reopen_after_resend(vec![again], Some(Reason::AttemptsSpent));
+        let resent = attempt(9, Outcome::TimedOut, true, 1);
+        record.reopen_after_resend(vec![resent], Some(Reason::AttemptsSpent));
         record.begin_resend("batch weekly", NOW + 10);
         record.record_unknown_outcome(NOW + 20);
         record.begin_resend("bob", NOW + 30);
         record.abort_resend();
-        says(record, "bob", ExecutionClaim::NotApplied, NOW + 40)
+        attest(record, "bob", ExecutionClaim::NotApplied, NOW + 40)
     });
 }
 
@@ -207,10 +212,10 @@
             8,
             BatchCounts::default(),
         )
-        .expect("good")
+        .expect("in bounds")
     };
     let planned = Batch::plan(spec("1-planned", everything), "ann", NOW, 8, counts);
-    let planned = planned.expect("good");
+    let planned = planned.expect("in bounds");
     let run = |name: &str| {
         let mut batch = plan(name);
         batch
@@ -240,13 +245,13 @@
         .apply_command(BatchCommand::Cancel, None, NOW)
         .expect("cancels");
     for batch in [planned, running, paused, stopped, done, cancelled] {
-        store.save_batch(&batch).expect("kept");
+        store.save_batch(&batch).expect("stored");
     }
-    store.save_batch(&plan("7-forgotten")).expect("kept");
-    store.remove_batch("7-forgotten").expect("forgotten");
+    store.save_batch(&plan("7-forgotten")).expect("stored");
+    store.remove_batch("7-forgotten").expect("removed");
 }
 
-/// A store in which a record was dropped for each cause, one of them unreadable.
+/// A store from which a record was evicted for each cause, one of them unreadable.
 fn write_dropped(path: &Path) {
     let store = open(path);
     let records: Vec<(Record, &[u8])> = Reason::ALL
@@ -254,107 +259,107 @@
         .zip(1..)
         .map(|(reason, number)| (record(number, reason), &b"\x00\xffab"[..]))
         .collect();
-    store.insert(&records).expect("kept");
+    store.insert(&records).expect("stored");
     drop(store);
     let records: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
     let database = Database::open(path).expect("a database");
     let writing = database.begin_write().expect("writable");
-    let spoilt = writing
+    let corrupted = writing
         .open_table(records)
         .expect("a table")
         .insert(1, &b"spoilt"[..])
         .map(drop);
-    spoilt.expect("written");
+    corrupted.expect("written");
     writing.commit().expect("committed");
     drop(database);
     let store = open(path);
-    let sums = store.totals().expect("read");
+    let before = store.totals().expect("read");
     let by_age = StoreLimits {
         age: DAY - 2,
-        ..NO_CAPS
+        ..UNLIMITED
     };
     assert_eq!(
-        store.evict_beyond_limits(&by_age, NOW, 9).expect("dropped"),
+        store.evict_beyond_limits(&by_age, NOW, 9).expect("evicted"),
         2
     );
     let by_tenant = StoreLimits {
         tenant_bytes: 600,
-        ..NO_CAPS
+        ..UNLIMITED
     };
     assert!(
         store
             .evict_beyond_limits(&by_tenant, NOW, 9)
-            .expect("dropped")
+            .expect("evicted")
             > 0
     );
     let left = store.totals().expect("read");
     let by_bytes = StoreLimits {
         bytes: left.bytes - 1,
-        ..NO_CAPS
+        ..UNLIMITED
     };
     assert_eq!(
         store
             .evict_beyond_limits(&by_bytes, NOW, 9)
-            .expect("dropped"),
+            .expect("evicted"),
         1
     );
     let by_records = StoreLimits {
         records: left.records - 2,
-        ..NO_CAPS
+        ..UNLIMITED
     };
     assert_eq!(
         store
             .evict_beyond_limits(&by_records, NOW, 9)
-            .expect("dropped"),
+            .expect("evicted"),
         1
     );
-    assert!(left.records < sums.records);
+    assert!(left.records < before.records);
 }
 
 /// A key or a value in the text of a golden file.
-trait Shown {
-    fn shown(&self) -> String;
+trait GoldenText {
+    fn golden_text(&self) -> String;
 }
 
-impl Shown for u64 {
-    fn shown(&self) -> String {
+impl GoldenText for u64 {
+    fn golden_text(&self) -> String {
         self.to_string()
     }
 }
 
-impl Shown for () {
-    fn shown(&self) -> String {
+impl GoldenText for () {
+    fn golden_text(&self) -> String {
         "-".into()
     }
 }
 
-impl Shown for &str {
-    fn shown(&self) -> String {
+impl GoldenText for &str {
+    fn golden_text(&self) -> String {
         format!("{self:?}")
     }
 }
 
-impl Shown for &[u8] {
-    fn shown(&self) -> String {
+impl GoldenText for &[u8] {
+    fn golden_text(&self) -> String {
         self.iter()
             .fold(String::new(), |text, byte| text + &format!("{byte:02x}"))
     }
 }
 
-impl Shown for (u8, &str) {
-    fn shown(&self) -> String {
+impl GoldenText for (u8, &str) {
+    fn golden_text(&self) -> String {
         format!("{self:?}")
     }
 }
 
-impl Shown for (&str, &str) {
-    fn shown(&self) -> String {
+impl GoldenText for (&str, &str) {
+    fn golden_text(&self) -> String {
         format!("{self:?}")
     }
 }
 
-impl Shown for (u8, &str, u64) {
-    fn shown(&self) -> String {
+impl GoldenText for (u8, &str, u64) {
+    fn golden_text(&self) -> String {
         format!("{self:?}")
     }
 }
@@ -372,12 +377,12 @@
 where
     K: Key + 'static,
     V: Value + 'static,
-    for<'a> K::SelfType<'a>: Shown,
-    for<'a> V::SelfType<'a>: Shown,
+    for<'a> K::SelfType<'a>: GoldenText,
+    for<'a> V::SelfType<'a>: GoldenText,
 {
     for entry in table::<K, V>(read, name).iter().expect("entries") {
         let (key, value) = entry.expect("readable");
-        let (key, value) = (key.value().shown(), value.value().shown());
+        let (key, value) = (key.value().golden_text(), value.value().golden_text());
         writeln!(text, "{name} {key} {value}").expect("text");
     }
 }
@@ -399,31 +404,31 @@
 }
 
 /// One line for a table: its name, and the types of its keys and values.
-fn typed<K: Key + 'static, V: Value + 'static>(read: &ReadTransaction, name: &str) -> String {
+fn table_types<K: Key + 'static, V: Value + 'static>(read: &ReadTransaction, name: &str) -> String {
     drop(table::<K, V>(read, name));
     let (key, value) = (type_name::<K>(), type_name::<V>());
     format!("{name} | {key} | {value}\n")
 }
 
 #[test]
-fn tables_have_the_names_and_types_as_before() {
-    let folder = folder("types");
-    let path = folder.join("undeliverable.redb");
+fn names_and_types_of_tables_are_unchanged() {
+    let directory = create_directory("types");
+    let path = directory.join("undeliverable.redb");
     drop(open(&path));
     let database = Database::open(&path).expect("a database");
     let read = database.begin_read().expect("readable");
-    let typed = [
-        typed::<&str, &[u8]>(&read, "batches"),
-        typed::<u64, &[u8]>(&read, "bodies"),
-        typed::<(u8, &str), u64>(&read, "counts"),
-        typed::<(&str, &str), u64>(&read, "dropped"),
-        typed::<(u8, &str, u64), ()>(&read, "index"),
-        typed::<&str, u64>(&read, "numbers"),
-        typed::<&str, u64>(&read, "origins"),
-        typed::<u64, &[u8]>(&read, "records"),
+    let types = [
+        table_types::<&str, &[u8]>(&read, "batches"),
+        table_types::<u64, &[u8]>(&read, "bodies"),
+        table_types::<(u8, &str), u64>(&read, "counts"),
+        table_types::<(&str, &str), u64>(&read, "dropped"),
+        table_types::<(u8, &str, u64), ()>(&read, "index"),
+        table_types::<&str, u64>(&read, "numbers"),
+        table_types::<&str, u64>(&read, "origins"),
+        table_types::<u64, &[u8]>(&read, "records"),
     ];
     let golden = golden("store-tables.txt");
-    assert_eq!(typed.concat(), golden);
+    assert_eq!(types.concat(), golden);
     let named: BTreeSet<&str> = golden.lines().filter_map(|l| l.split(' ').next()).collect();
     let there = read.list_tables().expect("tables");
     let there: Vec<String> = there.map(|table| table.name().to_string()).collect();
@@ -433,33 +438,33 @@
         "no other table is there"
     );
     assert_eq!(read.list_multimap_tables().expect("tables").count(), 0);
-    fs::remove_dir_all(folder).expect("removed");
+    fs::remove_dir_all(directory).expect("removed");
 }
 
 #[test]
-fn every_variant_is_written_as_before() {
-    let folder = folder("variants");
-    let path = folder.join("undeliverable.redb");
+fn encoding_of_every_variant_is_unchanged() {
+    let directory = create_directory("variants");
+    let path = directory.join("undeliverable.redb");
     let store = open(&path);
     write_records(&store);
     write_batches(&store);
     drop(store);
     assert_eq!(dump(&path), golden("store-variants.txt"));
-    fs::remove_dir_all(folder).expect("removed");
+    fs::remove_dir_all(directory).expect("removed");
 }
 
 #[test]
-fn every_cause_of_a_drop_is_written_as_before() {
-    let folder = folder("dropped");
-    let path = folder.join("undeliverable.redb");
+fn counts_of_every_eviction_cause_are_unchanged() {
+    let directory = create_directory("dropped");
+    let path = directory.join("undeliverable.redb");
     write_dropped(&path);
     let text = dump(&path);
-    let kept = text.lines().filter(|line| {
+    let lines = text.lines().filter(|line| {
         ["dropped", "counts", "numbers", "index"].contains(&line.split(' ').next().unwrap_or(""))
     });
-    let kept: String = kept.map(|line| format!("{line}\n")).collect();
-    assert_eq!(kept, golden("store-dropped.txt"));
-    fs::remove_dir_all(folder).expect("removed");
+    let evicted: String = lines.map(|line| format!("{line}\n")).collect();
+    assert_eq!(evicted, golden("store-dropped.txt"));
+    fs::remove_dir_all(directory).expect("removed");
 }
 
 fn unhex(text: &str) -> Vec<u8> {
@@ -470,13 +475,13 @@
         .collect()
 }
 
-/// The golden file's bytes, put into a database by hand, are read as the same records and batches.
+/// The golden file's bytes, inserted into a database directly, are read as the same records and batches.
 #[test]
-fn every_variant_is_read_as_before() {
-    let folder = folder("read");
+fn golden_bytes_of_every_variant_are_read() {
+    let directory = create_directory("read");
     let (by_hand, path) = (
-        folder.join("by-hand.redb"),
-        folder.join("undeliverable.redb"),
+        directory.join("by-hand.redb"),
+        directory.join("undeliverable.redb"),
     );
     let made = open(&path);
     write_records(&made);
@@ -513,5 +518,5 @@
     assert_eq!(batches.len(), 6);
     assert_eq!(batches, made.batches().expect("read"));
     assert_eq!(read.totals().expect("read").unreadable_values, 0);
-    fs::remove_dir_all(folder).expect("removed");
+    fs::remove_dir_all(directory).expect("removed");
 }
--- a/crates/undeliverable/tests/stored_format.rs
+++ b/crates/undeliverable/tests/stored_format.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// One record of each reason, with every outcome of an attempt among them.
+/// One record of each reason, each with attempts of every outcome.
 fn records() -> Vec<Record> {
     let outcomes = [
         Outcome::Unknown,
@@ -93,16 +93,16 @@
     Reason::ALL.into_iter().zip(1..).map(record).collect()
 }
 
-/// Records in every state, dropped ones, statements and batches.
+/// Records in every state, an evicted one, attestations and batches.
 fn write_store(path: &Path) {
     let now = 1_796_168_070_000_000;
     let store = open(path);
     let records: Vec<(Record, &[u8])> = records()
         .into_iter()
-        .map(|one| (one, &b"\r\n\x00body"[..]))
+        .map(|record| (record, &b"\r\n\x00body"[..]))
         .collect();
     assert_eq!(
-        store.insert(&records).expect("kept"),
+        store.insert(&records).expect("inserted"),
         (1..=8).collect::<Vec<_>>()
     );
     let change = |id, change: &dyn Fn(&mut Record) -> Result<(), RecordError>| {
@@ -116,13 +116,13 @@
         record.begin_resend("batch/nightly", now);
         Ok(())
     });
-    for (id, closed) in [
+    for (id, resolution) in [
         (4, Resolution::Delivered),
         (5, Resolution::AppliedBefore),
         (6, Resolution::Discarded),
     ] {
         change(id, &|record| {
-            record.resolve(closed, now);
+            record.resolve(resolution, now);
             Ok(())
         });
     }
@@ -147,14 +147,16 @@
     change(8, &|record| {
         record.attest(Attester::Partner, ExecutionClaim::Unknown, now, None, now)
     });
-    let caps = StoreLimits {
+    let limits = StoreLimits {
         bytes: u64::MAX,
         tenant_bytes: u64::MAX,
         records: 7,
         age: u64::MAX,
     };
     assert_eq!(
-        store.evict_beyond_limits(&caps, now, 10).expect("dropped"),
+        store
+            .evict_beyond_limits(&limits, now, 10)
+            .expect("evicted"),
         1
     );
     let spec = |name: &str| BatchSpec {
@@ -175,13 +177,13 @@
     };
     counts.needs.insert("key-forgotten".into(), 1);
     let planned = Batch::plan(spec("nightly"), "ann", now, 8, counts).expect("a plan");
-    store.save_batch(&planned).expect("kept");
+    store.save_batch(&planned).expect("stored");
     let mut running =
         Batch::plan(spec("weekly"), "bob", now, 8, BatchCounts::default()).expect("a plan");
     running
         .apply_command(BatchCommand::Run, None, now + 1)
         .expect("runs");
-    store.save_batch(&running).expect("kept");
+    store.save_batch(&running).expect("stored");
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -278,7 +280,7 @@
 }
 
 #[test]
-fn store_is_written_as_before() {
+fn encoding_of_the_store_is_unchanged() {
     let directory = directory("store-written");
     let path = directory.join("undeliverable.redb");
     write_store(&path);
@@ -290,15 +292,15 @@
 }
 
 #[test]
-fn database_of_the_version_before_is_read() {
+fn database_of_an_earlier_version_is_read() {
     let directory = directory("store-read");
     let path = directory.join("undeliverable.redb");
     fs::copy(golden_path("undeliverable.redb"), &path).expect("copied");
     let store = open(&path);
-    assert_eq!(store.find(1).expect("read"), None, "it was dropped");
-    let mut words = Vec::new();
+    assert_eq!(store.find(1).expect("read"), None, "it was evicted");
+    let mut states = Vec::new();
     for (expected, id) in records().into_iter().zip(1..).skip(1) {
-        let read = store.find(id).expect("read").expect("kept");
+        let read = store.find(id).expect("read").expect("in the store");
         assert_eq!(
             (&read.origin, read.idempotency, read.reason),
             (&expected.origin, expected.idempotency, expected.reason)
@@ -311,10 +313,10 @@
             store.body(id).expect("read").as_deref(),
             Some(&b"\r\n\x00body"[..])
         );
-        words.push(read.state.as_str());
+        states.push(read.state.as_str());
     }
     assert_eq!(
-        words,
+        states,
         [
             "claimed",
             "sending",
@@ -332,10 +334,10 @@
             .map(|record| record.attestations.len()),
         Some(2)
     );
-    let sums = store.totals().expect("read");
-    assert_eq!((sums.records, sums.unreadable_values), (7, 0));
+    let totals = store.totals().expect("read");
+    assert_eq!((totals.records, totals.unreadable_values), (7, 0));
     assert_eq!(
-        sums.dropped,
+        totals.dropped,
         [("beta".to_string(), "records".to_string(), 1)]
     );
     let counts = store.counts(store::GroupBy::State).expect("read");
@@ -343,7 +345,13 @@
     let batches = store.batches().expect("read");
     let batches: Vec<_> = batches
         .iter()
-        .map(|one| (one.spec.name.as_str(), one.state.as_str(), one.version))
+        .map(|batch| {
+            (
+                batch.spec.name.as_str(),
+                batch.state.as_str(),
+                batch.version,
+            )
+        })
         .collect();
     assert_eq!(
         batches,
