--- a/crates/undeliverable/src/filter.rs
+++ b/crates/undeliverable/src/filter.rs
@@ -1,4 +1,4 @@
-//! Which records are meant.
+//! Selects records by their properties.
 
 use serde::{Deserialize, Serialize};
 use tenancy::Scope;
@@ -6,31 +6,31 @@
 use crate::record::{Reason, Record, RecordState};
 use crate::Micros;
 
-/// Records that fit all that is set.
+/// Conditions on a record. It matches if it meets every condition that is set; none matches every record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Filter {
-    /// Of this partner.
+    /// The number of its destination.
     pub destination: Option<u16>,
-    /// Of this class.
+    /// Its class.
     pub class: Option<String>,
-    /// Given up for this reason.
+    /// The reason why it was given up most recently.
     pub reason: Option<Reason>,
-    /// Of this tenant.
+    /// Its tenant, by name.
     pub tenant: Option<String>,
-    /// Of tenants that whoever asks may see.
+    /// The tenants that the caller may see, of which it belongs to one.
     pub scope: Option<Scope>,
-    /// Given up at this moment or later.
+    /// It was given up at this moment or later, in Unix time.
     pub since: Option<Micros>,
-    /// Given up before this moment.
+    /// It was given up before this moment, in Unix time.
     pub until: Option<Micros>,
-    /// Of which an attempt may have run, or none may.
+    /// Whether one of its attempts may have run.
     pub may_have_run: Option<bool>,
-    /// In this state, by its word.
+    /// Its state, by [`RecordState::as_str`].
     pub state: Option<String>,
 }
 
 impl Filter {
-    /// Whether a record fits.
+    /// Whether a record meets every condition that is set.
     #[must_use]
     pub fn matches(&self, record: &Record) -> bool {
         let origin = &record.origin;
@@ -55,7 +55,7 @@
                 .is_none_or(|wanted| *wanted == record.state.as_str())
     }
 
-    /// The same filter, for records that wait to be sent again.
+    /// The same conditions on open records alone.
     #[must_use]
     pub fn only_open(&self) -> Self {
         Filter {
@@ -66,68 +66,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::record::Idempotency;
-    use crate::test_records::{attempt, record};
-
-    #[test]
-    fn a_record_fits_if_it_fits_all_that_is_set() {
-        let one = record(Idempotency::NonIdempotent, vec![attempt(1, true)]);
-        let all = Filter {
-            destination: Some(3),
-            class: Some("payout".into()),
-            reason: Some(Reason::OutOfTime),
-            tenant: Some("acme".into()),
-            scope: Some(Scope(vec!["zeta".into(), "ac*".into()])),
-            since: Some(5_000_000),
-            until: Some(5_000_001),
-            may_have_run: Some(true),
-            state: Some("open".into()),
-        };
-        assert!(Filter::default().matches(&one) && all.matches(&one));
-        let others = [
-            Filter {
-                destination: Some(4),
-                ..all.clone()
-            },
-            Filter {
-                class: Some("event".into()),
-                ..all.clone()
-            },
-            Filter {
-                reason: Some(Reason::GivenUp),
-                ..all.clone()
-            },
-            Filter {
-                tenant: Some("acme/2".into()),
-                ..all.clone()
-            },
-            Filter {
-                scope: Some(Scope(vec!["zeta".into()])),
-                ..all.clone()
-            },
-            Filter {
-                scope: Some(Scope(Vec::new())),
-                ..all.clone()
-            },
-            Filter {
-                since: Some(5_000_001),
-                ..all.clone()
-            },
-            Filter {
-                until: Some(5_000_000),
-                ..all.clone()
-            },
-            Filter {
-                may_have_run: Some(false),
-                ..all.clone()
-            },
-            Filter {
-                state: Some("sending".into()),
-                ..all.clone()
-            },
-        ];
-        assert!(others.iter().all(|filter| !filter.matches(&one)));
-    }
-}
+mod tests;
--- a/crates/undeliverable/src/rules.rs
+++ b/crates/undeliverable/src/rules.rs
@@ -1,4 +1,4 @@
-//! Records that are sent again by themselves: on the recovery of their partner, or after a time.
+//! Rules by which records are resent automatically: on the recovery of their partner, or after a delay.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,81 +6,91 @@
 use crate::record::{Record, RecordState};
 use crate::Micros;
 
-/// Good calls in a row by which a partner counts as recovered.
-const RECOVERED: usize = 3;
-/// Spans that are looked back for a rule's rate.
-const MINUTE: Micros = 60_000_000;
+/// Consecutive deliveries after which a partner counts as recovered.
+const RECOVERY_DELIVERIES: usize = 3;
+/// The window of a rule's rate.
+const RATE_WINDOW: Micros = 60_000_000;
 
-/// When a rule sends a record again.
+/// When a rule resends a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RuleTrigger {
-    /// Once its partner has taken three other calls in a row since the record's last attempt.
+    /// Once its partner has accepted three consecutive live calls since the record's last attempt.
     Recovered,
-    /// So long after it was given up; each resend waits as long again.
+    /// This delay after it was given up; each further resend is due one delay later.
     After(Micros),
 }
 
-/// A rule that an operator has set.
+/// A rule from the operator's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
     /// Its name.
     pub name: String,
-    /// Which records.
+    /// The records that it resends.
     pub filter: Filter,
-    /// When.
+    /// When it resends them.
     pub when: RuleTrigger,
-    /// So many a minute at most.
+    /// Maximum resends in a minute.
     pub per_minute: u32,
-    /// Resends of a record at most, whoever made them.
+    /// Maximum resends of a record, whoever requested them.
     pub resends: u32,
 }
 
-/// How partners do, by live calls alone: resends don't count, or one that came through would let all go.
+/// The health of partners by live calls alone. Resends do not count, as one delivery would release all others.
 #[derive(Debug, Default)]
 pub struct PartnerHealth {
-    /// Moments of the last good calls since the last bad one.
-    good: BTreeMap<u16, VecDeque<Micros>>,
+    /// By destination: when the latest deliveries since the last failure ended, at most [`RECOVERY_DELIVERIES`].
+    deliveries: BTreeMap<u16, VecDeque<Micros>>,
 }
 
 impl PartnerHealth {
-    /// A live call has ended.
-    pub fn record_call(&mut self, destination: u16, good: bool, now: Micros) {
-        let row = self.good.entry(destination).or_default();
-        if !good {
-            row.clear();
+    /// A live call has ended, with or without delivery.
+    pub fn record_call(&mut self, destination: u16, delivered: bool, now: Micros) {
+        let deliveries = self.deliveries.entry(destination).or_default();
+        if !delivered {
+            deliveries.clear();
             return;
         }
-        row.push_back(now);
-        while row.len() > RECOVERED {
-            row.pop_front();
+        deliveries.push_back(now);
+        while deliveries.len() > RECOVERY_DELIVERIES {
+            deliveries.pop_front();
         }
     }
 
-    /// Since when a partner is well; none if it is not, or not known to be.
+    /// Since when a partner is recovered: the earliest of its last three consecutive deliveries. None if it has fewer.
     #[must_use]
     pub fn healthy_since(&self, destination: u16) -> Option<Micros> {
-        self.good
+        self.deliveries
             .get(&destination)
-            .filter(|row| row.len() >= RECOVERED)?
+            .filter(|deliveries| deliveries.len() >= RECOVERY_DELIVERIES)?
             .front()
             .copied()
     }
 }
 
-/// The rules in force, with what each has sent lately.
+/// A rule and its resends within the last [`RATE_WINDOW`].
+#[derive(Debug)]
+struct ActiveRule {
+    rule: Rule,
+    resent_at: VecDeque<Micros>,
+}
+
+/// The rules in force, in the order of the settings.
 #[derive(Debug, Default)]
 pub struct Rules {
-    rules: Vec<(Rule, VecDeque<Micros>)>,
+    rules: Vec<ActiveRule>,
 }
 
 impl Rules {
-    /// These rules.
+    /// Rules that have not resent anything yet.
     #[must_use]
     pub fn new(rules: Vec<Rule>) -> Self {
         Rules {
             rules: rules
                 .into_iter()
-                .map(|rule| (rule, VecDeque::new()))
+                .map(|rule| ActiveRule {
+                    rule,
+                    resent_at: VecDeque::new(),
+                })
                 .collect(),
         }
     }
@@ -91,14 +101,12 @@
         self.rules.is_empty()
     }
 
-    /// Whether any rule has room for one more now.
+    /// Whether the rate of any rule allows a resend now.
     pub fn has_capacity(&mut self, now: Micros) -> bool {
-        self.rules
-            .iter_mut()
-            .any(|(rule, sent)| room(rule, sent, now))
+        self.rules.iter_mut().any(|active| active.has_capacity(now))
     }
 
-    /// The first rule that sends a record now, by its place.
+    /// The index of the first rule that resends this record now.
     pub fn matching_rule(
         &mut self,
         record: &Record,
@@ -108,138 +116,60 @@
         if record.state != RecordState::Open {
             return None;
         }
-        let last = record
+        let last_attempt = record
             .attempts
             .iter()
             .map(|attempt| attempt.sent)
             .max()
             .unwrap_or(0)
             .max(record.given_up_at);
-        self.rules.iter_mut().position(|(rule, sent)| {
-            let due = match rule.when {
+        self.rules.iter_mut().position(|active| {
+            let rule = &active.rule;
+            let is_due = match rule.when {
                 RuleTrigger::Recovered => partners
                     .healthy_since(record.origin.destination)
-                    .is_some_and(|since| since > last),
-                RuleTrigger::After(span) => {
-                    let times = u64::from(record.resends) + 1;
+                    .is_some_and(|since| since > last_attempt),
+                RuleTrigger::After(delay) => {
+                    let delays = u64::from(record.resends) + 1;
                     now >= record
                         .given_up_at
-                        .saturating_add(span.saturating_mul(times))
+                        .saturating_add(delay.saturating_mul(delays))
                 }
             };
-            due && record.resends < rule.resends
+            is_due
+                && record.resends < rule.resends
                 && rule.filter.matches(record)
-                && room(rule, sent, now)
+                && active.has_capacity(now)
         })
     }
 
-    /// A rule has sent a record; returns who sent it, as the record's state names it.
+    /// The rule at this index has resent a record. Returns who did, as [`RecordState::Sending`] names it.
     pub fn record_resend(&mut self, rule: usize, now: Micros) -> String {
-        let Some((rule, sent)) = self.rules.get_mut(rule) else {
+        let Some(active) = self.rules.get_mut(rule) else {
             return String::new();
         };
-        sent.push_back(now);
-        format!("rule {}", rule.name)
+        active.resent_at.push_back(now);
+        format!("rule {}", active.rule.name)
     }
 }
 
-fn room(rule: &Rule, sent: &mut VecDeque<Micros>, now: Micros) -> bool {
-    // Of a clock that was set back what was sent later counts as sent now.
-    sent.iter_mut().for_each(|at| *at = (*at).min(now));
-    while sent
-        .front()
-        .is_some_and(|at| at.saturating_add(MINUTE) <= now)
-    {
-        sent.pop_front();
-    }
-    (sent.len() as u32) < rule.per_minute
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::record::Idempotency;
-    use crate::test_records::{attempt, record};
-
-    fn rule(when: RuleTrigger) -> Rule {
-        Rule {
-            name: "r".into(),
-            filter: Filter::default(),
-            when,
-            per_minute: 2,
-            resends: 3,
-        }
-    }
-
-    #[test]
-    fn a_partner_is_well_after_three_good_calls_in_a_row_since_the_records_last_attempt() {
-        let (mut partners, mut rules) = (
-            PartnerHealth::default(),
-            Rules::new(vec![rule(RuleTrigger::Recovered)]),
-        );
-        let one = record(Idempotency::Idempotent, vec![attempt(6_000_000, false)]);
-        for at in [7_000_000, 7_100_000] {
-            partners.record_call(3, true, at);
+impl ActiveRule {
+    /// Whether the rate allows a resend now; forgets the resends that have left the window.
+    fn has_capacity(&mut self, now: Micros) -> bool {
+        // When the clock was set back, a resend in the future counts as one of now.
+        for resent_at in &mut self.resent_at {
+            *resent_at = (*resent_at).min(now);
         }
-        assert_eq!(rules.matching_rule(&one, &partners, 8_000_000), None);
-        partners.record_call(3, false, 7_200_000);
-        for at in [5_900_000, 7_400_000, 7_500_000] {
-            partners.record_call(3, true, at);
+        while self
+            .resent_at
+            .front()
+            .is_some_and(|resent_at| resent_at.saturating_add(RATE_WINDOW) <= now)
+        {
+            self.resent_at.pop_front();
         }
-        assert_eq!(
-            rules.matching_rule(&one, &partners, 8_000_000),
-            None,
-            "one of them was before the last attempt"
-        );
-        partners.record_call(3, true, 7_600_000);
-        assert_eq!(rules.matching_rule(&one, &partners, 8_000_000), Some(0));
-        partners.record_call(4, false, 7_700_000);
-        assert_eq!(
-            rules.matching_rule(&one, &partners, 8_000_000),
-            Some(0),
-            "another partner's trouble"
-        );
-    }
-
-    #[test]
-    fn each_resend_waits_as_long_again_and_a_rule_keeps_its_rate() {
-        let (partners, mut rules) = (
-            PartnerHealth::default(),
-            Rules::new(vec![rule(RuleTrigger::After(10_000_000))]),
-        );
-        let mut one = record(Idempotency::Idempotent, Vec::new());
-        assert_eq!(rules.matching_rule(&one, &partners, 14_999_999), None);
-        assert_eq!(rules.matching_rule(&one, &partners, 15_000_000), Some(0));
-        assert_eq!(rules.record_resend(0, 15_000_000), "rule r");
-        one.begin_resend("rule r", 15_000_000);
-        assert_eq!(
-            rules.matching_rule(&one, &partners, 99_000_000),
-            None,
-            "it is out"
-        );
-        one.reopen_after_resend(Vec::new(), None);
-        assert_eq!(rules.matching_rule(&one, &partners, 24_999_999), None);
-        assert_eq!(rules.matching_rule(&one, &partners, 25_000_000), Some(0));
-        rules.record_resend(0, 25_000_000);
-        assert!(!rules.has_capacity(25_000_001));
-        assert_eq!(
-            rules.matching_rule(&one, &partners, 26_000_000),
-            None,
-            "two a minute"
-        );
-        assert!(
-            !rules.has_capacity(1_000_000),
-            "a clock that is set back frees nothing"
-        );
-        assert!(rules.has_capacity(61_000_001));
-        (0..2).for_each(|_| {
-            one.begin_resend("x", 0);
-            one.abort_resend();
-        });
-        assert_eq!(
-            rules.matching_rule(&one, &partners, 999_000_000),
-            None,
-            "resent as often as the rule wants"
-        );
+        (self.resent_at.len() as u32) < self.rule.per_minute
     }
 }
+
+#[cfg(test)]
+mod tests;
