--- a/crates/undeliverable/src/attestation.rs
+++ b/crates/undeliverable/src/attestation.rs
@@ -2,8 +2,8 @@
 //!
 //! An attestation of `applied` always counts, as an effect does not go away. One of `not applied` counts only if it
 //! covers every attempt: it was made for the present number of resends and requested after the last attempt had
-//! settled. `unknown` never counts. [`resolve`] reduces the attestations that count to [`Evidence`] and looks that up
-//! in a table:
+//! settled. `unknown` never counts. The attestations that count are reduced to three properties, which are looked up in
+//! a table:
 //!
 //! | claims that count | latest partner's claim | two operators agree on | resolution |
 //! | --- | --- | --- | --- |
--- a/crates/undeliverable/src/resend_policy/tests.rs
+++ b/crates/undeliverable/src/resend_policy/tests.rs
@@ -1,10 +1,12 @@
 //! Tests of the resend policy and of how attestations resolve.
 
+use std::collections::BTreeSet;
+
+use proptest::prelude::{prop, prop_assert, proptest, Strategy};
+
 use super::*;
 use crate::record::{Attempt, Attester, ExecutionClaim};
 use crate::test_records::{attempt, record};
-use proptest::prelude::*;
-use std::collections::BTreeSet;
 
 const SECOND: Micros = 1_000_000;
 const KEYED: Idempotency = Idempotency::Keyed { window: 6 * SECOND };
