--- a/crates/admin/src/undeliverable.rs
+++ b/crates/admin/src/undeliverable.rs
@@ -424,10 +424,10 @@
             sending: status.resends_in_flight,
             trouble: status.error,
             dropped: dropped
-                .map(|(tenant, cause, records)| UndeliverableDropped {
-                    tenant,
-                    cause,
-                    records,
+                .map(|evicted| UndeliverableDropped {
+                    tenant: evicted.tenant,
+                    cause: evicted.cause,
+                    records: evicted.records,
                 })
                 .collect(),
         }
--- a/crates/undeliverable/src/store/mod.rs
+++ b/crates/undeliverable/src/store/mod.rs
@@ -25,4 +25,4 @@
 pub use error::StoreError;
 pub use eviction::StoreLimits;
 pub use group::GroupBy;
-pub use queries::{GroupCounts, Page};
+pub use queries::{EvictionCount, GroupCounts, Page};
--- a/crates/undeliverable/src/store/queries.rs
+++ b/crates/undeliverable/src/store/queries.rs
@@ -25,6 +25,17 @@
     pub next: Option<RecordId>,
 }
 
+/// Evicted records of a tenant and a cause, since the store was created.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EvictionCount {
+    /// The tenant's name; empty for records that could not be read.
+    pub tenant: String,
+    /// The limit that they exceeded: `age`, `tenant-bytes`, `bytes` or `records`.
+    pub cause: String,
+    /// Records.
+    pub records: u64,
+}
+
 /// Totals of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupCounts {
@@ -32,8 +43,8 @@
     pub records: u64,
     /// Bytes that count against the limits.
     pub bytes: u64,
-    /// Evicted records: tenant, cause and count.
-    pub dropped: Vec<(String, String, u64)>,
+    /// Evicted records by tenant and cause, in their order.
+    pub dropped: Vec<EvictionCount>,
     /// Values that could not be read since the store was opened.
     pub unreadable_values: u64,
 }
@@ -187,7 +198,11 @@
         for entry in transaction.open_table(DROPPED)?.iter()? {
             let (key, count) = entry?;
             let (tenant, cause) = key.value();
-            dropped.push((tenant.into(), cause.into(), count.value()));
+            dropped.push(EvictionCount {
+                tenant: tenant.into(),
+                cause: cause.into(),
+                records: count.value(),
+            });
         }
         Ok(GroupCounts {
             records: read_total(&transaction, RECORD_TOTAL)?,
--- a/crates/undeliverable/src/store/tests.rs
+++ b/crates/undeliverable/src/store/tests.rs
@@ -233,7 +233,7 @@
         totals.bytes <= 3 * record_bytes + record_bytes / 2,
         "{totals:?}"
     );
-    let evicted: u64 = totals.dropped.iter().map(|(_, _, count)| count).sum();
+    let evicted: u64 = totals.dropped.iter().map(|evicted| evicted.records).sum();
     assert_eq!(evicted + totals.records, 20, "{totals:?}");
 }
 
--- a/crates/undeliverable/tests/stored_format.rs
+++ b/crates/undeliverable/tests/stored_format.rs
@@ -9,7 +9,7 @@
 use runtime::{OsRuntime, Runtime};
 use undeliverable::batch::{Batch, BatchCommand, BatchCounts, BatchSpec};
 use undeliverable::record::{Attester, ExecutionClaim, Origin, RecordError};
-use undeliverable::store::{self, StoreLimits};
+use undeliverable::store::{self, EvictionCount, StoreLimits};
 use undeliverable::{
     Attempt, Filter, Idempotency, Outcome, Reason, Record, RecordState, Resolution, Store,
 };
@@ -338,7 +338,11 @@
     assert_eq!((totals.records, totals.unreadable_values), (7, 0));
     assert_eq!(
         totals.dropped,
-        [("beta".to_string(), "records".to_string(), 1)]
+        [EvictionCount {
+            tenant: "beta".into(),
+            cause: "records".into(),
+            records: 1
+        }]
     );
     let counts = store.counts(store::GroupBy::State).expect("read");
     assert_eq!(counts.iter().map(|(_, count)| count).sum::<u64>(), 7);
