--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -6,11 +6,11 @@
 use runtime::{OsRuntime, Runtime};
 use tokio::sync::watch;
 
-use crate::dice::Dice;
 use crate::loopback::{block_on, configuration, free_address, stage, Process};
 use crate::peers::clients::{until_ready, Client, Habit, Plan};
 use crate::peers::discovery::{Discovery, Line};
 use crate::peers::hosts::{Host, Mood};
+use crate::rng::SimulationRng;
 use crate::rules::facts::{Repeat, Seen};
 
 /// Messages are handed in for this long, so many a second.
@@ -116,7 +116,7 @@
             "a",
             address,
             60.0,
-            Dice::new(0, u64::from(block)),
+            SimulationRng::new(0, u64::from(block)),
         ));
     }
     let discovery = Discovery::new(lines);
--- a/crates/simulator/src/faults/fleet.rs
+++ b/crates/simulator/src/faults/fleet.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 
 /// SIGKILL to all relays at one instant; they come up again after the same time.
 #[derive(Debug)]
 pub(super) struct KillAll(u64);
 
 impl KillAll {
-    pub fn draw(dice: &mut Dice) -> Self {
-        KillAll(dice.between(300, 1_500))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        KillAll(rng.between(300, 1_500))
     }
 }
 
--- a/crates/simulator/src/faults/kept.rs
+++ b/crates/simulator/src/faults/kept.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
-use crate::dice::Dice;
 use crate::kept::store;
+use crate::rng::SimulationRng;
 
 /// SIGKILL so many effects after an operator's next change is sent: between the claim, the journal and the call.
 #[derive(Debug)]
 pub(super) struct KillInResend(u64, u64);
 
 impl KillInResend {
-    pub fn draw(dice: &mut Dice) -> Self {
-        KillInResend(dice.below(80), dice.between(300, 1_500))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        KillInResend(rng.below(80), rng.between(300, 1_500))
     }
 }
 
@@ -28,12 +28,8 @@
 pub(super) struct SpoiltStore(Vec<u64>);
 
 impl SpoiltStore {
-    pub fn draw(dice: &mut Dice) -> Self {
-        SpoiltStore(
-            (0..dice.between(1, 8))
-                .map(|_| dice.below(1 << 40))
-                .collect(),
-        )
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        SpoiltStore((0..rng.between(1, 8)).map(|_| rng.below(1 << 40)).collect())
     }
 }
 
--- a/crates/simulator/src/faults/listing.rs
+++ b/crates/simulator/src/faults/listing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 use crate::rules::facts::Seen;
 
 /// A host drains, and is removed at the end.
@@ -37,8 +37,8 @@
 pub(super) struct ListLags(u64);
 
 impl ListLags {
-    pub fn draw(dice: &mut Dice) -> Self {
-        ListLags(dice.between(200, 3_000))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        ListLags(rng.between(200, 3_000))
     }
 }
 
--- a/crates/simulator/src/faults/mod.rs
+++ b/crates/simulator/src/faults/mod.rs
@@ -16,11 +16,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::dice::Dice;
 use crate::machine::{AddressFault, Machine, ProcId};
 use crate::operated::{Changes, IN_USE};
 use crate::peers::discovery::Discovery;
 use crate::peers::hosts::Mood;
+use crate::rng::SimulationRng;
 use crate::rules::facts::Seen;
 
 /// What a fault may touch of the world.
@@ -130,75 +130,75 @@
     host: usize,
 }
 
-fn trouble(dice: &mut Dice, blocks: &[u16], hosts: usize) -> Rc<dyn Trouble> {
+fn trouble(rng: &mut SimulationRng, blocks: &[u16], hosts: usize) -> Rc<dyn Trouble> {
     let at = Target {
-        block: *dice.pick(blocks),
-        host: dice.below(hosts as u64) as usize,
+        block: *rng.pick(blocks),
+        host: rng.below(hosts as u64) as usize,
     };
-    match dice.below(27) {
-        0 => Rc::new(partners::Fails::draw(dice, &at)),
+    match rng.below(27) {
+        0 => Rc::new(partners::Fails::draw(rng, &at)),
         1 => Rc::new(partners::Shut(at.block)),
         2 => Rc::new(partners::ShutTold(at.block)),
         3 => Rc::new(partners::Hangs(at.block)),
         4 => Rc::new(partners::Trickles(at.block)),
         5 => Rc::new(partners::Refuses(at.block)),
         6 => Rc::new(partners::BlackHole(at.block)),
-        7 => Rc::new(partners::Cuts::draw(dice, &at)),
+        7 => Rc::new(partners::Cuts::draw(rng, &at)),
         8 => Rc::new(partners::Stale(at.block)),
-        9 => Rc::new(partners::Spoils::draw(dice, &at)),
-        10 => Rc::new(partners::Limited::draw(dice, &at)),
-        11 => Rc::new(partners::Slow::draw(dice, &at)),
+        9 => Rc::new(partners::Spoils::draw(rng, &at)),
+        10 => Rc::new(partners::Limited::draw(rng, &at)),
+        11 => Rc::new(partners::Slow::draw(rng, &at)),
         12 => Rc::new(listing::Drains(at.host)),
         13 => Rc::new(listing::Replaced(at.host)),
-        14 => Rc::new(listing::ListLags::draw(dice)),
+        14 => Rc::new(listing::ListLags::draw(rng)),
         15 | 16 => Rc::new(listing::ListSilent),
         17 => Rc::new(listing::ListJumps),
-        18 | 19 => Rc::new(process::Kill::draw(dice)),
-        20 => Rc::new(process::KillInRewriting::draw(dice)),
-        21 => Rc::new(process::Stop::draw(dice)),
+        18 | 19 => Rc::new(process::Kill::draw(rng)),
+        20 => Rc::new(process::KillInRewriting::draw(rng)),
+        21 => Rc::new(process::Stop::draw(rng)),
         22 => Rc::new(process::Reload),
-        23 => Rc::new(process::DiskFull::draw(dice)),
-        24 => Rc::new(process::ShortWrites::draw(dice)),
-        25 => Rc::new(traffic::Surge::draw(dice, &at)),
-        _ => Rc::new(traffic::BadClients::draw(dice)),
+        23 => Rc::new(process::DiskFull::draw(rng)),
+        24 => Rc::new(process::ShortWrites::draw(rng)),
+        25 => Rc::new(traffic::Surge::draw(rng, &at)),
+        _ => Rc::new(traffic::BadClients::draw(rng)),
     }
 }
 
 /// Up to two faults that strike the registry of tenants.
-pub fn of_tenants(dice: &mut Dice) -> Vec<Fault> {
+pub fn of_tenants(rng: &mut SimulationRng) -> Vec<Fault> {
     // Two copies heal what either loses, not what both do.
-    let copy = if dice.percent(50) {
+    let copy = if rng.percent(50) {
         "tenants.a"
     } else {
         "tenants.b"
     };
-    let trouble = |dice: &mut Dice| -> Rc<dyn Trouble> {
-        if dice.percent(60) {
-            Rc::new(tenants::KillInChange::draw(dice))
+    let trouble = |rng: &mut SimulationRng| -> Rc<dyn Trouble> {
+        if rng.percent(60) {
+            Rc::new(tenants::KillInChange::draw(rng))
         } else {
-            Rc::new(tenants::SpoiltRegistry::draw(dice, copy))
+            Rc::new(tenants::SpoiltRegistry::draw(rng, copy))
         }
     };
-    let fault = |dice: &mut Dice| {
-        let from = dice.between(500, 13_000);
+    let fault = |rng: &mut SimulationRng| {
+        let from = rng.between(500, 13_000);
         Fault {
             from,
             until: from + 1,
             relay: 0,
-            trouble: trouble(dice),
+            trouble: trouble(rng),
         }
     };
-    (0..dice.between(0, 2)).map(|_| fault(dice)).collect()
+    (0..rng.between(0, 2)).map(|_| fault(rng)).collect()
 }
 
 /// Up to three faults that strike the store of undeliverable messages, each with whether it may lose records.
-pub fn of_kept(dice: &mut Dice) -> Vec<(Fault, bool)> {
-    let fault = |dice: &mut Dice| {
-        let from = dice.between(2_000, 20_000);
-        let (span, spoils, trouble): (u64, bool, Rc<dyn Trouble>) = match dice.below(10) {
-            0..=6 => (1, false, Rc::new(kept::KillInResend::draw(dice))),
-            7 => (1, true, Rc::new(kept::SpoiltStore::draw(dice))),
-            _ => (dice.between(500, 4_000), true, Rc::new(kept::StoreFull)),
+pub fn of_kept(rng: &mut SimulationRng) -> Vec<(Fault, bool)> {
+    let fault = |rng: &mut SimulationRng| {
+        let from = rng.between(2_000, 20_000);
+        let (span, spoils, trouble): (u64, bool, Rc<dyn Trouble>) = match rng.below(10) {
+            0..=6 => (1, false, Rc::new(kept::KillInResend::draw(rng))),
+            7 => (1, true, Rc::new(kept::SpoiltStore::draw(rng))),
+            _ => (rng.between(500, 4_000), true, Rc::new(kept::StoreFull)),
         };
         (
             Fault {
@@ -210,26 +210,26 @@
             spoils,
         )
     };
-    (0..dice.between(0, 3)).map(|_| fault(dice)).collect()
+    (0..rng.between(0, 3)).map(|_| fault(rng)).collect()
 }
 
 /// One to three new versions over the day.
-pub fn of_upgrades(dice: &mut Dice) -> Vec<Fault> {
+pub fn of_upgrades(rng: &mut SimulationRng) -> Vec<Fault> {
     let mut from = 0;
     let fault = |_| {
-        from += dice.between(1_500, 5_000);
+        from += rng.between(1_500, 5_000);
         Fault {
             from,
             until: from + 1,
             relay: 0,
-            trouble: Rc::new(upgrade::NewVersion::draw(dice)),
+            trouble: Rc::new(upgrade::NewVersion::draw(rng)),
         }
     };
     (0..3).map(fault).collect()
 }
 
 /// What staff do: the changes of the day, one or two drains, and up to two files that are not whole.
-pub fn of_staff(dice: &mut Dice, changes: &Changes) -> Vec<Fault> {
+pub fn of_staff(rng: &mut SimulationRng, changes: &Changes) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut add = |from: u64, until: u64, trouble: Rc<dyn Trouble>| {
         faults.push(Fault {
@@ -247,28 +247,28 @@
     if let Some((at, most)) = changes.fewer {
         add(at, at + IN_USE, Rc::new(staff::Fewer(most)));
     }
-    let mut from = dice.between(1_000, 5_000);
-    for _ in 0..dice.between(1, 2) {
-        let until = from + dice.between(1_000, 6_500);
+    let mut from = rng.between(1_000, 5_000);
+    for _ in 0..rng.between(1, 2) {
+        let until = from + rng.between(1_000, 6_500);
         add(from, until, Rc::new(staff::Drain));
-        from = until + dice.between(1_500, 4_000);
+        from = until + rng.between(1_500, 4_000);
     }
-    for _ in 0..dice.below(3) {
-        let at = dice.between(1_000, 13_000);
-        add(at, at + 150, Rc::new(staff::SpoiltFile::draw(dice)));
+    for _ in 0..rng.below(3) {
+        let at = rng.between(1_000, 13_000);
+        add(at, at + 150, Rc::new(staff::SpoiltFile::draw(rng)));
     }
     faults
 }
 
 /// What befalls several relays: each fault of the day strikes one of them, and up to two more strike some apart
 /// from the others.
-pub fn of_fleet(dice: &mut Dice, faults: &mut Vec<Fault>, relays: u64, blocks: &[u16]) {
-    for _ in 0..dice.between(0, 2) {
-        let from = dice.between(500, 12_000);
-        let until = from + dice.between(300, 4_000);
-        let trouble: Rc<dyn Trouble> = match dice.below(4) {
-            0 => Rc::new(fleet::KillAll::draw(dice)),
-            1 | 2 => Rc::new(fleet::CutOff(*dice.pick(blocks))),
+pub fn of_fleet(rng: &mut SimulationRng, faults: &mut Vec<Fault>, relays: u64, blocks: &[u16]) {
+    for _ in 0..rng.between(0, 2) {
+        let from = rng.between(500, 12_000);
+        let until = from + rng.between(300, 4_000);
+        let trouble: Rc<dyn Trouble> = match rng.below(4) {
+            0 => Rc::new(fleet::KillAll::draw(rng)),
+            1 | 2 => Rc::new(fleet::CutOff(*rng.pick(blocks))),
             _ => Rc::new(listing::ListSilent),
         };
         faults.push(Fault {
@@ -280,13 +280,13 @@
     }
     faults
         .iter_mut()
-        .for_each(|fault| fault.relay = dice.below(relays) as usize);
+        .for_each(|fault| fault.relay = rng.below(relays) as usize);
     faults.sort_by_key(|fault| fault.from);
 }
 
 /// What befalls a large fleet: one of a restart of most, an outage of destinations with half of the traffic, and a
 /// limit lowered for nine seconds; at times two of them.
-pub fn of_vast(dice: &mut Dice, blocks: &[u16], relays: usize) -> Vec<Fault> {
+pub fn of_vast(rng: &mut SimulationRng, blocks: &[u16], relays: usize) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut add = |from: u64, span: u64, trouble: Rc<dyn Trouble>| {
         faults.push(Fault {
@@ -296,22 +296,18 @@
             trouble,
         });
     };
-    let first = dice.below(3);
-    let second = if dice.percent(30) {
-        dice.below(3)
-    } else {
-        first
-    };
+    let first = rng.below(3);
+    let second = if rng.percent(30) { rng.below(3) } else { first };
     for kind in std::collections::BTreeSet::from([first, second]) {
-        let from = dice.between(3_000, 7_000);
+        let from = rng.between(3_000, 7_000);
         match kind {
-            0 if relays > 1 => add(from, 1, Rc::new(vast::KillMost::draw(dice))),
+            0 if relays > 1 => add(from, 1, Rc::new(vast::KillMost::draw(rng))),
             0 | 1 => {
                 let half = &blocks[..blocks.len().div_ceil(2)];
                 half.iter()
                     .for_each(|block| add(from, 5_000, Rc::new(vast::Down(*block))));
             }
-            _ => add(from, 9_000, Rc::new(vast::Lowered(*dice.pick(blocks)))),
+            _ => add(from, 9_000, Rc::new(vast::Lowered(*rng.pick(blocks)))),
         }
     }
     faults.sort_by_key(|fault| fault.from);
@@ -320,7 +316,7 @@
 
 /// All relays are restarted, a tenth at a time, while up to a third of the hosts leave in steps, never the last of a
 /// destination; discovery moves for most relays, and is late or silent for some.
-pub fn of_rolling(dice: &mut Dice, relays: usize, hosts: usize, each: usize) -> Vec<Fault> {
+pub fn of_rolling(rng: &mut SimulationRng, relays: usize, hosts: usize, each: usize) -> Vec<Fault> {
     let mut faults = Vec::new();
     let mut add = |from: u64, span: u64, relay: usize, trouble: Rc<dyn Trouble>| {
         faults.push(Fault {
@@ -333,47 +329,42 @@
     for relay in 0..relays {
         let turn = (relay * 10 / relays) as u64;
         add(
-            2_000 + turn * 1_200 + dice.below(200),
+            2_000 + turn * 1_200 + rng.below(200),
             1,
             relay,
-            Rc::new(rolling::Restarted::draw(dice)),
+            Rc::new(rolling::Restarted::draw(rng)),
         );
     }
-    let moved = dice.between(4_000, 10_000);
+    let moved = rng.between(4_000, 10_000);
     for relay in 0..relays {
-        if dice.percent(70) {
-            add(
-                moved + dice.below(1_000),
-                1,
-                relay,
-                Rc::new(process::Reload),
-            );
+        if rng.percent(70) {
+            add(moved + rng.below(1_000), 1, relay, Rc::new(process::Reload));
         }
-        match dice.below(10) {
+        match rng.below(10) {
             0 => add(
-                dice.between(2_000, 11_000),
-                dice.between(200, 3_000),
+                rng.between(2_000, 11_000),
+                rng.between(200, 3_000),
                 relay,
                 Rc::new(listing::ListSilent),
             ),
             1 => add(
-                dice.between(2_000, 11_000),
+                rng.between(2_000, 11_000),
                 2_000,
                 relay,
-                Rc::new(listing::ListLags::draw(dice)),
+                Rc::new(listing::ListLags::draw(rng)),
             ),
             _ => {}
         }
     }
-    for _ in 0..dice.between(3, 6) {
-        let from = dice.between(2_500, 14_000);
+    for _ in 0..rng.between(3, 6) {
+        let from = rng.between(2_500, 14_000);
         for host in 0..hosts {
             // One of each destination stays for good: not the first, which idle relays prefer.
             let stays = (host + 1) % each == 0 || host + 1 == hosts;
-            if !stays && dice.percent(15) {
+            if !stays && rng.percent(15) {
                 add(
                     from,
-                    dice.between(3_000, 6_000),
+                    rng.between(3_000, 6_000),
                     0,
                     Rc::new(listing::Drains(host)),
                 );
@@ -385,24 +376,24 @@
 }
 
 /// Two faults that overlap, and up to three more, in the order of their beginnings.
-pub fn draw(dice: &mut Dice, blocks: &[u16], hosts: usize) -> Vec<Fault> {
+pub fn draw(rng: &mut SimulationRng, blocks: &[u16], hosts: usize) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let middle = dice.between(4_000, 11_000);
-    for number in 0..dice.between(2, 5) {
+    let middle = rng.between(4_000, 11_000);
+    for number in 0..rng.between(2, 5) {
         let (from, until) = if number < 2 {
             (
-                middle - dice.between(100, 3_500),
-                middle + dice.between(300, 4_000),
+                middle - rng.between(100, 3_500),
+                middle + rng.between(300, 4_000),
             )
         } else {
-            let from = dice.between(500, 13_000);
-            (from, from + dice.between(200, 5_000))
+            let from = rng.between(500, 13_000);
+            (from, from + rng.between(200, 5_000))
         };
         faults.push(Fault {
             from,
             until,
             relay: 0,
-            trouble: trouble(dice, blocks, hosts),
+            trouble: trouble(rng, blocks, hosts),
         });
     }
     faults.sort_by_key(|fault| fault.from);
--- a/crates/simulator/src/faults/partners.rs
+++ b/crates/simulator/src/faults/partners.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{Scene, Target, Trouble};
-use crate::dice::Dice;
 use crate::machine::AddressFault;
+use crate::rng::SimulationRng;
 use crate::rules::facts::Seen;
 
 /// A partner's calls fail, so many of a hundred.
@@ -12,8 +12,8 @@
 pub(super) struct Fails(u16, u64);
 
 impl Fails {
-    pub fn draw(dice: &mut Dice, at: &Target) -> Self {
-        Fails(at.block, dice.between(50, 100))
+    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
+        Fails(at.block, rng.between(50, 100))
     }
 }
 
@@ -158,8 +158,8 @@
 pub(super) struct Cuts(u16, u64);
 
 impl Cuts {
-    pub fn draw(dice: &mut Dice, at: &Target) -> Self {
-        Cuts(at.block, dice.between(10, 60))
+    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
+        Cuts(at.block, rng.between(10, 60))
     }
 }
 
@@ -214,8 +214,8 @@
 pub(super) struct Spoils(u16, u64);
 
 impl Spoils {
-    pub fn draw(dice: &mut Dice, at: &Target) -> Self {
-        Spoils(at.block, dice.between(5, 40))
+    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
+        Spoils(at.block, rng.between(5, 40))
     }
 }
 
@@ -238,8 +238,8 @@
 pub(super) struct Limited(u16, u64);
 
 impl Limited {
-    pub fn draw(dice: &mut Dice, at: &Target) -> Self {
-        Limited(at.block, dice.between(2, 10))
+    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
+        Limited(at.block, rng.between(2, 10))
     }
 }
 
@@ -258,8 +258,8 @@
 pub(super) struct Slow(u16, u64);
 
 impl Slow {
-    pub fn draw(dice: &mut Dice, at: &Target) -> Self {
-        Slow(at.block, dice.between(200, 1_500))
+    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
+        Slow(at.block, rng.between(200, 1_500))
     }
 }
 
--- a/crates/simulator/src/faults/process.rs
+++ b/crates/simulator/src/faults/process.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 use crate::rules::facts::Seen;
 
 /// SIGKILL after so many more effects, and a start so many milliseconds later.
@@ -11,8 +11,8 @@
 pub(super) struct Kill(u64, u64);
 
 impl Kill {
-    pub fn draw(dice: &mut Dice) -> Self {
-        Kill(dice.below(40), dice.between(300, 1_500))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        Kill(rng.below(40), rng.between(300, 1_500))
     }
 }
 
@@ -35,8 +35,8 @@
 pub(super) struct KillInRewriting(u64, u64);
 
 impl KillInRewriting {
-    pub fn draw(dice: &mut Dice) -> Self {
-        KillInRewriting(dice.below(5), dice.between(300, 1_500))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        KillInRewriting(rng.below(5), rng.between(300, 1_500))
     }
 }
 
@@ -54,8 +54,8 @@
 pub(super) struct Stop(u64);
 
 impl Stop {
-    pub fn draw(dice: &mut Dice) -> Self {
-        Stop(dice.between(300, 1_500))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        Stop(rng.between(300, 1_500))
     }
 }
 
@@ -80,8 +80,8 @@
 pub(super) struct DiskFull(u64);
 
 impl DiskFull {
-    pub fn draw(dice: &mut Dice) -> Self {
-        DiskFull(dice.below(4_000))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        DiskFull(rng.below(4_000))
     }
 }
 
@@ -104,8 +104,8 @@
 pub(super) struct ShortWrites(u64);
 
 impl ShortWrites {
-    pub fn draw(dice: &mut Dice) -> Self {
-        ShortWrites(dice.between(5, 60))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        ShortWrites(rng.between(5, 60))
     }
 }
 
--- a/crates/simulator/src/faults/rolling.rs
+++ b/crates/simulator/src/faults/rolling.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 
 /// A relay is stopped or killed, and starts again so many milliseconds after its end.
 #[derive(Debug)]
@@ -14,12 +14,12 @@
 
 impl Restarted {
     /// After SIGTERM a process that leaves early is down for as long as the others take.
-    pub fn draw(dice: &mut Dice) -> Self {
-        let stopped = dice.percent(50);
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        let stopped = rng.percent(50);
         Restarted {
             stopped,
             down: if stopped {
-                dice.between(600, 4_300)
+                rng.between(600, 4_300)
             } else {
                 600
             },
--- a/crates/simulator/src/faults/staff.rs
+++ b/crates/simulator/src/faults/staff.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
-use crate::dice::Dice;
 use crate::operated;
+use crate::rng::SimulationRng;
 use crate::rules::facts::Seen;
 
 /// The relay is drained, and put back to work.
@@ -64,8 +64,8 @@
 pub(super) struct SpoiltFile(u64);
 
 impl SpoiltFile {
-    pub fn draw(dice: &mut Dice) -> Self {
-        SpoiltFile(dice.below(operated::SPOILT))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        SpoiltFile(rng.below(operated::SPOILT))
     }
 }
 
--- a/crates/simulator/src/faults/tenants.rs
+++ b/crates/simulator/src/faults/tenants.rs
@@ -4,16 +4,16 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
-use crate::dice::Dice;
 use crate::hosted::FOLDER;
+use crate::rng::SimulationRng;
 
 /// SIGKILL so many effects after an administrator's next change is sent.
 #[derive(Debug)]
 pub(super) struct KillInChange(u64, u64);
 
 impl KillInChange {
-    pub fn draw(dice: &mut Dice) -> Self {
-        KillInChange(dice.below(16), dice.between(300, 1_500))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        KillInChange(rng.below(16), rng.between(300, 1_500))
     }
 }
 
@@ -33,11 +33,11 @@
 }
 
 impl SpoiltRegistry {
-    pub fn draw(dice: &mut Dice, copy: &'static str) -> Self {
+    pub fn draw(rng: &mut SimulationRng, copy: &'static str) -> Self {
         SpoiltRegistry {
             copy,
-            at: dice.below(1 << 20),
-            cut: dice.percent(30),
+            at: rng.below(1 << 20),
+            cut: rng.percent(30),
         }
     }
 }
--- a/crates/simulator/src/faults/traffic.rs
+++ b/crates/simulator/src/faults/traffic.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use super::{Scene, Target, Trouble};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 
 /// A brand hands in so many more messages for one partner.
 #[derive(Debug)]
 pub(super) struct Surge(u16, u64);
 
 impl Surge {
-    pub fn draw(dice: &mut Dice, at: &Target) -> Self {
-        Surge(at.block, dice.between(40, 160))
+    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
+        Surge(at.block, rng.between(40, 160))
     }
 }
 
@@ -28,8 +28,8 @@
 pub(super) struct BadClients(u64);
 
 impl BadClients {
-    pub fn draw(dice: &mut Dice) -> Self {
-        BadClients(dice.between(10, 40))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        BadClients(rng.between(10, 40))
     }
 }
 
--- a/crates/simulator/src/faults/upgrade.rs
+++ b/crates/simulator/src/faults/upgrade.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble, Upgrade};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 
 /// Effects of a process within which a kill strikes: its start, its part of the hand-over, and some of its service.
 const KILL_WITHIN: u64 = 120;
@@ -13,10 +13,10 @@
 pub(super) struct NewVersion(Upgrade);
 
 impl NewVersion {
-    pub fn draw(dice: &mut Dice) -> Self {
-        let stop_after = Duration::from_millis(dice.between(0, 800));
-        let struck = dice.below(6);
-        let effects = dice.below(KILL_WITHIN);
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        let stop_after = Duration::from_millis(rng.between(0, 800));
+        let struck = rng.below(6);
+        let effects = rng.below(KILL_WITHIN);
         let kills = [0, 1].map(|side| (struck == side).then_some(effects));
         NewVersion(Upgrade { stop_after, kills })
     }
--- a/crates/simulator/src/faults/vast.rs
+++ b/crates/simulator/src/faults/vast.rs
@@ -4,15 +4,15 @@
 
 use super::partners::Refuses;
 use super::{Scene, Trouble};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 
 /// SIGKILL to most relays at one instant, so many of a hundred; they come up again after the same time.
 #[derive(Debug)]
 pub(super) struct KillMost(u64, u64);
 
 impl KillMost {
-    pub fn draw(dice: &mut Dice) -> Self {
-        KillMost(dice.between(50, 90), dice.between(300, 1_200))
+    pub fn draw(rng: &mut SimulationRng) -> Self {
+        KillMost(rng.between(50, 90), rng.between(300, 1_200))
     }
 }
 
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -10,8 +10,8 @@
 use tenancy::spec::Spec;
 use tenancy::{record, Registry};
 
-use crate::dice::Dice;
 use crate::peers::clients::{Habit, Plan};
+use crate::rng::SimulationRng;
 use crate::rules::facts::Repeat;
 
 /// Where the administration API listens.
@@ -88,26 +88,26 @@
 
 impl Hosted {
     /// The tenants and administrators of a seed.
-    pub fn draw(dice: &mut Dice) -> Self {
+    pub fn draw(rng: &mut SimulationRng) -> Self {
         let tenants: Vec<TenantPlan> = (0..TENANTS)
             .map(|number| TenantPlan {
                 name: format!("tenant-{number}"),
-                weight: *dice.pick(&[50, 100, 100, 200, 400]),
+                weight: *rng.pick(&[50, 100, 100, 200, 400]),
                 secret: format!("secret-{number}"),
             })
             .collect();
         // On every third day nobody changes anything, so that shares are seen for long.
-        let busy = !dice.percent(33);
+        let busy = !rng.percent(33);
         let admins = (0..ADMINS)
             .map(|_| {
-                let many = if busy { dice.between(3, 14) } else { 0 };
-                let mut errands: Vec<Errand> = (0..many).flat_map(|_| errand(dice)).collect();
+                let many = if busy { rng.between(3, 14) } else { 0 };
+                let mut errands: Vec<Errand> = (0..many).flat_map(|_| errand(rng)).collect();
                 errands.sort_by_key(|errand| errand.at);
                 errands
             })
             .collect();
         Hosted {
-            auth: dice.percent(50),
+            auth: rng.percent(50),
             tenants,
             admins,
         }
@@ -142,7 +142,7 @@
     }
 
     /// Gives each message to its client's tenant, and adds those of the tenants that flood.
-    pub fn fill(&self, dice: &mut Dice, clients: &mut [Vec<Plan>], blocks: &[u16]) {
+    pub fn fill(&self, rng: &mut SimulationRng, clients: &mut [Vec<Plan>], blocks: &[u16]) {
         for (client, plans) in clients.iter_mut().enumerate() {
             let tenant = &self.tenant_of(client).name;
             plans
@@ -150,24 +150,24 @@
                 .for_each(|plan| plan.tenant = tenant.clone());
         }
         let mut number = 0;
-        for _ in 0..dice.between(1, 3) {
-            let tenant = dice.below(TENANTS) as usize;
-            let block = *dice.pick(blocks);
-            let (from, many) = (dice.between(500, 9_000), dice.between(80, 400));
-            let until = from + dice.between(1_000, 5_000);
-            let kind = dice.below(3);
+        for _ in 0..rng.between(1, 3) {
+            let tenant = rng.below(TENANTS) as usize;
+            let block = *rng.pick(blocks);
+            let (from, many) = (rng.between(500, 9_000), rng.between(80, 400));
+            let until = from + rng.between(1_000, 5_000);
+            let kind = rng.below(3);
             for _ in 0..many {
                 number += 1;
                 let senders: Vec<usize> = (0..clients.len())
                     .filter(|c| c % self.tenants.len() == tenant)
                     .collect();
-                let client = *dice.pick(&senders);
+                let client = *rng.pick(&senders);
                 let (class, repeat, left) = match kind {
                     0 => ("payout", Repeat::Unsafe, 10_000),
                     _ => ("update", Repeat::Safe, 6_000),
                 };
                 clients[client].push(Plan {
-                    at: Duration::from_millis(dice.between(from, until)),
+                    at: Duration::from_millis(rng.between(from, until)),
                     name: format!("f{number:04}"),
                     tenant: self.tenants[tenant].name.clone(),
                     class,
@@ -177,7 +177,7 @@
                     unsafe_from: None,
                     destination: block,
                     left,
-                    size: dice.below(300) as usize,
+                    size: rng.below(300) as usize,
                     habit: Habit::Plain,
                 });
             }
@@ -189,7 +189,7 @@
                 .flatten()
                 .filter(|plan| plan.habit == Habit::Plain)
             {
-                if dice.percent(2) {
+                if rng.percent(2) {
                     plan.habit = Habit::Impostor;
                 }
             }
@@ -239,10 +239,10 @@
 }
 
 /// An errand, or two that belong together: what is paused or removed comes back, so that the day goes on.
-fn errand(dice: &mut Dice) -> Vec<Errand> {
-    let at = dice.between(AT_WORK.0, AT_WORK.1);
-    let tenant = dice.below(TENANTS) as usize;
-    let (stale, insists) = (dice.percent(15), dice.percent(50));
+fn errand(rng: &mut SimulationRng) -> Vec<Errand> {
+    let at = rng.between(AT_WORK.0, AT_WORK.1);
+    let tenant = rng.below(TENANTS) as usize;
+    let (stale, insists) = (rng.percent(15), rng.percent(50));
     let one = |at: u64, deed| Errand {
         at: Duration::from_millis(at),
         tenant,
@@ -250,15 +250,15 @@
         stale,
         insists,
     };
-    let later = |dice: &mut Dice| at + dice.between(50, 3_000);
-    match dice.below(20) {
+    let later = |rng: &mut SimulationRng| at + rng.between(50, 3_000);
+    match rng.below(20) {
         0..=3 => vec![one(at, Deed::Look)],
         4..=7 => {
-            let weight = *dice.pick(&[30, 100, 300, 1000]);
+            let weight = *rng.pick(&[30, 100, 300, 1000]);
             vec![one(at, Deed::Set(format!("{{\"weight\":{weight}}}")))]
         }
         8 => {
-            let set = *dice.pick(&[
+            let set = *rng.pick(&[
                 "\"max_held\":8",
                 "\"max_in_flight\":1",
                 "\"rate\":{\"per_second\":6,\"burst\":3}",
@@ -266,17 +266,17 @@
             let clear = "{\"max_held\":null,\"max_in_flight\":null,\"rate\":null}";
             vec![
                 one(at, Deed::Set(format!("{{{set}}}"))),
-                one(later(dice), Deed::Set(clear.into())),
+                one(later(rng), Deed::Set(clear.into())),
             ]
         }
-        9..=12 => vec![one(at, Deed::Pause), one(later(dice), Deed::Resume)],
+        9..=12 => vec![one(at, Deed::Pause), one(later(rng), Deed::Resume)],
         13..=17 => {
-            let refuse = dice.percent(50);
+            let refuse = rng.percent(50);
             vec![
                 one(at, Deed::Remove { refuse }),
-                one(later(dice), Deed::Create(*dice.pick(&[50, 100, 200]))),
+                one(later(rng), Deed::Create(*rng.pick(&[50, 100, 200]))),
             ]
         }
-        _ => vec![one(at, Deed::Rubbish(dice.below(4)))],
+        _ => vec![one(at, Deed::Rubbish(rng.below(4)))],
     }
 }
--- a/crates/simulator/src/kept.rs
+++ b/crates/simulator/src/kept.rs
@@ -9,9 +9,9 @@
 
 use tenancy::secret::Digest;
 
-use crate::dice::Dice;
 use crate::faults;
 use crate::hosted::ADMIN;
+use crate::rng::SimulationRng;
 use crate::rules::facts::Repeat;
 use crate::script::Script;
 
@@ -88,7 +88,7 @@
     /// The day of a seed on which what is given up is kept and sent again.
     #[must_use]
     pub fn draw_kept(seed: u64) -> Self {
-        let (mut script, mut dice) = (Script::draw(seed), Dice::new(seed, 8));
+        let (mut script, mut rng) = (Script::draw(seed), SimulationRng::new(seed, 8));
         // A resend comes after whatever its order would have put behind it.
         for class in script.settings["services"]
             .as_array_mut()
@@ -103,11 +103,11 @@
             .flatten()
             .for_each(|plan| plan.in_order = false);
         for plan in script.clients.iter_mut().flatten() {
-            if dice.percent(50) {
+            if rng.percent(50) {
                 (plan.class, plan.repeat) = ("payout", Repeat::Unsafe);
             }
         }
-        let struck = faults::of_kept(&mut dice);
+        let struck = faults::of_kept(&mut rng);
         let spoilt = struck.iter().any(|(_, spoils)| *spoils);
         script
             .faults
@@ -116,9 +116,9 @@
         (script.rules.kept, script.rules.store_spoilt) = (true, spoilt);
         script.kept = Some(Kept {
             spoilt,
-            rule: dice.percent(40),
-            at_once: dice.between(1, 8),
-            fails: dice.between(2, 12),
+            rule: rng.percent(40),
+            at_once: rng.between(1, 8),
+            fails: rng.between(2, 12),
         });
         script
     }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -6,7 +6,6 @@
 pub mod checker;
 pub mod cost;
 pub mod demo;
-pub mod dice;
 pub mod faults;
 pub mod hosted;
 pub mod kept;
@@ -14,6 +13,7 @@
 pub mod machine;
 pub mod operated;
 pub mod peers;
+pub mod rng;
 pub mod rolling;
 pub mod rules;
 pub mod script;
--- a/crates/simulator/src/machine/io.rs
+++ b/crates/simulator/src/machine/io.rs
@@ -45,14 +45,10 @@
         let mut core = runtime.core.borrow_mut();
         let core = &mut *core;
         let fault = core.net.fault(&to);
-        let cut = core.dice.percent(fault.cuts).then(|| {
-            let within = if core.dice.percent(50) {
-                60
-            } else {
-                CUT_WITHIN
-            };
-            let after = core.dice.below(within);
-            (core.dice.below(2) as usize, after)
+        let cut = core.rng.percent(fault.cuts).then(|| {
+            let within = if core.rng.percent(50) { 60 } else { CUT_WITHIN };
+            let after = core.rng.below(within);
+            (core.rng.below(2) as usize, after)
         });
         let owner = core
             .net
@@ -210,8 +206,8 @@
     fn portion(&self, bytes: &Bytes, most: usize) -> usize {
         let most = bytes.len().min(most);
         let mut core = self.runtime.core.borrow_mut();
-        if most > 1 && core.dice.percent(SHORT) {
-            1 + core.dice.below(most as u64 - 1) as usize
+        if most > 1 && core.rng.percent(SHORT) {
+            1 + core.rng.below(most as u64 - 1) as usize
         } else {
             most
         }
@@ -278,9 +274,9 @@
         let most = match core.effect(self.runtime.proc) {
             Fate::Dead => return Poll::Pending,
             // Killed within the write: a part of it is out.
-            Fate::Dies { .. } => core.dice.below(text.len() as u64 + 1) as usize,
-            Fate::Alive if text.len() > 1 && core.dice.percent(SHORT) => {
-                1 + core.dice.below(text.len() as u64 - 1) as usize
+            Fate::Dies { .. } => core.rng.below(text.len() as u64 + 1) as usize,
+            Fate::Alive if text.len() > 1 && core.rng.percent(SHORT) => {
+                1 + core.rng.below(text.len() as u64 - 1) as usize
             }
             Fate::Alive => text.len(),
         };
@@ -300,7 +296,7 @@
         if ours == Some(Lie::MuteDoor) && text.starts_with(b"ok figures") {
             return Poll::Ready(Ok(text.len()));
         }
-        let jitter = Duration::from_micros(core.dice.below(JITTER));
+        let jitter = Duration::from_micros(core.rng.below(JITTER));
         let text = told.as_deref().unwrap_or(text);
         let (written, arrivals) = core.net.write(
             self.id,
@@ -506,9 +502,9 @@
         let most = match core.effect(self.runtime.proc) {
             Fate::Dead => return Err(io::ErrorKind::Other.into()),
             // Torn at any length.
-            Fate::Dies { .. } => core.dice.below(text.len() as u64 + 1) as usize,
-            Fate::Alive if text.len() > 1 && core.dice.percent(short) => {
-                1 + core.dice.below(text.len() as u64 - 1) as usize
+            Fate::Dies { .. } => core.rng.below(text.len() as u64 + 1) as usize,
+            Fate::Alive if text.len() > 1 && core.rng.percent(short) => {
+                1 + core.rng.below(text.len() as u64 - 1) as usize
             }
             Fate::Alive => text.len(),
         };
--- a/crates/simulator/src/machine/mod.rs
+++ b/crates/simulator/src/machine/mod.rs
@@ -28,7 +28,7 @@
 pub use net::AddressFault;
 pub use pages::SimulatedRandomAccessFile;
 
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 use life::{Life, Step};
 use net::Net;
 use sched::{Due, Next, Sched, TaskId, TimerKey};
@@ -121,7 +121,7 @@
     /// Locks by machine and file: who holds it, and which taking that was.
     locks: BTreeMap<(usize, PathBuf), (ProcId, u64)>,
     taken: u64,
-    dice: Dice,
+    rng: SimulationRng,
     digest: DefaultHasher,
     /// The same without texts: moments, the order of tasks, effects and the bytes that are written.
     effects_digest: DefaultHasher,
@@ -137,7 +137,7 @@
         match this.life.step() {
             Step::Done => Fate::Alive,
             Step::Dies => Fate::Dies {
-                done: self.dice.below(2) == 0,
+                done: self.rng.below(2) == 0,
             },
             Step::Dead => Fate::Dead,
         }
@@ -268,7 +268,7 @@
             procs: BTreeMap::new(),
             locks: BTreeMap::new(),
             taken: 0,
-            dice: Dice::new(seed, 1),
+            rng: SimulationRng::new(seed, 1),
             digest: DefaultHasher::new(),
             effects_digest: DefaultHasher::new(),
             trace: traced.then(Vec::new),
@@ -536,7 +536,7 @@
         let next = {
             let mut core = self.core.borrow_mut();
             let core = &mut *core;
-            let next = core.sched.next(core.now, |n| core.dice.below(n));
+            let next = core.sched.next(core.now, |n| core.rng.below(n));
             match next {
                 Next::Wait(at) if at <= until => {
                     core.now = at;
@@ -658,7 +658,7 @@
 
 impl SimulatedRuntime {
     fn random(&self, n: u64) -> u64 {
-        self.core.borrow_mut().dice.below(n)
+        self.core.borrow_mut().rng.below(n)
     }
 
     /// The same for an effect on a file, which the digest of effects tells.
--- a/crates/simulator/src/operated.rs
+++ b/crates/simulator/src/operated.rs
@@ -5,9 +5,9 @@
 
 use serde_json::{json, Value};
 
-use crate::dice::Dice;
 use crate::faults;
 use crate::peers::clients::{Habit, Plan};
+use crate::rng::SimulationRng;
 use crate::rules::facts::Repeat;
 use crate::script::Script;
 
@@ -32,13 +32,13 @@
 }
 
 impl Changes {
-    fn draw(dice: &mut Dice, attempts: usize) -> Self {
-        let from = dice.between(1_000, 8_000);
-        let rush = (from, from + dice.between(3_000, 6_000));
-        let hardened = dice.percent(60).then(|| dice.between(2_000, 11_000));
-        let fewer = dice
+    fn draw(rng: &mut SimulationRng, attempts: usize) -> Self {
+        let from = rng.between(1_000, 8_000);
+        let rush = (from, from + rng.between(3_000, 6_000));
+        let hardened = rng.percent(60).then(|| rng.between(2_000, 11_000));
+        let fewer = rng
             .percent(60)
-            .then(|| (dice.between(2_000, 11_000), (attempts / 2).max(2)));
+            .then(|| (rng.between(2_000, 11_000), (attempts / 2).max(2)));
         Changes {
             rush,
             hardened,
@@ -105,12 +105,12 @@
     /// The day of a seed on which staff work on the relay.
     #[must_use]
     pub fn draw_operated(seed: u64) -> Self {
-        let (mut script, mut dice) = (Script::draw(seed), Dice::new(seed, 13));
-        let changes = Changes::draw(&mut dice, script.rules.attempts);
+        let (mut script, mut rng) = (Script::draw(seed), SimulationRng::new(seed, 13));
+        let changes = Changes::draw(&mut rng, script.rules.attempts);
         if seed.is_multiple_of(2) {
-            script.faults.extend(faults::of_upgrades(&mut dice));
+            script.faults.extend(faults::of_upgrades(&mut rng));
         }
-        script.faults.extend(faults::of_staff(&mut dice, &changes));
+        script.faults.extend(faults::of_staff(&mut rng, &changes));
         script.faults.sort_by_key(|fault| fault.from);
         let garbled = script.faults.iter().filter_map(|fault| {
             Some((fault.trouble.garbles()?, Duration::from_millis(fault.from)))
@@ -131,7 +131,7 @@
         for number in 0..RUSHES.0 {
             let plan = Plan {
                 at: Duration::from_millis(
-                    dice.between(changes.rush.0 + IN_USE, changes.rush.1 - 100),
+                    rng.between(changes.rush.0 + IN_USE, changes.rush.1 - 100),
                 ),
                 name: format!("r{number:04}"),
                 tenant: "acme".into(),
@@ -140,12 +140,12 @@
                 order: 0,
                 in_order: false,
                 unsafe_from: None,
-                destination: *dice.pick(&blocks),
+                destination: *rng.pick(&blocks),
                 left: RUSHES.1,
-                size: dice.below(200) as usize,
+                size: rng.below(200) as usize,
                 habit: Habit::Plain,
             };
-            script.clients[dice.below(many) as usize].push(plan);
+            script.clients[rng.below(many) as usize].push(plan);
         }
         script
     }
--- a/crates/simulator/src/peers/hosts.rs
+++ b/crates/simulator/src/peers/hosts.rs
@@ -13,7 +13,7 @@
 
 use super::ledger::Ledger;
 use super::{read_request, until_closed, Numbered, Request, Stage};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 use crate::rules::facts::{CallName, Called, Seen, Verdict};
 
 /// A host's report on its allowance is as old as this at most.
@@ -78,7 +78,7 @@
     pub mood: RefCell<Mood>,
     /// Calls a second that it could take, as its answers report.
     pub capacity: f64,
-    dice: RefCell<Dice>,
+    rng: RefCell<SimulationRng>,
     taken: RefCell<VecDeque<Duration>>,
     /// Connections that are open.
     open: Cell<usize>,
@@ -97,7 +97,7 @@
         zone: &str,
         address: SocketAddr,
         capacity: f64,
-        dice: Dice,
+        rng: SimulationRng,
     ) -> Rc<Self> {
         Rc::new(Host {
             name: RefCell::new(name.into()),
@@ -106,7 +106,7 @@
             address,
             mood: RefCell::default(),
             capacity,
-            dice: RefCell::new(dice),
+            rng: RefCell::new(rng),
             taken: RefCell::default(),
             open: Cell::new(0),
             left: Cell::new((Duration::ZERO, 1.0)),
@@ -209,8 +209,8 @@
         }
     }
 
-    fn draw<T>(&self, draw: impl FnOnce(&mut Dice) -> T) -> T {
-        draw(&mut self.dice.borrow_mut())
+    fn draw<T>(&self, draw: impl FnOnce(&mut SimulationRng) -> T) -> T {
+        draw(&mut self.rng.borrow_mut())
     }
 
     /// How long a call has to stay away, if the host is at its limit.
@@ -288,7 +288,7 @@
                 .map(Some),
         };
         if let Some(wait) = refused {
-            let silent = mood.spends && self.draw(|dice| dice.percent(50));
+            let silent = mood.spends && self.draw(|rng| rng.percent(50));
             let wait = wait.filter(|_| !silent).unwrap_or_default();
             let millis = wait.as_millis();
             let head = if millis > 0 {
@@ -307,11 +307,11 @@
                 .await?;
             return Ok(true);
         }
-        let (takes, fails, spoils) = self.draw(|dice| {
+        let (takes, fails, spoils) = self.draw(|rng| {
             (
-                dice.between(mood.takes.0, mood.takes.1),
-                dice.percent(mood.fails),
-                dice.percent(mood.spoils),
+                rng.between(mood.takes.0, mood.takes.1),
+                rng.percent(mood.fails),
+                rng.percent(mood.spoils),
             )
         });
         if !spoils {
@@ -347,8 +347,8 @@
         }
         self.write(stage, stream, name, Verdict::Delivered, &good)
             .await?;
-        if mood.closes && self.draw(|dice| dice.percent(60)) {
-            let after = self.draw(|dice| dice.below(250));
+        if mood.closes && self.draw(|rng| rng.percent(60)) {
+            let after = self.draw(|rng| rng.below(250));
             // It may cross the next call, which is then never read.
             stage.runtime.sleep(Duration::from_millis(after)).await;
             return Ok(false);
@@ -395,7 +395,7 @@
     where
         R::Stream: Numbered,
     {
-        let kind = self.draw(|dice| dice.below(9));
+        let kind = self.draw(|rng| rng.below(9));
         let (verdict, text): (_, &[u8]) = match kind {
             0 => (Verdict::MayHaveRun, b"\x01\x02\xff\r\n\r\nnoise"),
             1 => (Verdict::Delivered, b"HTTP/1.1 200 OK\r\n\x01: \xff\r\n\r\n"),
--- a/crates/simulator/src/peers/ledger.rs
+++ b/crates/simulator/src/peers/ledger.rs
@@ -12,7 +12,7 @@
 use tokio::io::AsyncWriteExt;
 
 use super::{read_request, Stage};
-use crate::dice::Dice;
+use crate::rng::SimulationRng;
 use crate::rules::facts::{Called, Repeat, Seen};
 
 /// A call that is not answered well has taken effect so often, of a hundred.
@@ -21,7 +21,7 @@
 const LATE: Duration = Duration::from_secs(3);
 
 struct Book {
-    dice: Dice,
+    rng: SimulationRng,
     /// How often each message took effect.
     effects: BTreeMap<String, u32>,
     /// Keys that a destination remembers, or a zone of it, and since when.
@@ -35,9 +35,9 @@
 impl Ledger {
     /// Nothing has taken effect yet.
     #[must_use]
-    pub fn new(dice: Dice) -> Self {
+    pub fn new(rng: SimulationRng) -> Self {
         Ledger(Rc::new(RefCell::new(Book {
-            dice,
+            rng,
             effects: BTreeMap::new(),
             keys: BTreeMap::new(),
         })))
@@ -49,7 +49,7 @@
             return;
         };
         let mut book = self.0.borrow_mut();
-        if !well && !book.dice.percent(SILENTLY) {
+        if !well && !book.rng.percent(SILENTLY) {
             return;
         }
         if let (Repeat::Keyed { window, zone_only }, Some(key)) = (repeat, &call.key) {
@@ -98,7 +98,7 @@
                     return;
                 };
                 let id = request.line.rsplit('/').next().unwrap_or("").to_string();
-                let kind = ledger.0.borrow_mut().dice.below(10);
+                let kind = ledger.0.borrow_mut().rng.below(10);
                 if kind == 0 {
                     own.runtime.sleep(LATE).await;
                 }
--- a/crates/simulator/src/peers/operators.rs
+++ b/crates/simulator/src/peers/operators.rs
@@ -11,8 +11,8 @@
 use super::admins::{request, Rogue};
 use super::ledger::Ledger;
 use super::Stage;
-use crate::dice::Dice;
 use crate::kept;
+use crate::rng::SimulationRng;
 use crate::rules::facts::Seen;
 
 /// Records that an operator looks at in one go.
@@ -29,7 +29,7 @@
     /// What took effect, which operators find out by other ways than the relay.
     pub ledger: Ledger,
     /// Draws what is done.
-    pub dice: Dice,
+    pub rng: SimulationRng,
     /// At work until then; the first of them then looks at all records.
     pub until: Duration,
     /// Deceives the relay or the checker.
@@ -43,11 +43,11 @@
 impl<R: Runtime> Operator<R> {
     /// Works until its time is over.
     pub async fn run(mut self) {
-        let rest = self.dice.between(1_000, 3_000);
+        let rest = self.rng.between(1_000, 3_000);
         self.stage.runtime.sleep(Duration::from_millis(rest)).await;
         while self.stage.at() < self.until {
             self.work().await;
-            let rest = self.dice.between(100, 900);
+            let rest = self.rng.between(100, 900);
             self.stage.runtime.sleep(Duration::from_millis(rest)).await;
         }
         while self.number == 0 && !self.done.get() {
@@ -87,10 +87,10 @@
     }
 
     async fn work(&mut self) {
-        if self.dice.percent(12) {
+        if self.rng.percent(12) {
             return self.batch().await;
         }
-        let filter = *self.dice.pick(&[
+        let filter = *self.rng.pick(&[
             "",
             "&may_have_run=true",
             "&may_have_run=false",
@@ -102,7 +102,7 @@
         };
         let records = page["items"].as_array().cloned().unwrap_or_default();
         for record in records {
-            if self.dice.percent(60) {
+            if self.rng.percent(60) {
                 self.act(&record).await;
             }
         }
@@ -114,17 +114,17 @@
         };
         let path = |act: &str| format!("/v1/undeliverable/{id}/{act}");
         let seen = format!("If-Match: \"{version}\"\r\n");
-        let any = if self.dice.percent(20) {
+        let any = if self.rng.percent(20) {
             "If-Match: *\r\n"
         } else {
             &seen
         };
-        match self.dice.below(20) {
+        match self.rng.below(20) {
             0..=7 => self.change(&path("resend"), any, None).await,
             8..=12 => self.change(&path("ask"), any, None).await,
             13 => self.change(&path("claim"), any, None).await,
             14 => self.change(&path("release"), any, None).await,
-            15 if self.dice.percent(20) => self.change(&path("discard"), any, None).await,
+            15 if self.rng.percent(20) => self.change(&path("discard"), any, None).await,
             _ => {
                 let applied = self.ledger.knows(record["message"].as_str().unwrap_or(""));
                 let says = if applied && self.rogue != Some(Rogue::Perjures) {
@@ -144,8 +144,8 @@
     }
 
     async fn batch(&mut self) {
-        let name = format!("{}-{}", self.number, self.dice.below(1_000_000));
-        let (rate, at_once) = (self.dice.between(5, 50), self.dice.between(1, 6));
+        let name = format!("{}-{}", self.number, self.rng.below(1_000_000));
+        let (rate, at_once) = (self.rng.between(5, 50), self.rng.between(1, 6));
         let spec = format!(
             "{{\"name\":\"{name}\",\"per_second\":{rate}.0,\"at_once\":{at_once},\"stop_after\":10}}"
         );
@@ -153,7 +153,7 @@
         self.change(path, "", Some(spec)).await;
         self.change(&format!("{path}/{name}/run"), "If-Match: *\r\n", None)
             .await;
-        if self.dice.percent(20) {
+        if self.rng.percent(20) {
             self.change(&format!("{path}/{name}/pause"), "If-Match: *\r\n", None)
                 .await;
         }
--- a/crates/simulator/src/rolling.rs
+++ b/crates/simulator/src/rolling.rs
@@ -1,8 +1,8 @@
 //! Days of a rolling restart: a fleet's relays are restarted, a tenth at a time, while hosts are replaced in steps and discovery
 //! moves; lists are pushed on even seeds and asked for on odd ones.
 
-use crate::dice::Dice;
 use crate::faults;
+use crate::rng::SimulationRng;
 use crate::script::{HostPlan, Script};
 use crate::vast;
 
@@ -21,12 +21,12 @@
     /// The day of a seed with so many relays and hosts, some hundreds of either; as drawn where none are asked for.
     #[must_use]
     pub fn draw_rolling(seed: u64, relays: Option<usize>, hosts: Option<usize>) -> Self {
-        let mut dice = Dice::new(seed, 12);
+        let mut rng = SimulationRng::new(seed, 12);
         let relays = relays
-            .unwrap_or(dice.between(RELAYS.0, RELAYS.1) as usize)
+            .unwrap_or(rng.between(RELAYS.0, RELAYS.1) as usize)
             .max(1);
         let hosts = hosts
-            .unwrap_or(dice.between(HOSTS.0, HOSTS.1) as usize)
+            .unwrap_or(rng.between(HOSTS.0, HOSTS.1) as usize)
             .max(1);
         let mut script = Script::draw_vast(seed, relays);
         script.vast = None;
@@ -54,14 +54,14 @@
                 .entry(block as u16)
                 .or_insert((ALL.0 / blocks).max(ALL.1) as f64);
         }
-        script.faults = faults::of_rolling(&mut dice, relays, hosts, EACH);
+        script.faults = faults::of_rolling(&mut rng, relays, hosts, EACH);
         let pushed = seed.is_multiple_of(2);
         // Those that are played are a part of a large fleet, as far as they are told.
         script.settings["siblings"] = relays.max(FLEET).into();
         script.rules.pushed = pushed;
         script.settings["discovery"] = if pushed { "push" } else { "ask" }.into();
         script.clients = vast::messages(
-            &mut Dice::new(seed, 13),
+            &mut SimulationRng::new(seed, 13),
             &script.rules,
             &vast::CLASSES,
             relays,
--- a/crates/simulator/src/script.rs
+++ b/crates/simulator/src/script.rs
@@ -6,11 +6,11 @@
 
 use serde_json::{json, Value};
 
-use crate::dice::Dice;
 use crate::faults::{self, Fault};
 use crate::hosted::Hosted;
 use crate::kept::Kept;
 use crate::peers::clients::{Habit, Plan};
+use crate::rng::SimulationRng;
 use crate::rules::facts::{Repeat, Rules};
 use crate::vast::Vast;
 
@@ -127,12 +127,12 @@
     /// The day of a seed.
     #[must_use]
     pub fn draw(seed: u64) -> Self {
-        let mut dice = Dice::new(seed, 0);
-        let blocks: Vec<u16> = (1..=dice.between(2, 4) as u16).collect();
+        let mut rng = SimulationRng::new(seed, 0);
+        let blocks: Vec<u16> = (1..=rng.between(2, 4) as u16).collect();
         let mut hosts = Vec::new();
         for block in &blocks {
-            let slow = dice.percent(20);
-            for number in 0..dice.between(1, 2) {
+            let slow = rng.percent(20);
+            for number in 0..rng.between(1, 2) {
                 let name = format!("s-{block}{number}");
                 let address = SocketAddr::from(([10, 1, *block as u8, number as u8 + 1], 8080));
                 let takes = if slow { (50, 400) } else { (3, 60) };
@@ -146,9 +146,9 @@
                 });
             }
         }
-        let zone_only = dice.percent(30);
-        let window = Duration::from_millis(dice.between(2_000, 20_000));
-        let in_order = dice.percent(60);
+        let zone_only = rng.percent(30);
+        let window = Duration::from_millis(rng.between(2_000, 20_000));
+        let in_order = rng.percent(60);
         let classes = [
             Class {
                 name: "update",
@@ -165,25 +165,25 @@
             Class {
                 name: "payout",
                 repeat: Repeat::Unsafe,
-                in_order: in_order && dice.percent(50),
+                in_order: in_order && rng.percent(50),
                 left: 10_000,
             },
         ];
         let capacity: BTreeMap<u16, f64> = blocks
             .iter()
-            .map(|b| (*b, dice.between(8, 60) as f64))
+            .map(|b| (*b, rng.between(8, 60) as f64))
             .collect();
-        let few = Dice::new(seed, 2).between(ATTEMPTS.0, ATTEMPTS.1 / 2);
+        let few = SimulationRng::new(seed, 2).between(ATTEMPTS.0, ATTEMPTS.1 / 2);
         let attempts = if seed % 4 == 3 { few } else { ATTEMPTS.1 } as usize;
         let rules = Rules {
             attempts,
-            turn_gap: Duration::from_millis(dice.between(100, 800)),
-            cold_from: dice.between(15, 60) as f64 / 100.0,
-            cold: Duration::from_millis(dice.between(2_000, 8_000)),
+            turn_gap: Duration::from_millis(rng.between(100, 800)),
+            cold_from: rng.between(15, 60) as f64 / 100.0,
+            cold: Duration::from_millis(rng.between(2_000, 8_000)),
             overload_factor: 2.0,
-            overload_for: Duration::from_millis(dice.between(1_000, 2_500)),
+            overload_for: Duration::from_millis(rng.between(1_000, 2_500)),
             // Numbers of their own, so that all else of a seed's day stays as it was.
-            drain_grace: Duration::from_millis(*Dice::new(seed, 14).pick(&GRACES)),
+            drain_grace: Duration::from_millis(*SimulationRng::new(seed, 14).pick(&GRACES)),
             late_for: Duration::ZERO,
             disk: 0,
             capacity,
@@ -199,9 +199,9 @@
             passing: None,
             pushed: true,
         };
-        let disk_mb = *dice.pick(&[0.25, 0.4, 1.0, 3.0]);
-        let settings = settings(&rules, &classes, &mut dice);
-        let faults = faults::draw(&mut dice, &blocks, hosts.len());
+        let disk_mb = *rng.pick(&[0.25, 0.4, 1.0, 3.0]);
+        let settings = settings(&rules, &classes, &mut rng);
+        let faults = faults::draw(&mut rng, &blocks, hosts.len());
         let number =
             |path: &str| settings.pointer(path).and_then(Value::as_u64).unwrap_or(0) as usize;
         let rules = Rules {
@@ -211,7 +211,7 @@
             most_bytes: (disk_mb * 1e6 * JOURNAL_PART) as usize,
             ..rules
         };
-        let clients = messages(&mut dice, &classes, &blocks, &faults);
+        let clients = messages(&mut rng, &classes, &blocks, &faults);
         Script {
             seed,
             hosts,
@@ -233,8 +233,8 @@
     /// The day of a seed on which new versions take over.
     #[must_use]
     pub fn draw_upgraded(seed: u64) -> Self {
-        let (mut script, mut dice) = (Script::draw(seed), Dice::new(seed, 11));
-        script.faults.extend(faults::of_upgrades(&mut dice));
+        let (mut script, mut rng) = (Script::draw(seed), SimulationRng::new(seed, 11));
+        script.faults.extend(faults::of_upgrades(&mut rng));
         script.faults.sort_by_key(|fault| fault.from);
         script.upgrades = true;
         script
@@ -268,11 +268,11 @@
     /// The day of a seed with several tenants, which administrators change.
     #[must_use]
     pub fn draw_hosted(seed: u64) -> Self {
-        let (mut script, mut dice) = (Script::draw(seed), Dice::new(seed, 3));
-        let hosted = Hosted::draw(&mut dice);
+        let (mut script, mut rng) = (Script::draw(seed), SimulationRng::new(seed, 3));
+        let hosted = Hosted::draw(&mut rng);
         let blocks: Vec<u16> = script.rules.capacity.keys().copied().collect();
-        hosted.fill(&mut dice, &mut script.clients, &blocks);
-        script.faults.extend(faults::of_tenants(&mut dice));
+        hosted.fill(&mut rng, &mut script.clients, &blocks);
+        script.faults.extend(faults::of_tenants(&mut rng));
         script.faults.sort_by_key(|fault| fault.from);
         script.rules.tenants = hosted
             .tenants
@@ -286,10 +286,10 @@
     /// The day of a seed with several relays, which know of each other only how many they are.
     #[must_use]
     pub fn draw_fleet(seed: u64) -> Self {
-        let (mut script, mut dice) = (Script::draw(seed), Dice::new(seed, 4));
-        let relays = dice.between(RELAYS.0, RELAYS.1);
+        let (mut script, mut rng) = (Script::draw(seed), SimulationRng::new(seed, 4));
+        let relays = rng.between(RELAYS.0, RELAYS.1);
         let blocks: Vec<u16> = script.rules.capacity.keys().copied().collect();
-        faults::of_fleet(&mut dice, &mut script.faults, relays, &blocks);
+        faults::of_fleet(&mut rng, &mut script.faults, relays, &blocks);
         script.settings["siblings"] = relays.into();
         script.relays = relays as usize;
         script
@@ -348,7 +348,7 @@
     }
 }
 
-fn settings(rules: &Rules, classes: &[Class], dice: &mut Dice) -> Value {
+fn settings(rules: &Rules, classes: &[Class], rng: &mut SimulationRng) -> Value {
     let micros = |span: Duration| span.as_micros() as u64;
     let classes: Vec<Value> = classes
         .iter()
@@ -374,11 +374,11 @@
         .collect();
     json!({
         "dcs": ["a", "b"], "discovery": "push", "skus": ["partner"],
-        "familyInfo": {"callsOut": dice.between(6, 24), "kindApart": [false], "late": "linear", "perCall": [1],
+        "familyInfo": {"callsOut": rng.between(6, 24), "kindApart": [false], "late": "linear", "perCall": [1],
             "toll": [0.0, 0.0]},
         "fees": {"crossZone": 0.0},
-        "limits": {"cancelling": true, "dialTimeout": 1_000_000, "idleClose": dice.between(1_500, 8_000) * 1000,
-            "maxAttempts": rules.attempts, "maxRetryAfter": 2_000_000, "mostHeld": dice.between(40, 150),
+        "limits": {"cancelling": true, "dialTimeout": 1_000_000, "idleClose": rng.between(1_500, 8_000) * 1000,
+            "maxAttempts": rules.attempts, "maxRetryAfter": 2_000_000, "mostHeld": rng.between(40, 150),
             "probes": false, "retryAfter": true},
         "myZone": 0, "overShareWorth": 0.1, "siblings": 1, "tick": 5000, "weightSource": "nominal",
         "rules": {"cold": micros(rules.cold), "coldFrom": rules.cold_from,
@@ -391,20 +391,20 @@
 }
 
 fn messages(
-    dice: &mut Dice,
+    rng: &mut SimulationRng,
     classes: &[Class],
     blocks: &[u16],
     faults: &[Fault],
 ) -> Vec<Vec<Plan>> {
     let mut clients: Vec<Vec<Plan>> = (0..CLIENTS).map(|_| Vec::new()).collect();
     let bad = faults.iter().find_map(|fault| fault.trouble.bad_clients());
-    let large = dice.percent(40);
+    let large = rng.percent(40);
     let mut number = 0;
-    let mut add = |dice: &mut Dice, at: u64, block: u16| {
+    let mut add = |rng: &mut SimulationRng, at: u64, block: u16| {
         number += 1;
-        let class = dice.pick(classes);
+        let class = rng.pick(classes);
         let habit = match bad {
-            Some(share) if dice.percent(share) => *dice.pick(&[
+            Some(share) if rng.percent(share) => *rng.pick(&[
                 Habit::Resends,
                 Habit::Vanishes,
                 Habit::Stalls,
@@ -413,16 +413,16 @@
             _ => Habit::Plain,
         };
         // A relay gets all messages of a key, and a client sends those of one key one after another.
-        let client = dice.below(CLIENTS);
-        let order = if dice.percent(50) {
-            client * 100 + dice.between(1, 3)
+        let client = rng.below(CLIENTS);
+        let order = if rng.percent(50) {
+            client * 100 + rng.between(1, 3)
         } else {
             0
         };
         let size = if large {
-            dice.below(4_000)
+            rng.below(4_000)
         } else {
-            dice.below(200)
+            rng.below(200)
         } as usize;
         clients[client as usize].push(Plan {
             at: Duration::from_millis(at),
@@ -434,8 +434,8 @@
             in_order: class.in_order,
             unsafe_from: None,
             destination: block,
-            left: if dice.percent(10) {
-                dice.between(200, 2_000)
+            left: if rng.percent(10) {
+                rng.between(200, 2_000)
             } else {
                 class.left
             },
@@ -445,15 +445,15 @@
     };
     for count in 0..ARRIVALS.1 as u64 {
         // Evenly over the whole time, each a little off its place.
-        let at = 100 + count * (ARRIVALS.0 - 200) / ARRIVALS.1 as u64 + dice.below(100);
-        let block = *dice.pick(blocks);
-        add(dice, at, block);
+        let at = 100 + count * (ARRIVALS.0 - 200) / ARRIVALS.1 as u64 + rng.below(100);
+        let block = *rng.pick(blocks);
+        add(rng, at, block);
     }
     for fault in faults {
         if let Some((block, many)) = fault.trouble.surge() {
             for _ in 0..many {
-                let at = dice.between(fault.from, fault.until.min(ARRIVALS.0));
-                add(dice, at, block);
+                let at = rng.between(fault.from, fault.until.min(ARRIVALS.0));
+                add(rng, at, block);
             }
         }
     }
--- a/crates/simulator/src/vast.rs
+++ b/crates/simulator/src/vast.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use crate::checker::{Breach, Counts};
-use crate::dice::Dice;
 use crate::faults;
 use crate::peers::clients::{Habit, Plan};
+use crate::rng::SimulationRng;
 use crate::rules::facts::{Repeat, Rules};
 use crate::script::{HostPlan, Script};
 
@@ -103,8 +103,8 @@
     #[must_use]
     pub fn draw_vast(seed: u64, relays: usize) -> Self {
         let mut script = Script::draw(seed);
-        let mut dice = Dice::new(seed, 6);
-        let blocks: Vec<u16> = (1..=dice.between(3, 5) as u16).collect();
+        let mut rng = SimulationRng::new(seed, 6);
+        let blocks: Vec<u16> = (1..=rng.between(3, 5) as u16).collect();
         script.hosts.clear();
         script.rules.capacity.clear();
         for block in &blocks {
@@ -121,9 +121,9 @@
             script
                 .rules
                 .capacity
-                .insert(*block, dice.between(25, 90) as f64);
+                .insert(*block, rng.between(25, 90) as f64);
         }
-        script.faults = faults::of_vast(&mut dice, &blocks, relays);
+        script.faults = faults::of_vast(&mut rng, &blocks, relays);
         script.relays = relays;
         script.disk_mb = 1.0;
         let (held, slots) = (
@@ -166,7 +166,12 @@
                 class["window"] = micros(*window).into();
             }
         }
-        script.clients = messages(&mut Dice::new(seed, 7), &script.rules, &CLASSES, relays);
+        script.clients = messages(
+            &mut SimulationRng::new(seed, 7),
+            &script.rules,
+            &CLASSES,
+            relays,
+        );
         let bounds = Bounds {
             turned_away: 0.25,
             lists: 2.0,
@@ -183,7 +188,7 @@
 
 /// At each destination four fifths of what it takes, some of it in clumps; any relay may get any of it.
 pub(crate) fn messages(
-    dice: &mut Dice,
+    rng: &mut SimulationRng,
     rules: &Rules,
     classes: &[(&'static str, Repeat)],
     relays: usize,
@@ -191,19 +196,19 @@
     let mut clients: Vec<Vec<Plan>> = (0..relays).map(|_| Vec::new()).collect();
     let mut number = 0;
     for (block, capacity) in &rules.capacity {
-        let part = dice.between(65, 95);
+        let part = rng.between(65, 95);
         let count = (*capacity * ARRIVALS as f64 / 1000.0) as u64 * part / 100;
-        let clump = dice.between(1_000, ARRIVALS - 2_000);
+        let clump = rng.between(1_000, ARRIVALS - 2_000);
         for _ in 0..count {
             number += 1;
-            let at = if dice.percent(8) {
-                clump + dice.below(500)
+            let at = if rng.percent(8) {
+                clump + rng.below(500)
             } else {
-                100 + dice.below(ARRIVALS)
+                100 + rng.below(ARRIVALS)
             };
-            let (class, repeat) = *dice.pick(classes);
+            let (class, repeat) = *rng.pick(classes);
             let left = TIMES.1.as_millis() as u64;
-            clients[dice.below(relays as u64) as usize].push(Plan {
+            clients[rng.below(relays as u64) as usize].push(Plan {
                 at: Duration::from_millis(at),
                 name: format!("m{number:05}"),
                 tenant: "acme".into(),
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -13,7 +13,6 @@
 use tokio::sync::watch;
 
 use crate::checker::{Breach, Checker, Counts};
-use crate::dice::Dice;
 use crate::faults::{Fault, Scene, Upgrade};
 use crate::hosted::{self, OPERATOR};
 use crate::kept;
@@ -27,6 +26,7 @@
 use crate::peers::operators::Operator;
 use crate::peers::staff::{self, Door};
 use crate::peers::Stage;
+use crate::rng::SimulationRng;
 use crate::rules::facts::Seen;
 use crate::script::{discovery_address, relay_address, Script};
 
@@ -204,14 +204,14 @@
                 .get(&plan.block)
                 .copied()
                 .unwrap_or(10.0);
-            let dice = Dice::new(script.seed, 100 + number as u64);
+            let rng = SimulationRng::new(script.seed, 100 + number as u64);
             let host = Host::new(
                 &plan.name,
                 plan.block,
                 plan.zone,
                 plan.address,
                 capacity,
-                dice,
+                rng,
             );
             host.mood.borrow_mut().takes = plan.takes;
             if let Some(kept) = &script.kept {
@@ -248,10 +248,10 @@
         }
         let known = seats[0].discovery.whole();
         if script.relays > 1 {
-            let mut dice = Dice::new(script.seed, 5);
+            let mut rng = SimulationRng::new(script.seed, 5);
             machine.set_clocks(
                 (0..script.relays)
-                    .map(|_| Duration::from_millis(dice.below(AHEAD)))
+                    .map(|_| Duration::from_millis(rng.below(AHEAD)))
                     .collect(),
             );
         }
@@ -419,7 +419,7 @@
         if self.script.kept.is_none() {
             return;
         }
-        let ledger = Ledger::new(Dice::new(self.script.seed, 9));
+        let ledger = Ledger::new(SimulationRng::new(self.script.seed, 9));
         self.hosts
             .iter()
             .for_each(|host| *host.ledger.borrow_mut() = Some(ledger.clone()));
@@ -434,7 +434,7 @@
                 stage: self.stage.clone(),
                 number,
                 ledger: ledger.clone(),
-                dice: Dice::new(self.script.seed, 10 + number as u64),
+                rng: SimulationRng::new(self.script.seed, 10 + number as u64),
                 until: self.script.ends().max(Duration::from_secs(15)) - Duration::from_secs(1),
                 rogue: self.options.rogue,
                 strikes: self.strikes(),
