--- a/crates/simulator/src/faults/kept.rs
+++ b/crates/simulator/src/faults/kept.rs
@@ -39,7 +39,7 @@
         let flip = |at: &u64| {
             scene
                 .machine()
-                .disk(scene.relay(), |disk| disk.flip_page(&store(), *at))
+                .disk(scene.relay(), |disk| disk.flip_page_file_bit(&store(), *at))
         };
         self.0.iter().for_each(flip);
     }
@@ -53,12 +53,12 @@
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
         scene
             .machine()
-            .disk(scene.relay(), |disk| disk.fill_pages(true));
+            .disk(scene.relay(), |disk| disk.set_page_files_full(true));
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene
             .machine()
-            .disk(scene.relay(), |disk| disk.fill_pages(false));
+            .disk(scene.relay(), |disk| disk.set_page_files_full(false));
     }
 }
--- a/crates/simulator/src/faults/mod.rs
+++ b/crates/simulator/src/faults/mod.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::machine::{AddressFault, Machine, ProcId};
+use crate::machine::{AddressFault, Machine, ProcessId};
 use crate::operated::{Changes, IN_USE};
 use crate::peers::discovery::Discovery;
 use crate::peers::hosts::Mood;
@@ -46,7 +46,7 @@
     /// Number of the relay that the fault strikes, if it strikes one; also that of its machine.
     fn relay(&self) -> usize;
     /// The relay's process.
-    fn process(&self) -> ProcId;
+    fn process(&self) -> ProcessId;
     /// Kills all relays within one instant.
     fn kill_all(&mut self);
     /// Kills so many of a hundred relays within one instant.
--- a/crates/simulator/src/faults/partners.rs
+++ b/crates/simulator/src/faults/partners.rs
@@ -176,7 +176,7 @@
         scene.address(
             self.0,
             AddressFault {
-                cuts: self.1,
+                reset_percent: self.1,
                 ..AddressFault::default()
             },
         );
--- a/crates/simulator/src/faults/process.rs
+++ b/crates/simulator/src/faults/process.rs
@@ -24,7 +24,7 @@
 
     fn ends(&self, scene: &mut dyn Scene) {
         // One that has had nothing to do since is killed all the same.
-        if scene.machine().kill_is_due(scene.process()) {
+        if scene.machine().is_kill_pending(scene.process()) {
             scene.machine().kill(scene.process());
         }
     }
@@ -45,7 +45,7 @@
         scene.down_for(Duration::from_millis(self.1));
         scene
             .machine()
-            .kill_in(scene.process(), "journal.new", self.0);
+            .kill_after_create(scene.process(), "journal.new", self.0);
     }
 }
 
@@ -89,12 +89,14 @@
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
         scene
             .machine()
-            .disk(scene.relay(), |disk| disk.room = Some(self.0));
+            .disk(scene.relay(), |disk| disk.free_bytes = Some(self.0));
         scene.see(&Seen::KeepsNothing(true));
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.machine().disk(scene.relay(), |disk| disk.room = None);
+        scene
+            .machine()
+            .disk(scene.relay(), |disk| disk.free_bytes = None);
         scene.see(&Seen::KeepsNothing(false));
     }
 }
@@ -113,10 +115,12 @@
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
         scene
             .machine()
-            .disk(scene.relay(), |disk| disk.short = self.0);
+            .disk(scene.relay(), |disk| disk.short_write_percent = self.0);
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.machine().disk(scene.relay(), |disk| disk.short = 0);
+        scene
+            .machine()
+            .disk(scene.relay(), |disk| disk.short_write_percent = 0);
     }
 }
--- a/crates/simulator/src/faults/tenants.rs
+++ b/crates/simulator/src/faults/tenants.rs
@@ -47,9 +47,9 @@
         let path = Path::new(FOLDER).join(self.copy);
         scene.machine().disk(scene.relay(), |disk| {
             if self.cut {
-                disk.cut(&path, self.at)
+                disk.truncate(&path, self.at)
             } else {
-                disk.flip(&path, self.at)
+                disk.flip_bit(&path, self.at)
             }
         });
         scene.machine().kill(scene.process());
--- /dev/null
+++ b/crates/simulator/src/machine/dial.rs
@@ -0,0 +1,81 @@
+//! Opening connections.
+
+use std::io;
+use std::time::Duration;
+
+use runtime::Address;
+
+use super::connection::{PlannedReset, Side};
+use super::context::ProcessContext;
+use super::planted_fault::PlantedFault;
+use super::stream::SimulatedStream;
+use crate::rng::SimulationRng;
+
+/// Least delay of a connection one way.
+const MIN_DELAY_MICROS: u64 = 50;
+/// A connection's delay one way is shorter than this.
+const MAX_DELAY_MICROS: u64 = 1500;
+/// Percentage of planned resets that strike early, within the head of a request or an answer.
+const EARLY_RESET_PERCENT: u64 = 50;
+/// An early reset strikes within this many bytes.
+const EARLY_RESET_WITHIN_BYTES: u64 = 60;
+/// Any other planned reset strikes within this many bytes.
+const RESET_WITHIN_BYTES: u64 = 1200;
+
+/// Opens a connection. Never returns if nothing gets through to the address.
+pub(super) async fn connect(context: &ProcessContext, to: Address) -> io::Result<SimulatedStream> {
+    let to = match context.planted_fault() {
+        Some(PlantedFault::MisrouteConnections) => context.state.borrow().network.neighbour(to),
+        _ => to,
+    };
+    let delay = draw_delay(context);
+    context.sleep(delay).await;
+    if is_unreachable(context, &to) {
+        return std::future::pending().await;
+    }
+    // Dropped while the initiator waits for the answer, it closes the connection.
+    let stream = open(context, &to, delay);
+    context.sleep(delay).await;
+    stream.ok_or_else(|| io::ErrorKind::ConnectionRefused.into())
+}
+
+fn draw_delay(context: &ProcessContext) -> Duration {
+    let mut state = context.state.borrow_mut();
+    let beyond_least = state.rng.below(MAX_DELAY_MICROS - MIN_DELAY_MICROS);
+    Duration::from_micros(MIN_DELAY_MICROS + beyond_least)
+}
+
+fn is_unreachable(context: &ProcessContext, to: &Address) -> bool {
+    let state = context.state.borrow();
+    state.network.fault(to).silent || state.is_partitioned(context.process, to)
+}
+
+/// The initiator's side of a new connection; none if it is refused.
+fn open(context: &ProcessContext, to: &Address, delay: Duration) -> Option<SimulatedStream> {
+    let mut state = context.state.borrow_mut();
+    let reset_percent = state.network.fault(to).reset_percent;
+    let planned_reset = draw_reset(&mut state.rng, reset_percent);
+    let id = state
+        .network
+        .open(to, context.process, delay, planned_reset)?;
+    Some(SimulatedStream::new(context.clone(), id, Side::Initiator))
+}
+
+/// Whether, and when, a new connection is reset.
+fn draw_reset(rng: &mut SimulationRng, reset_percent: u64) -> Option<PlannedReset> {
+    if !rng.percent(reset_percent) {
+        return None;
+    }
+    let within = if rng.percent(EARLY_RESET_PERCENT) {
+        EARLY_RESET_WITHIN_BYTES
+    } else {
+        RESET_WITHIN_BYTES
+    };
+    let after_bytes = rng.below(within);
+    let side = if rng.below(2) == 0 {
+        Side::Initiator
+    } else {
+        Side::Acceptor
+    };
+    Some(PlannedReset { side, after_bytes })
+}
--- a/crates/simulator/src/machine/disk.rs
+++ b/crates/simulator/src/machine/disk.rs
@@ -1,4 +1,4 @@
-//! Files that outlast processes, with a disk that can be full, write short, or be cut off by a kill.
+//! Files that outlast processes, on a disk that can be full, write short, or be cut off by a kill.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,86 +6,95 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use super::pages::PageFile;
+use super::page_file::PageFile;
 
+/// The bytes of a file, shared with the processes that have it open.
 pub(super) type Inode = Rc<RefCell<Vec<u8>>>;
 
-/// All files by their path.
+/// Bytes of a disk's block: the unit in which [`Disk::allocated_bytes`] counts.
+const BLOCK_BYTES: u64 = 512;
+
+/// All files of a node by their path.
 #[derive(Default)]
 pub struct Disk {
     files: BTreeMap<PathBuf, Inode>,
-    pages: BTreeMap<PathBuf, PageFile>,
-    /// Bytes by which all files together may still grow; none for no bound.
-    pub room: Option<u64>,
-    /// Of a hundred writes so many are short.
-    pub short: u64,
+    page_files: BTreeMap<PathBuf, PageFile>,
+    /// Bytes by which all files together may still grow; none for no bound. Page files are not counted.
+    pub free_bytes: Option<u64>,
+    /// Percentage of writes that are short.
+    pub short_write_percent: u64,
 }
 
 impl Disk {
-    /// Puts a file there, whatever the faults.
-    pub fn put(&mut self, path: impl Into<PathBuf>, text: Vec<u8>) {
-        self.files.insert(path.into(), Rc::new(RefCell::new(text)));
+    /// Puts a file there, whatever faults the disk has.
+    pub fn put(&mut self, path: impl Into<PathBuf>, contents: Vec<u8>) {
+        self.files
+            .insert(path.into(), Rc::new(RefCell::new(contents)));
     }
 
-    /// Sum of the sizes below a folder, each file in whole blocks of 512 bytes.
+    /// Sum of the sizes of the files below a folder, each in whole blocks, in bytes.
     #[must_use]
-    pub fn size(&self, folder: &Path) -> u64 {
+    pub fn allocated_bytes(&self, folder: &Path) -> u64 {
         let below = self
             .files
             .iter()
             .filter(|(path, _)| path.starts_with(folder));
         below
-            .map(|(_, inode)| (inode.borrow().len() as u64).div_ceil(512) * 512)
+            .map(|(_, inode)| (inode.borrow().len() as u64).div_ceil(BLOCK_BYTES) * BLOCK_BYTES)
             .sum()
     }
 
-    /// A file's text.
+    /// A file's bytes; none if there is no such file.
     #[must_use]
-    pub fn text(&self, path: &Path) -> Option<Vec<u8>> {
+    pub fn contents(&self, path: &Path) -> Option<Vec<u8>> {
         self.files.get(path).map(|inode| inode.borrow().clone())
     }
 
     /// Flips a bit of a file that has one, at an offset modulo its length.
-    pub fn flip(&mut self, path: &Path, at: u64) {
+    pub fn flip_bit(&mut self, path: &Path, offset: u64) {
         let Some(inode) = self.files.get(path) else {
             return;
         };
         let mut file = inode.borrow_mut();
-        if let Some(at) = at.checked_rem(file.len() as u64) {
-            file[at as usize] ^= 1 << (at % 8);
+        if let Some(offset) = offset.checked_rem(file.len() as u64) {
+            file[offset as usize] ^= 1 << (offset % 8);
         }
     }
 
     /// Cuts a file off at an offset modulo its length.
-    pub fn cut(&mut self, path: &Path, at: u64) {
+    pub fn truncate(&mut self, path: &Path, offset: u64) {
         let Some(inode) = self.files.get(path).cloned() else {
             return;
         };
         let length = inode.borrow().len() as u64;
-        self.resize(&inode, at.checked_rem(length).unwrap_or(0) as usize);
+        self.resize(&inode, offset.checked_rem(length).unwrap_or(0) as usize);
     }
 
-    /// Files of pages may not grow from now on, or may again.
-    pub fn fill_pages(&mut self, full: bool) {
-        self.pages.values().for_each(|file| file.fill(full));
+    /// Whether page files may not grow from now on.
+    pub fn set_page_files_full(&mut self, full: bool) {
+        self.page_files
+            .values()
+            .for_each(|file| file.set_full(full));
     }
 
-    /// Flips a bit of a file of pages, at an offset modulo its length.
-    pub fn flip_page(&mut self, path: &Path, at: u64) {
-        self.pages
-            .get(path)
-            .into_iter()
-            .for_each(|file| file.flip(at));
+    /// Flips a bit of a page file, at an offset modulo its length.
+    pub fn flip_page_file_bit(&mut self, path: &Path, offset: u64) {
+        if let Some(file) = self.page_files.get(path) {
+            file.flip_bit(offset);
+        }
     }
 
-    pub(super) fn pages(&mut self, path: &Path) -> PageFile {
-        self.pages.entry(path.into()).or_default().clone()
+    /// A page file, which is made if it is not there.
+    pub(super) fn open_page_file(&mut self, path: &Path) -> PageFile {
+        self.page_files.entry(path.into()).or_default().clone()
     }
 
+    /// A file, which is made if it is not there.
     pub(super) fn open(&mut self, path: &Path) -> Inode {
         self.files.entry(path.into()).or_default().clone()
     }
 
+    /// A file, which is empty from now on.
     pub(super) fn create(&mut self, path: &Path) -> Inode {
         let inode = self.open(path);
         self.resize(&inode, 0);
@@ -93,60 +102,65 @@
     }
 
     pub(super) fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()> {
-        if let Some(pages) = self.pages.remove(from) {
-            self.pages.insert(to.into(), pages);
+        if let Some(file) = self.page_files.remove(from) {
+            self.page_files.insert(to.into(), file);
             return Ok(());
         }
         let inode = self.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
-        let old = self.files.insert(to.into(), inode);
-        self.free(old.map_or(0, |old| old.borrow().len()));
+        let replaced = self.files.insert(to.into(), inode);
+        self.release(replaced.map_or(0, |inode| inode.borrow().len()));
         Ok(())
     }
 
     pub(super) fn remove(&mut self, path: &Path) -> io::Result<()> {
-        let old = self.files.remove(path).ok_or(io::ErrorKind::NotFound)?;
-        self.free(old.borrow().len());
+        let removed = self.files.remove(path).ok_or(io::ErrorKind::NotFound)?;
+        self.release(removed.borrow().len());
         Ok(())
     }
 
     /// Cuts a file off, or fills it up with zeros.
     pub(super) fn resize(&mut self, inode: &Inode, length: usize) {
         let before = inode.borrow().len();
-        self.free(before.saturating_sub(length));
+        self.release(before.saturating_sub(length));
         inode.borrow_mut().resize(length, 0);
     }
 
-    fn free(&mut self, bytes: usize) {
-        if let Some(room) = &mut self.room {
-            *room += bytes as u64;
+    /// Bytes of a file are free again.
+    fn release(&mut self, bytes: usize) {
+        if let Some(free) = &mut self.free_bytes {
+            *free += bytes as u64;
         }
     }
 
-    /// Writes at an offset up to `most` bytes and as far as there is room, and tells how many.
+    /// Writes `bytes` at an offset, up to `max_bytes` and as far as there is space. Returns how many were written.
+    ///
+    /// # Errors
+    ///
+    /// `StorageFull` if there is no space for the first byte.
     pub(super) fn write(
         &mut self,
         inode: &Inode,
-        at: u64,
-        text: &[u8],
-        most: usize,
+        offset: u64,
+        bytes: &[u8],
+        max_bytes: usize,
     ) -> io::Result<usize> {
-        let at = at as usize;
-        let before = inode.borrow().len();
-        let room = self.room.map_or(usize::MAX, |room| {
-            usize::try_from(room).unwrap_or(usize::MAX)
+        let offset = offset as usize;
+        let length_before = inode.borrow().len();
+        let free = self.free_bytes.map_or(usize::MAX, |free| {
+            usize::try_from(free).unwrap_or(usize::MAX)
         });
-        let reach = before.saturating_add(room).saturating_sub(at);
-        let count = text.len().min(most).min(reach);
-        if count == 0 && !text.is_empty() && most > 0 {
+        let writable = length_before.saturating_add(free).saturating_sub(offset);
+        let count = bytes.len().min(max_bytes).min(writable);
+        if count == 0 && !bytes.is_empty() && max_bytes > 0 {
             return Err(io::ErrorKind::StorageFull.into());
         }
         let mut file = inode.borrow_mut();
-        if file.len() < at + count {
-            file.resize(at + count, 0);
+        if file.len() < offset + count {
+            file.resize(offset + count, 0);
         }
-        file[at..at + count].copy_from_slice(&text[..count]);
-        if let Some(room) = &mut self.room {
-            *room -= (file.len() - before) as u64;
+        file[offset..offset + count].copy_from_slice(&bytes[..count]);
+        if let Some(free) = &mut self.free_bytes {
+            *free -= (file.len() - length_before) as u64;
         }
         Ok(count)
     }
--- /dev/null
+++ b/crates/simulator/src/machine/network.rs
@@ -0,0 +1,204 @@
+//! The network between the processes of the world: listening ports, connections, and what is wrong with addresses.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::task::Waker;
+use std::time::Duration;
+
+use runtime::Address;
+
+use super::connection::{Arrival, Connection, ConnectionId, PlannedReset, Side, WriteOutcome};
+use super::process::{NodeIndex, ProcessId};
+
+/// The TCP port at which hosts take calls.
+const HOST_PORT: u16 = 8080;
+
+/// What is wrong with an address.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct AddressFault {
+    /// Connections are refused.
+    pub refuses: bool,
+    /// Nothing gets through, either way, and neither side learns of it.
+    pub silent: bool,
+    /// Percentage of new connections that are reset after some bytes.
+    pub reset_percent: u64,
+}
+
+/// A listening port.
+pub(super) struct Port {
+    /// The process that opened it.
+    pub process: ProcessId,
+    /// Connections that nobody has accepted yet.
+    pub backlog: VecDeque<ConnectionId>,
+    /// Wakers of the processes that wait for a connection; more than one where the port is shared.
+    pub acceptors: BTreeMap<ProcessId, Waker>,
+}
+
+impl Port {
+    pub fn new(process: ProcessId) -> Self {
+        Port {
+            process,
+            backlog: VecDeque::new(),
+            acceptors: BTreeMap::new(),
+        }
+    }
+}
+
+#[derive(Default)]
+pub(super) struct Network {
+    pub connections: BTreeMap<ConnectionId, Connection>,
+    pub ports: BTreeMap<Address, Port>,
+    faults: BTreeMap<Address, AddressFault>,
+    /// Nodes and the addresses that nothing from them gets through to.
+    partitions: BTreeSet<(NodeIndex, Address)>,
+    last_id: ConnectionId,
+}
+
+impl Network {
+    /// What is wrong with an address.
+    pub fn fault(&self, address: &Address) -> AddressFault {
+        self.faults.get(address).copied().unwrap_or_default()
+    }
+
+    /// Sets what is wrong with an address, and returns what was before.
+    pub fn set_fault(&mut self, address: Address, fault: AddressFault) -> AddressFault {
+        self.faults.insert(address, fault).unwrap_or_default()
+    }
+
+    /// Whether nothing gets through from a node to an address.
+    pub fn is_partitioned(&self, node: NodeIndex, to: &Address) -> bool {
+        self.partitions.contains(&(node, to.clone()))
+    }
+
+    /// Sets whether nothing gets through from a node to an address. False if that was so before.
+    pub fn set_partitioned(&mut self, node: NodeIndex, to: Address, partitioned: bool) -> bool {
+        if partitioned {
+            self.partitions.insert((node, to))
+        } else {
+            self.partitions.remove(&(node, to))
+        }
+    }
+
+    /// Opens a connection to a port, which its process has still to accept. None if the address takes none.
+    pub fn open(
+        &mut self,
+        to: &Address,
+        initiator: ProcessId,
+        delay: Duration,
+        planned_reset: Option<PlannedReset>,
+    ) -> Option<ConnectionId> {
+        if self.fault(to).refuses {
+            return None;
+        }
+        let port = self.ports.get_mut(to)?;
+        self.last_id += 1;
+        let id = self.last_id;
+        let connection = Connection::new(to.clone(), initiator, port.process, delay, planned_reset);
+        self.connections.insert(id, connection);
+        port.backlog.push_back(id);
+        std::mem::take(&mut port.acceptors)
+            .into_values()
+            .for_each(Waker::wake);
+        Some(id)
+    }
+
+    /// A side writes. Returns what became of it, and the arrivals to schedule.
+    pub fn write(
+        &mut self,
+        id: ConnectionId,
+        side: Side,
+        bytes: &[u8],
+        now: Duration,
+        jitter: Duration,
+    ) -> (WriteOutcome, Vec<Arrival>) {
+        match self.connections.get_mut(&id) {
+            Some(connection) => connection.write(side, bytes, now, jitter),
+            None => (WriteOutcome::Reset, Vec::new()),
+        }
+    }
+
+    /// A side ends its sending.
+    pub fn shut_down(&mut self, id: ConnectionId, side: Side, now: Duration) -> Option<Arrival> {
+        self.connections.get_mut(&id)?.shut_down(side, now)
+    }
+
+    /// A side closes a connection, which is gone once both have.
+    pub fn close(&mut self, id: ConnectionId, side: Side, now: Duration) -> Option<Arrival> {
+        let connection = self.connections.get_mut(&id)?;
+        connection.endpoint_mut(side).is_open = false;
+        if !connection.endpoint(side.peer()).is_open {
+            self.connections.remove(&id);
+            return None;
+        }
+        connection.notify_peer_of_close(side, now)
+    }
+
+    /// From now on nothing gets through on a connection.
+    pub fn silence(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(&id) {
+            connection.silence();
+        }
+    }
+
+    /// Resets both sides of a connection.
+    pub fn reset(&mut self, id: ConnectionId, now: Duration) -> Vec<Arrival> {
+        self.connections
+            .get_mut(&id)
+            .map_or_else(Vec::new, |connection| connection.reset(now).into())
+    }
+
+    /// Connections to a port that were accepted, and are held by both sides.
+    pub fn accepted(&self, port: &Address) -> Vec<ConnectionId> {
+        let is_in_backlog = |id: &ConnectionId| {
+            self.ports
+                .get(port)
+                .is_some_and(|port| port.backlog.contains(id))
+        };
+        self.connections
+            .iter()
+            .filter(|(id, connection)| {
+                connection.to == *port && connection.is_open() && !is_in_backlog(id)
+            })
+            .map(|(id, _)| *id)
+            .collect()
+    }
+
+    /// Whether the side that opened a connection still holds it.
+    pub fn is_held_by_initiator(&self, id: ConnectionId) -> bool {
+        self.connections
+            .get(&id)
+            .is_some_and(|connection| connection.initiator.is_open)
+    }
+
+    /// The process at the other side of a connection.
+    pub fn peer(&self, id: ConnectionId, side: Side) -> Option<ProcessId> {
+        self.connections
+            .get(&id)
+            .map(|connection| connection.endpoint(side.peer()).process)
+    }
+
+    /// Another address with the same port number that takes connections; the same address if there is none.
+    pub fn neighbour(&self, address: Address) -> Address {
+        let has_same_port = |other: &&Address| port_number(other) == port_number(&address);
+        let next = self
+            .ports
+            .keys()
+            .find(|other| has_same_port(other) && **other > address);
+        next.or(self.ports.keys().find(has_same_port))
+            .cloned()
+            .unwrap_or(address)
+    }
+
+    /// Whether a connection leads to a host, and so carries calls.
+    pub fn leads_to_host(&self, id: ConnectionId) -> bool {
+        self.connections
+            .get(&id)
+            .is_some_and(|connection| port_number(&connection.to) == Some(HOST_PORT))
+    }
+}
+
+fn port_number(address: &Address) -> Option<u16> {
+    match address {
+        Address::Tcp(address) => Some(address.port()),
+        Address::Unix(_) => None,
+    }
+}
--- a/crates/simulator/src/peers/staff.rs
+++ b/crates/simulator/src/peers/staff.rs
@@ -11,7 +11,7 @@
 
 use super::clients::{frame, Connection};
 use super::Stage;
-use crate::machine::ProcId;
+use crate::machine::ProcessId;
 use crate::rules::facts::Seen;
 
 /// A caller at the door waits so long.
@@ -31,7 +31,7 @@
 const BACK: Duration = Duration::from_millis(300);
 
 /// Where the relay's door is: the process and its address.
-pub type Door = Rc<Cell<(ProcId, SocketAddr)>>;
+pub type Door = Rc<Cell<(ProcessId, SocketAddr)>>;
 
 /// Asks with `PING` for good, and tells those who open connections whether they may.
 pub async fn front<R: Runtime>(stage: Stage<R>, relay: SocketAddr, shut: Rc<Cell<bool>>) {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -16,7 +16,9 @@
 use crate::faults::{Fault, Scene, Upgrade};
 use crate::hosted::{self, OPERATOR};
 use crate::kept;
-use crate::machine::{AddressFault, Lie, Machine, ProcId, SimulatedRuntime, CONFIG};
+use crate::machine::{
+    AddressFault, Machine, PlantedFault, ProcessId, SimulatedRuntime, CONFIG_PATH,
+};
 use crate::operated;
 use crate::peers::admins::{Admin, Rogue};
 use crate::peers::clients::{until_ready, until_yes, Client};
@@ -55,7 +57,7 @@
     /// Keep a trace for a reader.
     pub traced: bool,
     /// Deceive the relay, to see whether the checker notices.
-    pub lie: Option<Lie>,
+    pub planted_fault: Option<PlantedFault>,
     /// Change the configuration that the relay reads, for the same end.
     pub misconfigure: Option<fn(&mut serde_json::Value)>,
     /// Let administrators deceive the checker, for the same end.
@@ -103,7 +105,7 @@
 
 /// A relay: its process, its agent of discovery, and what is to become of them.
 struct Seat {
-    process: ProcId,
+    process: ProcessId,
     life: Life,
     discovery: Rc<Discovery>,
     moves: u16,
@@ -125,7 +127,7 @@
 
 /// A process beside the one that is to serve.
 struct Old {
-    process: ProcId,
+    process: ProcessId,
     /// How long after the new one's yes it is told to stop.
     stop_after: Duration,
     /// The new one has said yes, when.
@@ -145,7 +147,7 @@
     /// The relay that the fault at hand strikes.
     struck: usize,
     /// The process, and after how many effects it is killed once a change of a tenant is sent.
-    strike: Rc<Cell<(ProcId, Option<u64>)>>,
+    strike: Rc<Cell<(ProcessId, Option<u64>)>>,
     /// All records of what was given up were shown.
     shown: Rc<Cell<bool>>,
 }
@@ -181,7 +183,7 @@
 impl<'a> World<'a> {
     fn new(script: &'a Script, options: Options) -> Self {
         let machine = Machine::new(script.seed, options.traced);
-        let runtime = machine.world();
+        let runtime = machine.world_runtime();
         let (holder, hearer, noter) = (machine.handle(), machine.handle(), machine.handle());
         let stage = Stage {
             start: runtime.now(),
@@ -191,8 +193,8 @@
                 script.rules.clone(),
                 script.relays,
             ))),
-            holds: Rc::new(move |conn| holder.caller_holds(conn)),
-            hears: Rc::new(move |conn| hearer.caller_hears(conn)),
+            holds: Rc::new(move |conn| holder.is_held_by_initiator(conn)),
+            hears: Rc::new(move |conn| hearer.is_heard_by_initiator(conn)),
             news: Rc::new(move |line| noter.note(line)),
         };
         let mut hosts = Vec::new();
@@ -249,7 +251,7 @@
         let known = seats[0].discovery.whole();
         if script.relays > 1 {
             let mut rng = SimulationRng::new(script.seed, 5);
-            machine.set_clocks(
+            machine.set_clock_offsets(
                 (0..script.relays)
                     .map(|_| Duration::from_millis(rng.below(AHEAD)))
                     .collect(),
@@ -287,7 +289,8 @@
             }
         }
         if self.script.upgrades {
-            (0..self.seats.len()).for_each(|relay| self.machine.hold(relay_address(relay)));
+            (0..self.seats.len())
+                .for_each(|relay| self.machine.open_shared_port(relay_address(relay)));
         }
         (0..self.seats.len()).for_each(|relay| self.start(relay));
         let relays: Vec<SocketAddr> = (0..self.seats.len()).map(relay_address).collect();
@@ -340,7 +343,7 @@
                 for relay in 0..self.seats.len() {
                     let size = self
                         .machine
-                        .disk(relay, |disk| disk.size(Path::new(FOLDER)));
+                        .disk(relay, |disk| disk.allocated_bytes(Path::new(FOLDER)));
                     self.of(relay).see(&Seen::Disk(size));
                     if self.script.operated {
                         self.look_in(now, relay);
@@ -398,7 +401,7 @@
             counts: checker.counts,
             breach,
             broken,
-            trace: self.machine.trace(),
+            trace: self.machine.take_trace(),
         }
     }
 
@@ -493,7 +496,7 @@
             change(&mut config);
         }
         self.machine.disk(relay, |disk| {
-            disk.put(CONFIG, config.to_string().into_bytes())
+            disk.put(CONFIG_PATH, config.to_string().into_bytes())
         });
         if let Some(hosted) = &self.script.hosted {
             self.machine.disk(relay, |disk| {
@@ -513,18 +516,17 @@
     }
 
     /// A new process of a relay.
-    fn spawn(&mut self, relay: usize) -> ProcId {
+    fn spawn(&mut self, relay: usize) -> ProcessId {
         let beyond =
             self.script.hosted.is_some() || self.script.kept.is_some() || self.script.levels;
         let operator = beyond.then(|| OPERATOR.into());
-        let run = |runtime| async {
-            let ended = relay::run(runtime, operator).await;
-            ended.map_err(|error| error.to_string())
-        };
-        let process = self.machine.process(relay, self.options.lie, run);
+        let run = |runtime| relay::run(runtime, operator);
+        let process = self
+            .machine
+            .start_process(relay, self.options.planted_fault, run);
         if self.script.upgrades {
             self.machine
-                .inherit(process, relay_address(relay), door_address(process));
+                .set_inherited_port(process, relay_address(relay), door_address(process));
         }
         process
     }
@@ -542,7 +544,7 @@
     }
 
     /// Tells the checker which process of a relay serves after one that is gone.
-    fn started(&mut self, relay: usize, process: ProcId) {
+    fn started(&mut self, relay: usize, process: ProcessId) {
         self.seats[relay].door.set((process, door_address(process)));
         self.seats[relay].touched = self.machine.now();
         let stage = self.of(relay);
@@ -581,7 +583,7 @@
 
     /// Looks which connections of clients a relay holds.
     fn look_in(&mut self, now: Duration, relay: usize) {
-        let open = self.machine.accepted(relay_address(relay));
+        let open = self.machine.accepted_connections(relay_address(relay));
         let held = &mut self.seats[relay].held;
         held.retain(|number, _| open.contains(number));
         for number in open {
@@ -607,7 +609,7 @@
             .flatten()
         {
             if self.machine.is_alive(process) {
-                self.machine.signal(process, Signal::Reload);
+                self.machine.send_signal(process, Signal::Reload);
                 self.of(relay).see(&Seen::Retuned(whole));
             }
         }
@@ -624,21 +626,21 @@
             (true, true) => match (old.stopped, old.yes.get()) {
                 (None, Some(yes)) if now >= yes + old.stop_after => {
                     old.stopped = Some(now + KILLED_AFTER);
-                    self.machine.signal(process, Signal::Stop);
+                    self.machine.send_signal(process, Signal::Stop);
                 }
                 (Some(at), _) if now >= at => self.machine.kill(process),
                 _ => {}
             },
             (false, alive) => {
-                let how = self.machine.ended(process);
+                let how = self.machine.exit(process);
                 self.machine
                     .note(format_args!("process {process} is gone, and was replaced"));
                 self.seats[relay].old = None;
                 self.seats[relay].door.set((new, door_address(new)));
                 self.machine.kill(process);
                 let stage = self.of(relay);
-                if let Some(Err(line)) = &how {
-                    stage.see(&Seen::EndedByItself(&Err(line.clone())));
+                if let Some(Err(error)) = &how {
+                    stage.see(&Seen::EndedByItself(&Err(error.to_string())));
                 }
                 // One that left by itself had nothing out any more.
                 if how.is_none() && alive {
@@ -648,7 +650,7 @@
             }
             (true, false) => {
                 let stopped = old.stopped.is_some();
-                let how = self.machine.ended(new);
+                let how = self.machine.exit(new);
                 self.machine.note(format_args!(
                     "process {new} is gone, and was to replace {process}"
                 ));
@@ -656,8 +658,8 @@
                 let seat = &mut self.seats[relay];
                 (seat.old, seat.process) = (None, process);
                 let stage = self.of(relay);
-                if let Some(Err(line)) = &how {
-                    stage.see(&Seen::EndedByItself(&Err(line.clone())));
+                if let Some(Err(error)) = &how {
+                    stage.see(&Seen::EndedByItself(&Err(error.to_string())));
                 }
                 stage.see(&Seen::Gone);
                 self.started(relay, process);
@@ -678,8 +680,10 @@
             Life::Up | Life::Stopping(_) if self.machine.is_alive(process) => {}
             Life::Up | Life::Stopping(_) => {
                 let stage = self.of(relay);
-                if let Some(how) = self.machine.ended(process) {
-                    stage.see(&Seen::EndedByItself(&how));
+                if let Some(how) = self.machine.exit(process) {
+                    stage.see(&Seen::EndedByItself(
+                        &how.map_err(|error| error.to_string()),
+                    ));
                 }
                 stage.see(&Seen::Gone);
                 self.machine.note(format_args!("process {process} is gone"));
@@ -738,7 +742,7 @@
 
     fn address(&self, block: u16, fault: AddressFault) {
         self.of_block(block)
-            .for_each(|host| self.machine.fault(host.address, fault));
+            .for_each(|host| self.machine.set_address_fault(host.address, fault));
     }
 
     fn list(&self, host: usize, health: &'static str, jump: u64) {
@@ -773,7 +777,7 @@
         self.struck
     }
 
-    fn process(&self) -> ProcId {
+    fn process(&self) -> ProcessId {
         self.seats[self.struck].process
     }
 
@@ -796,7 +800,7 @@
 
     fn cut(&self, block: u16, cut: bool) {
         self.of_block(block)
-            .for_each(|host| self.machine.cut(self.struck, host.address, cut));
+            .for_each(|host| self.machine.set_partitioned(self.struck, host.address, cut));
     }
 
     fn down_for(&mut self, span: Duration) {
@@ -809,7 +813,7 @@
         if matches!(seat.life, Life::Up) && seat.old.is_none() {
             seat.life = Life::Stopping(down);
             stage.see(&Seen::ToldToStop);
-            self.machine.signal(seat.process, Signal::Stop);
+            self.machine.send_signal(seat.process, Signal::Stop);
         }
     }
 
@@ -882,7 +886,7 @@
             .script
             .config(relay, &seat.settings, &self.known, discovery);
         let text = operated::spoil(&config, way);
-        self.machine.disk(relay, |disk| disk.put(CONFIG, text));
+        self.machine.disk(relay, |disk| disk.put(CONFIG_PATH, text));
         self.read_again(relay, false);
     }
 
@@ -896,7 +900,7 @@
 }
 
 /// Where a process takes operators' calls.
-fn door_address(process: ProcId) -> SocketAddr {
+fn door_address(process: ProcessId) -> SocketAddr {
     SocketAddr::from(([10, 3, 0, 1], 10_000 + (process % 50_000) as u16))
 }
 
--- a/crates/simulator/tests/caught.rs
+++ b/crates/simulator/tests/caught.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use serde_json::Value;
-use simulator::machine::Lie;
+use simulator::machine::PlantedFault;
 use simulator::script::Days;
 use simulator::world::Options;
 
@@ -12,11 +12,11 @@
     support::seeds_until(Days::Plain, rule, 0..400, options, |_| {});
 }
 
-fn lie(rule: &str, lie: Lie) {
+fn caught_with_fault(rule: &str, fault: PlantedFault) {
     caught(
         rule,
         Options {
-            lie: Some(lie),
+            planted_fault: Some(fault),
             ..Options::default()
         },
     );
@@ -41,42 +41,42 @@
 
 #[test]
 fn a_journal_that_keeps_no_messages_loses_them() {
-    lie("nothing lost", Lie::DropTaken);
+    caught_with_fault("nothing lost", PlantedFault::DropAcceptedRecords);
 }
 
 #[test]
 fn a_journal_that_keeps_no_attempts_lets_payouts_go_twice() {
-    lie("no double effect", Lie::DropAttempts);
+    caught_with_fault("no double effect", PlantedFault::DropAttemptRecords);
 }
 
 #[test]
 fn calls_that_stay_open_are_second_copies() {
-    lie("one at a time", Lie::KeepCalls);
+    caught_with_fault("one at a time", PlantedFault::KeepCallsOpen);
 }
 
 #[test]
 fn drains_that_are_not_heard_of_are_not_kept() {
-    lie("drains", Lie::HideDrains);
+    caught_with_fault("drains", PlantedFault::HideDraining);
 }
 
 #[test]
 fn waits_that_are_not_heard_of_are_not_heeded() {
-    lie("waits", Lie::HideWaits);
+    caught_with_fault("waits", PlantedFault::HideBackoff);
 }
 
 #[test]
 fn calls_that_are_led_to_another_host_are_seen() {
-    lie("right host", Lie::WrongHost);
+    caught_with_fault("right host", PlantedFault::MisrouteConnections);
 }
 
 #[test]
 fn a_slow_clock_ends_messages_too_late() {
-    lie("nothing lost", Lie::SlowClock);
+    caught_with_fault("nothing lost", PlantedFault::SlowClock);
 }
 
 #[test]
 fn notices_that_get_lost_are_missed() {
-    lie("at once", Lie::LoseNotices);
+    caught_with_fault("at once", PlantedFault::DropNotifications);
 }
 
 #[test]
@@ -127,5 +127,5 @@
 
 #[test]
 fn what_a_restart_finds_untried_and_never_calls_is_missed() {
-    lie("still tried", Lie::ClockAhead);
+    caught_with_fault("still tried", PlantedFault::ClockAhead);
 }
--- a/crates/simulator/tests/hosted.rs
+++ b/crates/simulator/tests/hosted.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use simulator::machine::Lie;
+use simulator::machine::PlantedFault;
 use simulator::peers::admins::Rogue;
 use simulator::script::{Days, Script};
 use simulator::world::{play, Options};
@@ -39,7 +39,7 @@
         "registry",
         200,
         Options {
-            lie: Some(Lie::DropTenants),
+            planted_fault: Some(PlantedFault::DropTenantChanges),
             ..Options::default()
         },
         |_| {},
--- a/crates/simulator/tests/operated.rs
+++ b/crates/simulator/tests/operated.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use simulator::machine::Lie;
+use simulator::machine::PlantedFault;
 use simulator::script::{Days, Script};
 use simulator::world::{play, Options};
 
@@ -55,9 +55,9 @@
     support::same_again(Days::Operated, 0..4);
 }
 
-fn caught(rule: &str, lie: Lie) {
+fn caught(rule: &str, fault: PlantedFault) {
     let options = Options {
-        lie: Some(lie),
+        planted_fault: Some(fault),
         ..Options::default()
     };
     support::seeds_until(Days::Operated, rule, 0..60, options, |_| {});
@@ -65,22 +65,22 @@
 
 #[test]
 fn connections_that_stay_open_in_a_drain_are_seen() {
-    caught("drained", Lie::KeepClients);
+    caught("drained", PlantedFault::KeepClientsOpen);
 }
 
 #[test]
 fn figures_that_hide_deliveries_are_seen() {
-    caught("figures", Lie::HideDeliveries);
+    caught("figures", PlantedFault::ZeroDeliveryMetrics);
 }
 
 /// A relay that reads its old file sends again what may not be any more, and counts files that it should turn down.
 #[test]
 fn settings_that_are_not_taken_are_seen() {
-    caught("no double effect", Lie::OldFile);
-    caught("figures", Lie::OldFile);
+    caught("no double effect", PlantedFault::StaleConfiguration);
+    caught("figures", PlantedFault::StaleConfiguration);
 }
 
 #[test]
 fn a_door_that_does_not_answer_is_seen() {
-    caught("door", Lie::MuteDoor);
+    caught("door", PlantedFault::MuteControlSocket);
 }
--- a/crates/simulator/tests/rolling.rs
+++ b/crates/simulator/tests/rolling.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use simulator::machine::Lie;
+use simulator::machine::PlantedFault;
 use simulator::script::{Days, Script};
 use simulator::world::{play, Options};
 
@@ -47,7 +47,7 @@
 #[test]
 fn hosts_that_left_while_a_process_was_down_are_seen_to_be_called() {
     let options = Options {
-        lie: Some(Lie::HideDrains),
+        planted_fault: Some(PlantedFault::HideDraining),
         ..Options::default()
     };
     support::seeds_until(Days::Rolling, "leaving", 0..80, options, |_| {});
--- a/crates/simulator/tests/upgraded.rs
+++ b/crates/simulator/tests/upgraded.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use simulator::machine::Lie;
+use simulator::machine::PlantedFault;
 use simulator::script::{Days, Script};
 use simulator::world::{play, Options};
 
@@ -52,7 +52,7 @@
 #[test]
 fn two_owners_are_caught() {
     let options = Options {
-        lie: Some(Lie::ShareLocks),
+        planted_fault: Some(PlantedFault::ShareLocks),
         ..Options::default()
     };
     let rules = (0..40).filter_map(|seed| {
