--- /dev/null
+++ b/crates/simulator/src/commands/demo.rs
@@ -0,0 +1,398 @@
+//! A first look at the relay: the real process on loopback sockets, between the same clients, partners and
+//! discovery that the simulation plays. It ends by itself and leaves nothing behind.
+
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use relay::RelayError;
+use runtime::{OsRuntime, Runtime};
+use tempfile::TempDir;
+use thiserror::Error;
+use tokio::sync::watch;
+
+use super::loopback::{
+    block_on, configuration, free_address, peer_context, LoopbackError, RelayCommand, RelayProcess,
+    MESSAGE_TTL_MS, READY_TIMEOUT, TENANT,
+};
+use super::CommandOutcome;
+use crate::peers::clients::{until_ready, Client, Habit, Plan};
+use crate::peers::discovery::{Discovery, Line};
+use crate::peers::hosts::{Host, Mood};
+use crate::peers::Stage;
+use crate::rng::SimulationRng;
+use crate::rules::facts::{Repeat, Seen};
+
+/// The sub-command of this program that is the relay.
+const RELAY_COMMAND: &str = "relay";
+/// Partners, each the only host of its destination.
+const PARTNERS: u16 = 3;
+/// Calls a second that each partner takes.
+const PARTNER_CAPACITY: u16 = 60;
+/// Clients, which submit the messages in turn.
+const CLIENTS: u64 = 4;
+/// Messages are submitted for this long.
+const ARRIVAL_SECONDS: u64 = 10;
+/// Messages that are submitted a second.
+const ARRIVALS_PER_SECOND: u64 = 30;
+/// Bytes of a message's body.
+const BODY_BYTES: usize = 100;
+/// How long after its first use a message's idempotency key holds.
+const KEY_WINDOW: Duration = Duration::from_secs(20);
+/// The partner that breaks.
+const BROKEN_PARTNER: u16 = 2;
+/// The second at which it breaks.
+const BREAKS_AT_SECOND: u64 = 2;
+/// The second at which it is mended.
+const MENDED_AT_SECOND: u64 = 5;
+/// The second at which the relay is killed.
+const KILLED_AT_SECOND: u64 = 7;
+/// Seconds that the demo waits for the last messages' ends.
+const MAX_DRAIN_SECONDS: u64 = 10;
+
+/// The demo could not be played.
+#[derive(Debug, Error)]
+pub enum DemoError {
+    /// The relay can't be started.
+    #[error(transparent)]
+    Loopback(#[from] LoopbackError),
+    /// The relay itself ended with an error.
+    #[error(transparent)]
+    Relay(#[from] RelayError),
+    /// The demo was interrupted.
+    #[error("stopped")]
+    Interrupted,
+    /// No temporary folder can be made.
+    #[error("no folder for the demo: {0}")]
+    Folder(#[source] io::Error),
+    /// The path of this program is not known.
+    #[error("cannot find this program: {0}")]
+    ProgramPath(#[source] io::Error),
+    /// The configuration can't be written.
+    #[error("cannot write the configuration: {0}")]
+    WriteConfiguration(#[source] io::Error),
+    /// The relay does not start to take messages.
+    #[error("the relay did not get ready within 20 s")]
+    NotReady,
+    /// The relay does not start to take messages after it was killed.
+    #[error("the relay did not get ready again within 20 s")]
+    NotReadyAgain,
+}
+
+/// The relay itself, in a process of its own.
+///
+/// # Errors
+///
+/// The relay's own error.
+pub fn run_relay() -> Result<(), DemoError> {
+    block_on(async { Ok(relay::run(OsRuntime, None).await?) })
+}
+
+/// Plays the demo. Fails if a rule was broken or the relay did not end well.
+///
+/// # Errors
+///
+/// If a process or port can't be had.
+pub fn run() -> Result<CommandOutcome, DemoError> {
+    block_on(async {
+        tokio::select! {
+            biased;
+            // What it started and wrote goes with it.
+            _ = tokio::signal::ctrl_c() => Err(DemoError::Interrupted),
+            played = play() => played,
+        }
+    })
+}
+
+async fn play() -> Result<CommandOutcome, DemoError> {
+    let mut demo = Demo::prepare()?;
+    demo.start_peers();
+    demo.say(format_args!(
+        "three partners and discovery listen; the configuration is {}",
+        demo.configuration.display()
+    ));
+    demo.start_relay(1, DemoError::NotReady).await?;
+    demo.say(format_args!(
+        "the relay is ready at {}; {ARRIVALS_PER_SECOND} messages a second come in",
+        demo.relay_address
+    ));
+    let start = demo.context.at();
+    demo.start_clients(start);
+    for second in 1..=ARRIVAL_SECONDS + MAX_DRAIN_SECONDS {
+        let at = demo.context.instant(start + Duration::from_secs(second));
+        demo.context.runtime.sleep_until(at).await;
+        demo.play_faults(second).await?;
+        demo.context.see(&Seen::Pass);
+        let open = demo.say_progress();
+        if open == 0 && second > ARRIVAL_SECONDS {
+            break;
+        }
+    }
+    let has_ended_well = demo.stop_relay().await;
+    Ok(demo.print_summary(has_ended_well))
+}
+
+/// The relay and its peers. The fields are dropped in this order: first the process ends, last its files go.
+struct Demo {
+    process: Option<RelayProcess>,
+    context: Stage<OsRuntime>,
+    hosts: Vec<Rc<Host>>,
+    discovery: Rc<Discovery>,
+    discovery_address: SocketAddr,
+    /// Discovery ends when this is dropped.
+    discovery_stop: watch::Sender<bool>,
+    relay_address: SocketAddr,
+    /// This program.
+    program: PathBuf,
+    configuration: PathBuf,
+    state_directory: PathBuf,
+    _folder: TempDir,
+}
+
+impl Demo {
+    /// Makes the peers and writes the relay's files. Nothing runs yet.
+    fn prepare() -> Result<Self, DemoError> {
+        let folder = tempfile::tempdir().map_err(DemoError::Folder)?;
+        let state_directory = folder.path().join("state");
+        let configuration_file = folder.path().join("config.json");
+        std::fs::create_dir(&state_directory).map_err(LoopbackError::StateDirectory)?;
+        let program = std::env::current_exe().map_err(DemoError::ProgramPath)?;
+        let (relay_address, discovery_address) = (free_address()?, free_address()?);
+        let hosts = (1..=PARTNERS)
+            .map(|destination| Ok(partner(destination, free_address()?)))
+            .collect::<Result<Vec<Rc<Host>>, LoopbackError>>()?;
+        let discovery = Discovery::new(hosts.iter().map(|host| listed(host)).collect());
+        let relay = configuration(
+            relay_address,
+            discovery_address,
+            &state_directory,
+            &discovery.whole(),
+        );
+        std::fs::write(&configuration_file, relay.file.to_string())
+            .map_err(DemoError::WriteConfiguration)?;
+        Ok(Demo {
+            process: None,
+            context: peer_context(relay.rules),
+            hosts,
+            discovery,
+            discovery_address,
+            discovery_stop: watch::Sender::new(false),
+            relay_address,
+            program,
+            configuration: configuration_file,
+            state_directory,
+            _folder: folder,
+        })
+    }
+
+    /// Starts the partners and discovery.
+    fn start_peers(&self) {
+        let runtime = self.context.runtime;
+        for host in &self.hosts {
+            let serving = host.clone().serve(self.context.clone());
+            runtime.spawn(async move { drop(serving.await) });
+        }
+        let serving = self.discovery.clone().serve(
+            self.context.clone(),
+            self.discovery_address,
+            self.discovery_stop.subscribe(),
+        );
+        runtime.spawn(async move { drop(serving.await) });
+    }
+
+    /// Starts process number `number` of the relay and waits until it takes messages.
+    async fn start_relay(&mut self, number: u32, not_ready: DemoError) -> Result<(), DemoError> {
+        self.process = Some(RelayProcess::start(&RelayCommand {
+            program: &self.program,
+            arguments: &[RELAY_COMMAND],
+            configuration: &self.configuration,
+            state_directory: &self.state_directory,
+            variables: &[],
+        })?);
+        self.context.see(&Seen::Started(number));
+        let ready = until_ready(&self.context, self.relay_address);
+        let ready = self.context.runtime.timeout(READY_TIMEOUT, ready).await;
+        ready.map_err(|_| not_ready)?;
+        self.context.see(&Seen::Ready);
+        Ok(())
+    }
+
+    /// Starts the clients, whose messages come from `start` on.
+    fn start_clients(&self, start: Duration) {
+        for messages in messages_by_client(start) {
+            let relays = vec![self.relay_address];
+            let client = Client::new(self.context.clone(), relays, 0, messages, None);
+            self.context.runtime.spawn(client.run());
+        }
+    }
+
+    /// Does what the demo has planned for a second.
+    async fn play_faults(&mut self, second: u64) -> Result<(), DemoError> {
+        if second == BREAKS_AT_SECOND {
+            self.break_partner();
+        }
+        if second == MENDED_AT_SECOND {
+            self.mend_partner();
+        }
+        if second == KILLED_AT_SECOND {
+            self.kill_and_restart_relay().await?;
+        }
+        Ok(())
+    }
+
+    fn break_partner(&self) {
+        self.set_partner_behavior(Mood {
+            fails: 100,
+            ..Mood::default()
+        });
+        self.context.see(&Seen::Outage(BROKEN_PARTNER, true));
+        self.say(format_args!(
+            "partner {BROKEN_PARTNER} breaks: every call to it ends in an error"
+        ));
+    }
+
+    fn mend_partner(&self) {
+        self.set_partner_behavior(Mood::default());
+        self.context.see(&Seen::Outage(BROKEN_PARTNER, false));
+        self.say(format_args!("partner {BROKEN_PARTNER} is mended"));
+    }
+
+    fn set_partner_behavior(&self, behavior: Mood) {
+        let partner = &self.hosts[usize::from(BROKEN_PARTNER) - 1];
+        *partner.mood.borrow_mut() = behavior;
+    }
+
+    async fn kill_and_restart_relay(&mut self) -> Result<(), DemoError> {
+        // Dropped, it is killed.
+        drop(self.process.take());
+        self.context.see(&Seen::Gone);
+        self.say(format_args!(
+            "the relay is killed with SIGKILL, and starts again on its journal"
+        ));
+        self.start_relay(2, DemoError::NotReadyAgain).await
+    }
+
+    /// Stops the relay with SIGTERM. True if it ended in time and without an error.
+    async fn stop_relay(&mut self) -> bool {
+        let has_ended_well = match self.process.take() {
+            Some(process) => process.stop(&self.context.runtime).await,
+            None => false,
+        };
+        let how = if has_ended_well {
+            "ended"
+        } else {
+            "did not end well"
+        };
+        self.say(format_args!("the relay was told to stop and {how}"));
+        has_ended_well
+    }
+
+    /// Prints a line with the time since the demo began.
+    fn say(&self, line: fmt::Arguments<'_>) {
+        println!("{:5.1} s  {line}", self.context.at().as_secs_f64());
+    }
+
+    /// Prints where the messages stand. Returns how many accepted ones have no end yet.
+    fn say_progress(&self) -> usize {
+        let checker = self.context.checker.borrow();
+        let (counts, open) = (checker.counts, checker.open());
+        let undelivered = counts.undeliverable + counts.deferred;
+        self.say(format_args!(
+            "{} handed in, {} taken on, {} delivered, {undelivered} ended undelivered, {open} on their way",
+            counts.handed, counts.taken, counts.delivered
+        ));
+        open
+    }
+
+    /// Prints what became of all messages, and whether a rule was broken.
+    fn print_summary(&self, has_ended_well: bool) -> CommandOutcome {
+        let checker = self.context.checker.borrow();
+        let (counts, open) = (checker.counts, checker.open());
+        println!();
+        println!(
+            "Taken on: {}. Delivered: {}.",
+            counts.taken, counts.delivered
+        );
+        println!(
+            "Ended by a notice: {} failed, {} refused.",
+            counts.undeliverable, counts.deferred
+        );
+        println!("Without an end: {open}. Calls made: {}.", counts.calls);
+        match checker.breach() {
+            Some(breach) => println!("A rule was broken at {breach}"),
+            None => {
+                println!(
+                    "No rule was broken: nothing lost, no payout twice, one end for each message."
+                );
+            }
+        }
+        CommandOutcome::passed_if(has_ended_well && open == 0 && checker.breach().is_none())
+    }
+}
+
+/// The one host of a destination.
+fn partner(destination: u16, address: SocketAddr) -> Rc<Host> {
+    Host::new(
+        &format!("partner-{destination}"),
+        destination,
+        "a",
+        address,
+        PARTNER_CAPACITY.into(),
+        SimulationRng::new(0, destination.into()),
+    )
+}
+
+/// A host as discovery lists it.
+fn listed(host: &Host) -> Line {
+    Line {
+        host: host.name.borrow().clone(),
+        dial: host.address,
+        site: "a".into(),
+        block: host.block,
+        health: "up",
+        share: PARTNER_CAPACITY.into(),
+    }
+}
+
+/// The messages of each client, the first of all at `start`.
+fn messages_by_client(start: Duration) -> Vec<Vec<Plan>> {
+    let mut clients = vec![Vec::new(); CLIENTS as usize];
+    for number in 0..ARRIVAL_SECONDS * ARRIVALS_PER_SECOND {
+        let client = (number % CLIENTS) as usize;
+        clients[client].push(message(number, start));
+    }
+    clients
+}
+
+/// One message. The classes take turns, and for each class the destinations.
+fn message(number: u64, start: Duration) -> Plan {
+    let (class, repeat) = match number % 3 {
+        0 => ("update", Repeat::Safe),
+        1 => (
+            "event",
+            Repeat::Keyed {
+                window: KEY_WINDOW,
+                zone_only: false,
+            },
+        ),
+        _ => ("payout", Repeat::Unsafe),
+    };
+    let destination = 1 + (number / 3 % u64::from(PARTNERS)) as u16;
+    Plan {
+        at: start + Duration::from_millis(number * 1000 / ARRIVALS_PER_SECOND),
+        name: format!("m{number:04}"),
+        tenant: TENANT.into(),
+        class,
+        repeat,
+        order: 0,
+        in_order: false,
+        unsafe_from: None,
+        destination,
+        left: MESSAGE_TTL_MS,
+        size: BODY_BYTES,
+        habit: Habit::Plain,
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/commands/loopback/test_bed.rs
@@ -0,0 +1,98 @@
+//! What a measured relay needs around it: partners that answer at once, and a discovery that lists them.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+use bytes::BytesMut;
+use runtime::{Listener, OsRuntime, Runtime};
+use tokio::io::AsyncWriteExt;
+use tokio::sync::watch;
+
+use super::configuration::{configuration, peer_context};
+use super::error::LoopbackError;
+use super::{free_address, MEASURED_PARTNERS};
+use crate::peers::discovery::{Discovery, Line};
+use crate::peers::{read_request, Stage};
+
+/// The capacity that discovery lists for each partner, in calls a second: more than any measurement makes.
+const LISTED_CAPACITY: u32 = 10_000;
+/// A partner's answer to each call.
+const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+
+/// Partners that answer at once, a discovery that lists them, and the files of a relay that calls them.
+pub(in crate::commands) struct TestBed {
+    /// The context of the peers.
+    pub context: Stage<OsRuntime>,
+    /// The relay's configuration file.
+    pub configuration: PathBuf,
+    pub state_directory: PathBuf,
+    /// Discovery ends when this is dropped.
+    _discovery_stop: watch::Sender<bool>,
+}
+
+impl TestBed {
+    /// Writes a relay's files to a folder and starts its peers. The relay is to listen at `listen`.
+    pub fn start(folder: &Path, listen: SocketAddr) -> Result<Self, LoopbackError> {
+        let state_directory = folder.join("state");
+        let configuration_file = folder.join("config.json");
+        std::fs::create_dir(&state_directory).map_err(LoopbackError::StateDirectory)?;
+        let discovery_address = free_address()?;
+        let partners = (1..=MEASURED_PARTNERS)
+            .map(listed_partner)
+            .collect::<Result<Vec<Line>, _>>()?;
+        let addresses: Vec<SocketAddr> = partners.iter().map(|partner| partner.dial).collect();
+        let discovery = Discovery::new(partners);
+        let relay = configuration(
+            listen,
+            discovery_address,
+            &state_directory,
+            &discovery.whole(),
+        );
+        std::fs::write(&configuration_file, relay.file.to_string())
+            .map_err(LoopbackError::WriteFile)?;
+        let context = peer_context(relay.rules);
+        for address in addresses {
+            let serving = serve_partner(context.clone(), address);
+            context.runtime.spawn(async move { drop(serving.await) });
+        }
+        let (discovery_stop, stopping) = watch::channel(false);
+        let serving = discovery.serve(context.clone(), discovery_address, stopping);
+        context.runtime.spawn(async move { drop(serving.await) });
+        Ok(TestBed {
+            context,
+            configuration: configuration_file,
+            state_directory,
+            _discovery_stop: discovery_stop,
+        })
+    }
+}
+
+/// The partner of a destination as discovery lists it, at a free address.
+fn listed_partner(destination: u16) -> Result<Line, LoopbackError> {
+    Ok(Line {
+        host: format!("partner-{destination}"),
+        dial: free_address()?,
+        site: "a".into(),
+        block: destination,
+        health: "up",
+        share: LISTED_CAPACITY,
+    })
+}
+
+/// Takes connections for good, and answers every call with success.
+async fn serve_partner(context: Stage<OsRuntime>, address: SocketAddr) -> io::Result<()> {
+    let listener = context.runtime.listen(address).await?;
+    loop {
+        let mut stream = listener.accept().await?;
+        let own = context.clone();
+        context.runtime.spawn(async move {
+            let mut text = BytesMut::new();
+            while let Ok(Some(_)) = read_request(&own, &mut stream, &mut text).await {
+                if stream.write_all(ANSWER).await.is_err() {
+                    return;
+                }
+            }
+        });
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/commands/replay.rs
@@ -0,0 +1,72 @@
+//! Plays one seed and shows what happened.
+
+use std::io;
+use std::path::{Path, PathBuf};
+
+use thiserror::Error;
+
+use super::{print_faults, CommandOutcome};
+use crate::script::{Days, Script};
+use crate::world::{play, Options, Report};
+
+/// Lines of the trace that are printed if it is not written to a file.
+const PRINTED_TRACE_LINES: usize = 40;
+
+/// A replay could not be carried out.
+#[derive(Debug, Error)]
+pub enum ReplayError {
+    /// The trace's file can't be written.
+    #[error("cannot write {}: {source}", path.display())]
+    WriteTrace {
+        /// The file.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+}
+
+/// Plays a seed and prints its faults, the trace or where it went, and the result.
+///
+/// # Errors
+///
+/// If the trace can't be written.
+pub fn run(
+    seed: u64,
+    trace_file: Option<&Path>,
+    days: Days,
+) -> Result<CommandOutcome, ReplayError> {
+    let script = Script::of(days, seed);
+    print_faults(&script);
+    let options = Options {
+        traced: true,
+        ..Options::default()
+    };
+    let report = play(&script, options);
+    match trace_file {
+        Some(path) => write_trace(path, &report)?,
+        None => print_trace_end(&report),
+    }
+    println!(
+        "{} messages, {} steps, {:?}",
+        report.messages, report.steps, report.counts
+    );
+    println!("digest {}", report.digest);
+    println!("digest of effects {}", report.effects_digest);
+    println!("{}", report.broken.as_deref().unwrap_or("no rule broken"));
+    Ok(CommandOutcome::passed_if(report.broken.is_none()))
+}
+
+fn write_trace(path: &Path, report: &Report) -> Result<(), ReplayError> {
+    let text = report.trace.join("\n") + "\n";
+    std::fs::write(path, text).map_err(|source| ReplayError::WriteTrace {
+        path: path.into(),
+        source,
+    })
+}
+
+fn print_trace_end(report: &Report) {
+    let first = report.trace.len().saturating_sub(PRINTED_TRACE_LINES);
+    for line in &report.trace[first..] {
+        println!("{line}");
+    }
+}
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -4,12 +4,10 @@
 //! report says whether a rule was broken, when and how. The same seed gives the same day, step by step.
 
 pub mod checker;
-pub mod cost;
-pub mod demo;
+pub mod commands;
 pub mod faults;
 pub mod hosted;
 pub mod kept;
-mod loopback;
 pub mod machine;
 pub mod operated;
 pub mod peers;
@@ -17,7 +15,5 @@
 pub mod rolling;
 pub mod rules;
 pub mod script;
-pub mod shrink;
-pub mod upgrades;
 pub mod vast;
 pub mod world;
--- a/crates/simulator/src/machine/handle.rs
+++ b/crates/simulator/src/machine/handle.rs
@@ -25,7 +25,7 @@
     /// Whether the side that opened a connection still holds it, and everything that was sent on it arrives: a reset
     /// after a silence does not bring back what the silence has swallowed.
     #[must_use]
-    pub fn is_heard_by_initiator(&self, connection: u64) -> bool {
+    pub fn delivers_to_initiator(&self, connection: u64) -> bool {
         let state = self.state.borrow();
         let was_never_silent = state
             .network
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -194,7 +194,7 @@
                 script.relays,
             ))),
             holds: Rc::new(move |conn| holder.is_held_by_initiator(conn)),
-            hears: Rc::new(move |conn| hearer.is_heard_by_initiator(conn)),
+            hears: Rc::new(move |conn| hearer.delivers_to_initiator(conn)),
             news: Rc::new(move |line| noter.note(line)),
         };
         let mut hosts = Vec::new();
--- a/crates/simulator/tests/same.rs
+++ b/crates/simulator/tests/same.rs
@@ -59,7 +59,7 @@
         .map(Script::draw)
         .find(|script| play(script, options).broken.is_some());
     let whole = whole.expect("a seed that overfills its disk");
-    let small = simulator::shrink::shrink(whole.clone(), options).expect("a breach");
+    let small = simulator::commands::shrink::shrink(whole.clone(), options).expect("a breach");
     assert!(
         small.script.size() < whole.size(),
         "{}",
