--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -126,7 +126,9 @@
                 }
             }
             RegistryError::TooMany { .. } => problem(StatusCode::CONFLICT, "too-many"),
-            RegistryError::Secret(_) => problem(StatusCode::CONFLICT, "secret"),
+            RegistryError::SecretExists(_) | RegistryError::UnknownSecret(_) => {
+                problem(StatusCode::CONFLICT, "secret")
+            }
             RegistryError::KeyReused => {
                 problem(StatusCode::UNPROCESSABLE_ENTITY, "idempotency-key-reused")
             }
--- a/crates/relay/src/tenant_service/mod.rs
+++ b/crates/relay/src/tenant_service/mod.rs
@@ -186,7 +186,7 @@
                 let entry = hosted
                     .registry
                     .check_admission(name, class, destination)
-                    .map_err(error)?;
+                    .map_err(|why| error(&why.to_string()))?;
                 entry.unacknowledged += 1;
                 Ok((entry.number, entry.tenant.reference()))
             }
@@ -511,12 +511,8 @@
         self.store
             .append(record)
             .map_err(|e| format!("the registry cannot be written: {e}"))?;
-        let effects = self.registry.commit(record);
-        events.extend(
-            effects
-                .into_iter()
-                .map(|(number, terms)| Event::TenantChanged(number, terms)),
-        );
+        let update = self.registry.commit(record);
+        events.extend(update.map(|update| Event::TenantChanged(update.number, update.terms)));
         self.audit.append(record);
         Ok(())
     }
--- a/crates/tenancy/src/registry.rs
+++ b/crates/tenancy/src/registry.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 use crate::secret::{Digest, MAX_SECRETS};
-use crate::spec::{check_name, OnRemoval, SpecError, TenantSpec};
+use crate::spec::{check_name, AdmissionError, OnRemoval, SpecError, TenantSpec};
 
 /// Tenants at most, those that drain among them.
 pub const MAX_TENANTS: usize = 16_384;
@@ -284,9 +284,12 @@
         /// How many.
         most: usize,
     },
-    /// There is a secret of this name, or none.
-    #[error("{0}")]
-    Secret(String),
+    /// The tenant has a secret of this name.
+    #[error("there is a secret {0:?} already")]
+    SecretExists(String),
+    /// The tenant has no secret of this name.
+    #[error("there is no secret {0:?}")]
+    UnknownSecret(String),
     /// The idempotency key came with another request before.
     #[error("the idempotency key was used for another request")]
     KeyReused,
@@ -355,8 +358,14 @@
     pub idempotent_responses: Vec<IdempotentResponse>,
 }
 
-/// A change of what the module is to know.
-pub type Effect = (TenantId, Option<TenantTerms>);
+/// New terms of a tenant, for the decision module.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TermsUpdate {
+    /// The decision module's number of the tenant.
+    pub number: TenantId,
+    /// Its terms; none once it is removed.
+    pub terms: Option<TenantTerms>,
+}
 
 /// The tenants there are.
 #[derive(Default)]
@@ -538,18 +547,18 @@
     ///
     /// # Errors
     ///
-    /// The text for the client if there is no such tenant, or its specification does not allow the message.
+    /// [`AdmissionError`] if there is no such tenant, or its specification does not allow the message.
     pub fn check_admission(
         &mut self,
         name: &str,
         class: &str,
         destination: DestinationId,
-    ) -> Result<&mut TenantEntry, &'static str> {
+    ) -> Result<&mut TenantEntry, AdmissionError> {
         let Some(line) = self.lines.get_mut(name) else {
-            return Err("unknown tenant");
+            return Err(AdmissionError::UnknownTenant);
         };
         let Some(entry) = &mut line.current else {
-            return Err("the tenant is being removed");
+            return Err(AdmissionError::TenantDraining);
         };
         if let Err(why) = entry.tenant.spec.allows(class, destination) {
             entry.counts.rejected += 1;
@@ -742,9 +751,7 @@
             Change::AddSecret { id, sha256 } => {
                 check_name(id).map_err(|e| SpecError::new("id", e.reason))?;
                 if to.secrets.iter().any(|secret| secret.id == *id) {
-                    return Err(RegistryError::Secret(format!(
-                        "there is a secret {id:?} already"
-                    )));
+                    return Err(RegistryError::SecretExists(id.clone()));
                 }
                 if to.secrets.len() >= MAX_SECRETS {
                     return Err(RegistryError::TooMany {
@@ -764,7 +771,7 @@
                 to.secrets.retain(|secret| secret.id != *id);
                 if to.secrets.len() == before {
                     let id: String = id.chars().take(crate::spec::MAX_NAME_CHARS).collect();
-                    return Err(RegistryError::Secret(format!("there is no secret {id:?}")));
+                    return Err(RegistryError::UnknownSecret(id));
                 }
                 Ok(Action::SecretDropped)
             }
@@ -847,12 +854,12 @@
     }
 
     /// Makes a change that was kept, and says what the module must know.
-    pub fn commit(&mut self, record: &ChangeRecord) -> Vec<Effect> {
+    pub fn commit(&mut self, record: &ChangeRecord) -> Option<TermsUpdate> {
         self.observe_committed(record);
         match (&record.from, &record.to) {
-            (_, Some(to)) => self.put(to.clone()).into_iter().collect(),
-            (Some(from), None) => self.take_out(from).into_iter().collect(),
-            (None, None) => Vec::new(),
+            (_, Some(to)) => Some(self.put(to.clone())),
+            (Some(from), None) => self.take_out(from),
+            (None, None) => None,
         }
     }
 
@@ -869,7 +876,7 @@
     }
 
     /// Takes a tenant as it is now.
-    fn put(&mut self, tenant: Tenant) -> Option<Effect> {
+    fn put(&mut self, tenant: Tenant) -> TermsUpdate {
         let line = self.lines.entry(tenant.name.clone()).or_default();
         let terms = tenant.terms();
         let drains = tenant.state == State::Draining;
@@ -907,10 +914,13 @@
         }
         line.draining
             .sort_by_key(|entry| entry.tenant.version.generation);
-        Some((number, Some(terms)))
+        TermsUpdate {
+            number,
+            terms: Some(terms),
+        }
     }
 
-    fn take_out(&mut self, tenant: &Tenant) -> Option<Effect> {
+    fn take_out(&mut self, tenant: &Tenant) -> Option<TermsUpdate> {
         let line = self.lines.get_mut(&tenant.name)?;
         let number = line.find(tenant.version.generation)?.number;
         line.draining.retain(|entry| entry.number != number);
@@ -928,7 +938,10 @@
             .remove(&(tenant.name.clone(), tenant.version.generation));
         self.numbers.give_back(number);
         self.bury(tenant.name.clone(), tenant.version.generation);
-        Some((number, None))
+        Some(TermsUpdate {
+            number,
+            terms: None,
+        })
     }
 
     fn bury(&mut self, name: String, generation: u32) {
--- a/crates/tenancy/src/spec.rs
+++ b/crates/tenancy/src/spec.rs
@@ -13,8 +13,10 @@
 pub const MAX_WEIGHT: u32 = 10_000;
 /// Weight of a tenant that none is set for.
 pub const DEFAULT_WEIGHT: u32 = 100;
-/// The highest rate, in messages a second, and the largest burst, in messages.
-pub const MOST_RATE: (f64, u32) = (1e6, 1_000_000);
+/// The highest rate, in messages a second.
+pub const MAX_RATE_PER_SECOND: f64 = 1e6;
+/// The largest burst, in messages.
+pub const MAX_BURST: u32 = 1_000_000;
 /// Classes and ranges of destinations that a specification names at most.
 pub const MAX_LISTED_ITEMS: usize = 256;
 
@@ -172,6 +174,23 @@
     }
 }
 
+/// Why a tenant may not submit a message; the text is the client's reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum AdmissionError {
+    /// No tenant has this name.
+    #[error("unknown tenant")]
+    UnknownTenant,
+    /// All tenants of this name are draining.
+    #[error("the tenant is being removed")]
+    TenantDraining,
+    /// The tenant's specification does not list the message's class.
+    #[error("the tenant may not hand in this class")]
+    ClassNotAllowed,
+    /// The tenant's specification does not list the message's destination.
+    #[error("the tenant may not send to this destination")]
+    DestinationNotAllowed,
+}
+
 impl TenantSpec {
     /// Whether all values are within their bounds and the classes are among those known.
     ///
@@ -186,17 +205,16 @@
             ));
         }
         if let Some(RateSpec { per_second, burst }) = self.rate {
-            let (most, most_burst) = MOST_RATE;
-            if !(per_second > 0.0 && per_second <= most) {
+            if !(per_second > 0.0 && per_second <= MAX_RATE_PER_SECOND) {
                 return Err(SpecError::new(
                     "rate",
-                    format!("{per_second} a second is not above 0 and up to {most}"),
+                    format!("{per_second} a second is not above 0 and up to {MAX_RATE_PER_SECOND}"),
                 ));
             }
-            if !(1..=most_burst).contains(&burst) {
+            if !(1..=MAX_BURST).contains(&burst) {
                 return Err(SpecError::new(
                     "rate",
-                    format!("a burst of {burst} is not from 1 to {most_burst}"),
+                    format!("a burst of {burst} is not from 1 to {MAX_BURST}"),
                 ));
             }
         }
@@ -244,18 +262,18 @@
     ///
     /// # Errors
     ///
-    /// The text for the client.
-    pub fn allows(&self, class: &str, destination: DestinationId) -> Result<(), &'static str> {
+    /// [`AdmissionError::ClassNotAllowed`] or [`AdmissionError::DestinationNotAllowed`].
+    pub fn allows(&self, class: &str, destination: DestinationId) -> Result<(), AdmissionError> {
         if self
             .classes
             .as_ref()
             .is_some_and(|classes| !classes.contains(class))
         {
-            return Err("the tenant may not hand in this class");
+            return Err(AdmissionError::ClassNotAllowed);
         }
         let ranges = self.destinations.as_ref();
         if ranges.is_some_and(|ranges| !ranges.iter().any(|range| range.contains(destination))) {
-            return Err("the tenant may not send to this destination");
+            return Err(AdmissionError::DestinationNotAllowed);
         }
         Ok(())
     }
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -418,7 +418,7 @@
     make(&mut registry, &add("new", b"second")).expect("added");
     assert!(matches!(
         make(&mut registry, &add("new", b"third")),
-        Err(RegistryError::Secret(_))
+        Err(RegistryError::SecretExists(id)) if id == "new"
     ));
     let (old, new) = (
         registry.authenticate("acme", b"first"),
@@ -438,7 +438,7 @@
         &mut registry,
         &command("acme", Precondition::Any, Change::DropSecret("old".into())),
     );
-    assert!(matches!(none, Err(RegistryError::Secret(_))));
+    assert!(matches!(none, Err(RegistryError::UnknownSecret(id)) if id == "old"));
     // A tenant that is made anew has secrets of its own.
     make(
         &mut registry,
