--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -1,4 +1,7 @@
-//! The audit log's entries: who changed what from what to what.
+//! Entries of the audit log: who changed which tenant, from which state to which.
+//!
+//! The doc comments of the fields are the descriptions in the administration API's document, which stays as it is;
+//! those of the types are given to the document by `schema(description)`.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -7,10 +10,10 @@
 use crate::registry::{Action, ChangeRecord, State, Tenant};
 use crate::spec::TenantSpec;
 
-/// A tenant as it was before or after a change. Of its secrets only the names are told.
+/// A tenant before or after a change, without the digests of its secrets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(as = Image))]
+#[cfg_attr(feature = "openapi", schema(as = Image, description = "A tenant as it was before or after a change. Of its secrets only the names are told."))]
 #[serde(rename = "Image")]
 pub struct TenantSnapshot {
     /// Its generation and revision.
@@ -38,9 +41,10 @@
     }
 }
 
-/// A change that was made.
+/// An entry of the audit log: one committed change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
+#[cfg_attr(feature = "openapi", schema(description = "A change that was made."))]
 pub struct Entry {
     /// Counts all changes, from 1 and without a gap.
     pub seq: u64,
@@ -63,7 +67,7 @@
 }
 
 impl Entry {
-    /// The entry of a change.
+    /// The entry of a committed change.
     pub fn of(record: &ChangeRecord) -> Self {
         let tenant = record.to.as_ref().or(record.from.as_ref());
         Entry {
@@ -79,22 +83,22 @@
         }
     }
 
-    /// The entry as a line of JSON.
+    /// The entry as a line of JSON, with its line feed.
     #[must_use]
     pub fn line(&self) -> Vec<u8> {
-        // Types of this package, of which none fails to be written.
+        // Serialization fails for none of this crate's types.
         let mut text = serde_json::to_vec(self).unwrap_or_default();
         text.push(b'\n');
         text
     }
 }
 
-/// A moment, given in milliseconds since the Unix epoch, as RFC 3339 has it.
+/// A time in milliseconds since the Unix epoch as an RFC 3339 timestamp in UTC.
 #[must_use]
 pub fn rfc3339(at_ms: u64) -> String {
-    // The last moment that the format has room for; later ones show as that.
-    const LAST: u64 = 253_402_300_799_999;
-    humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at_ms.min(LAST)))
+    /// The last time that has a year of four digits; a later one is written as this.
+    const LAST_RFC3339_MS: u64 = 253_402_300_799_999;
+    humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at_ms.min(LAST_RFC3339_MS)))
         .to_string()
 }
 
--- a/crates/tenancy/src/fair_queueing.rs
+++ b/crates/tenancy/src/fair_queueing.rs
@@ -236,7 +236,7 @@
             self.holding = self.holding - u64::from(account.terms.weight) + u64::from(terms.weight);
         }
         if let Some(rate) = terms.rate.filter(|rate| account.terms.rate != Some(*rate)) {
-            account.meter.change(now, rate);
+            account.meter.change_rate(now, rate);
         }
         (account.terms, account.gone) = (terms, false);
     }
@@ -251,7 +251,7 @@
         }
         terms
             .rate
-            .map_or(Ok(()), |rate| account.meter.room(now, rate))
+            .map_or(Ok(()), |rate| account.meter.check(now, rate))
     }
 
     fn message_queued(&mut self, now: Micros, message: &Message) {
@@ -259,7 +259,7 @@
             return;
         };
         if let Some(rate) = account.terms.rate {
-            account.meter.take(now, rate);
+            account.meter.consume(now, rate);
         }
         if !account.counts() {
             self.holding += u64::from(account.terms.weight);
@@ -445,7 +445,7 @@
 
     fn restore_rate_used_until(&mut self, tenant: TenantId, until: Micros) {
         if let Some(account) = self.accounts.get_mut(&tenant) {
-            account.meter.resume(until);
+            account.meter.restore(until);
         }
     }
 }
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Tenants of a relay: what each is entitled to, and who comes before whom. It does no I/O.
+//! Tenants of a relay: their limits and shares, and the order among them. This crate does no I/O.
 //!
-//! [`FairQueueScheduler`] is what the decision module asks; [`registry`] is what administrators change; [`registry_file`] is how
-//! that is written, and read after anything that can happen to a file.
+//! The decision module asks [`FairQueueScheduler`]. Administrators change the [`registry`], which is persisted in the
+//! format of [`registry_file`] and recovered from damaged files; each change has an [`audit`] entry.
 
 pub mod audit;
 mod fair_queueing;
--- a/crates/tenancy/src/meter/tests.rs
+++ b/crates/tenancy/src/meter/tests.rs
@@ -2,12 +2,14 @@
 
 const NOW: Micros = 5_000_000;
 
-fn taken(meter: &mut Meter, now: Micros, rate: RateLimit) -> Result<(), Micros> {
-    meter.room(now, rate).inspect(|()| meter.take(now, rate))
+fn admit(meter: &mut Meter, now: Micros, rate: RateLimit) -> Result<(), Micros> {
+    meter
+        .check(now, rate)
+        .inspect(|()| meter.consume(now, rate))
 }
 
 #[test]
-fn a_burst_goes_and_then_one_at_each_interval() {
+fn burst_is_admitted_then_one_message_per_interval() {
     let (mut meter, rate) = (
         Meter::default(),
         RateLimit {
@@ -16,20 +18,20 @@
         },
     );
     for _ in 0..3 {
-        assert_eq!(taken(&mut meter, NOW, rate), Ok(()));
+        assert_eq!(admit(&mut meter, NOW, rate), Ok(()));
     }
-    assert_eq!(taken(&mut meter, NOW, rate), Err(100_000));
-    assert_eq!(taken(&mut meter, NOW + 99_999, rate), Err(1));
-    assert_eq!(taken(&mut meter, NOW + 100_000, rate), Ok(()));
-    assert_eq!(taken(&mut meter, NOW + 100_000, rate), Err(100_000));
+    assert_eq!(admit(&mut meter, NOW, rate), Err(100_000));
+    assert_eq!(admit(&mut meter, NOW + 99_999, rate), Err(1));
+    assert_eq!(admit(&mut meter, NOW + 100_000, rate), Ok(()));
+    assert_eq!(admit(&mut meter, NOW + 100_000, rate), Err(100_000));
 }
 
 #[test]
-fn a_rate_that_is_cut_leaves_a_debt_of_one_bucket_at_most() {
+fn lowered_rate_delays_by_one_bucket_at_most() {
     let mut meter = Meter::default();
     for _ in 0..100 {
         assert_eq!(
-            taken(
+            admit(
                 &mut meter,
                 NOW,
                 RateLimit {
@@ -40,17 +42,17 @@
             Ok(())
         );
     }
-    let less = RateLimit {
+    let lower_rate = RateLimit {
         per_second: 1.0,
         burst: 2.0,
     };
-    meter.change(NOW, less);
-    assert_eq!(taken(&mut meter, NOW, less), Err(1_000_000));
-    assert_eq!(taken(&mut meter, NOW + 1_000_000, less), Ok(()));
+    meter.change_rate(NOW, lower_rate);
+    assert_eq!(admit(&mut meter, NOW, lower_rate), Err(1_000_000));
+    assert_eq!(admit(&mut meter, NOW + 1_000_000, lower_rate), Ok(()));
 }
 
 #[test]
-fn what_passes_in_a_span_is_the_burst_and_the_rate_times_the_span() {
+fn admitted_messages_are_burst_plus_rate_times_duration() {
     let (mut meter, rate) = (
         Meter::default(),
         RateLimit {
@@ -58,8 +60,8 @@
             burst: 5.0,
         },
     );
-    let passed = (0..10_000)
-        .filter(|ms| taken(&mut meter, NOW + ms * 1000, rate).is_ok())
+    let admitted = (0..10_000)
+        .filter(|ms| admit(&mut meter, NOW + ms * 1000, rate).is_ok())
         .count();
-    assert!((374..=375).contains(&passed), "{passed}");
+    assert!((374..=375).contains(&admitted), "{admitted}");
 }
--- a/crates/tenancy/src/scope.rs
+++ b/crates/tenancy/src/scope.rs
@@ -1,24 +1,24 @@
-//! Which tenants somebody may see.
+//! Which tenants an administrator may see.
 
 use serde::{Deserialize, Serialize};
 
-/// Which tenants somebody may see: names, or beginnings of names followed by `*`. One with none sees none.
+/// The tenants that an administrator may see: names, or prefixes of names followed by `*`. An empty scope covers none.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scope(pub Vec<String>);
 
 impl Scope {
-    /// Whether a tenant of this name is among them.
+    /// Whether the scope covers a tenant of this name.
     #[must_use]
     pub fn covers(&self, name: &str) -> bool {
         self.0
             .iter()
             .any(|pattern| match pattern.strip_suffix('*') {
-                Some(beginning) => name.starts_with(beginning),
+                Some(prefix) => name.starts_with(prefix),
                 None => name == pattern,
             })
     }
 
-    /// Whether every tenant is.
+    /// Whether the scope covers every tenant.
     #[must_use]
     pub fn covers_all(&self) -> bool {
         self.0.iter().any(|pattern| pattern == "*")
--- a/crates/tenancy/src/secret.rs
+++ b/crates/tenancy/src/secret.rs
@@ -1,4 +1,4 @@
-//! Secrets, of which only digests are kept.
+//! Digests of secrets; the secrets themselves are not stored.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,34 +9,35 @@
 
 use crate::spec::SpecError;
 
-/// Secrets of one tenant at most: one in use, one that replaces it, and some for single clients.
+/// Secrets of a tenant at most: one in use, its successor while clients rotate, and some for single clients.
 pub const MAX_SECRETS: usize = 8;
 /// The longest secret, in bytes.
 pub const MAX_SECRET_BYTES: usize = 256;
 
-/// SHA-256 of a secret. It protects secrets that can't be guessed: use 128 random bits or more.
+/// SHA-256 of a secret. It is unsalted and fast to compute, so a secret needs 128 random bits or more.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// The digest of some bytes.
+    /// The digest of bytes.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Digest(Sha256::digest(bytes).into())
     }
 
-    /// The digest of parts, each told from the next.
+    /// The digest of a sequence of parts. Each is preceded by its length, so that other splits of the same bytes have
+    /// other digests.
     pub fn of_parts<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
-        let mut sum = Sha256::new();
+        let mut hasher = Sha256::new();
         for part in parts {
-            sum.update((part.len() as u64).to_le_bytes());
-            sum.update(part);
+            hasher.update((part.len() as u64).to_le_bytes());
+            hasher.update(part);
         }
-        Digest(sum.finalize().into())
+        Digest(hasher.finalize().into())
     }
 
-    /// Whether both are the same, in a time that does not tell where they differ.
+    /// Whether both are equal, in a time that does not depend on where they differ.
     #[must_use]
     pub fn constant_time_eq(&self, other: &Digest) -> bool {
         self.0.ct_eq(&other.0).into()
@@ -59,13 +60,14 @@
     type Err = SpecError;
 
     fn from_str(text: &str) -> Result<Self, SpecError> {
-        let bad = || SpecError::new("sha256", "is not 64 hexadecimal digits");
+        let invalid = || SpecError::new("sha256", "is not 64 hexadecimal digits");
         if text.len() != 64 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(bad());
+            return Err(invalid());
         }
         let mut digest = [0; 32];
-        for (at, byte) in digest.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * at..2 * at + 2], 16).map_err(|_| bad())?;
+        for (index, byte) in digest.iter_mut().enumerate() {
+            *byte =
+                u8::from_str_radix(&text[2 * index..2 * index + 2], 16).map_err(|_| invalid())?;
         }
         Ok(Digest(digest))
     }
--- a/crates/tenancy/src/spec.rs
+++ b/crates/tenancy/src/spec.rs
@@ -1,4 +1,7 @@
-//! What an administrator sets of a tenant, and its bounds.
+//! A tenant's specification, and the bounds of its values.
+//!
+//! The doc comments of the fields are the descriptions in the administration API's document, which stays as it is;
+//! those of the types are given to the document by `schema(description)`.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,22 +10,28 @@
 use policy::types::{DestinationId, RateLimit, TenantState, TenantTerms};
 use serde::{Deserialize, Serialize};
 
-/// Characters of a tenant's name at most.
+/// The longest name of a tenant, in characters.
 pub const MAX_NAME_CHARS: usize = 64;
 /// The largest weight.
 pub const MAX_WEIGHT: u32 = 10_000;
-/// Weight of a tenant that none is set for.
+/// The weight of a tenant whose specification names none.
 pub const DEFAULT_WEIGHT: u32 = 100;
 /// The highest rate, in messages a second.
 pub const MAX_RATE_PER_SECOND: f64 = 1e6;
 /// The largest burst, in messages.
 pub const MAX_BURST: u32 = 1_000_000;
-/// Classes and ranges of destinations that a specification names at most.
+/// Classes in a specification at most, and ranges of destinations.
 pub const MAX_LISTED_ITEMS: usize = 256;
 
-/// How much a tenant may hand in; more is refused, and its client told when there is room again.
+/// A tenant's rate limit, a token bucket. A message beyond it is rejected with a Retry-After.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
+#[cfg_attr(
+    feature = "openapi",
+    schema(
+        description = "How much a tenant may hand in; more is refused, and its client told when there is room again."
+    )
+)]
 #[serde(deny_unknown_fields)]
 pub struct RateSpec {
     /// Messages a second in the long run, above 0 and up to 1,000,000.
@@ -32,19 +41,25 @@
     pub burst: u32,
 }
 
-/// What becomes of a tenant's messages when it is removed. Calls that are out come to their end either way.
+/// What becomes of a removed tenant's queued messages. Calls in flight are completed either way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
+#[cfg_attr(
+    feature = "openapi",
+    schema(
+        description = "What becomes of a tenant's messages when it is removed. Calls that are out come to their end either way."
+    )
+)]
 #[serde(rename_all = "lowercase")]
 pub enum OnRemoval {
-    /// What is held goes on to its end.
+    /// They are delivered as before.
     #[default]
     Finish,
-    /// What is held ends at once.
+    /// They are rejected at once.
     Refuse,
 }
 
-/// Destinations from one number to another, both included: `7` or `10-19`.
+/// A range of destinations, both ends included; its text is `7` or `10-19`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Destinations {
@@ -53,7 +68,7 @@
 }
 
 impl Destinations {
-    /// Whether a destination is among them.
+    /// Whether the range contains a destination.
     #[must_use]
     pub fn contains(&self, destination: DestinationId) -> bool {
         (self.first..=self.last).contains(&destination)
@@ -64,7 +79,7 @@
     type Err = SpecError;
 
     fn from_str(text: &str) -> Result<Self, SpecError> {
-        let bad = || {
+        let invalid = || {
             SpecError::new(
                 "destinations",
                 format!("{text:?} is no number of a destination and no range"),
@@ -72,13 +87,13 @@
         };
         let (first, last) = text.split_once('-').unwrap_or((text, text));
         let range = Destinations {
-            first: first.parse().map_err(|_| bad())?,
-            last: last.parse().map_err(|_| bad())?,
+            first: first.parse().map_err(|_| invalid())?,
+            last: last.parse().map_err(|_| invalid())?,
         };
         if range.first <= range.last {
             Ok(range)
         } else {
-            Err(bad())
+            Err(invalid())
         }
     }
 }
@@ -107,10 +122,10 @@
     }
 }
 
-/// What an administrator sets of a tenant.
+/// A tenant's specification, which administrators set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(as = Spec))]
+#[cfg_attr(feature = "openapi", schema(as = Spec, description = "What an administrator sets of a tenant."))]
 #[serde(deny_unknown_fields, default)]
 #[serde(rename = "Spec")]
 pub struct TenantSpec {
@@ -155,21 +170,21 @@
     }
 }
 
-/// A value that a specification may not have.
+/// A value that is out of bounds or malformed. The text reaches the administrator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct SpecError {
     /// The field.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// Why its value is not accepted.
     pub reason: String,
 }
 
 impl SpecError {
-    pub(crate) fn new(field: &'static str, why: impl Into<String>) -> Self {
+    pub(crate) fn new(field: &'static str, reason: impl Into<String>) -> Self {
         SpecError {
             field,
-            reason: why.into(),
+            reason: reason.into(),
         }
     }
 }
@@ -192,32 +207,44 @@
 }
 
 impl TenantSpec {
-    /// Whether all values are within their bounds and the classes are among those known.
+    /// Checks that all values are within their bounds and that the relay knows the classes.
     ///
     /// # Errors
     ///
     /// [`SpecError`] names the first value that is out of bounds.
     pub fn check(&self, known_classes: &[String]) -> Result<(), SpecError> {
-        if !(1..=MAX_WEIGHT).contains(&self.weight) {
-            return Err(SpecError::new(
-                "weight",
-                format!("{} is not from 1 to {MAX_WEIGHT}", self.weight),
-            ));
+        self.check_weight()?;
+        self.check_rate()?;
+        self.check_limits()?;
+        self.check_classes(known_classes)?;
+        self.check_destinations()
+    }
+
+    fn check_weight(&self) -> Result<(), SpecError> {
+        if (1..=MAX_WEIGHT).contains(&self.weight) {
+            return Ok(());
         }
-        if let Some(RateSpec { per_second, burst }) = self.rate {
-            if !(per_second > 0.0 && per_second <= MAX_RATE_PER_SECOND) {
-                return Err(SpecError::new(
-                    "rate",
-                    format!("{per_second} a second is not above 0 and up to {MAX_RATE_PER_SECOND}"),
-                ));
-            }
-            if !(1..=MAX_BURST).contains(&burst) {
-                return Err(SpecError::new(
-                    "rate",
-                    format!("a burst of {burst} is not from 1 to {MAX_BURST}"),
-                ));
-            }
+        let reason = format!("{} is not from 1 to {MAX_WEIGHT}", self.weight);
+        Err(SpecError::new("weight", reason))
+    }
+
+    fn check_rate(&self) -> Result<(), SpecError> {
+        let Some(RateSpec { per_second, burst }) = self.rate else {
+            return Ok(());
+        };
+        if !(per_second > 0.0 && per_second <= MAX_RATE_PER_SECOND) {
+            let reason =
+                format!("{per_second} a second is not above 0 and up to {MAX_RATE_PER_SECOND}");
+            return Err(SpecError::new("rate", reason));
+        }
+        if !(1..=MAX_BURST).contains(&burst) {
+            let reason = format!("a burst of {burst} is not from 1 to {MAX_BURST}");
+            return Err(SpecError::new("rate", reason));
         }
+        Ok(())
+    }
+
+    fn check_limits(&self) -> Result<(), SpecError> {
         if self.max_held == Some(0) {
             return Err(SpecError::new(
                 "max_held",
@@ -230,35 +257,32 @@
                 "0 would let nothing be sent; pause the tenant instead",
             ));
         }
-        if let Some(classes) = &self.classes {
-            if classes.len() > MAX_LISTED_ITEMS {
-                return Err(SpecError::new(
-                    "classes",
-                    format!("more than {MAX_LISTED_ITEMS}"),
-                ));
-            }
-            if let Some(unknown) = classes.iter().find(|class| !known_classes.contains(class)) {
+        Ok(())
+    }
+
+    fn check_classes(&self, known_classes: &[String]) -> Result<(), SpecError> {
+        let Some(classes) = &self.classes else {
+            return Ok(());
+        };
+        check_length("classes", classes.len())?;
+        match classes.iter().find(|class| !known_classes.contains(class)) {
+            None => Ok(()),
+            Some(unknown) => {
                 let unknown: String = unknown.chars().take(MAX_NAME_CHARS).collect();
-                return Err(SpecError::new(
-                    "classes",
-                    format!("there is no class {unknown:?}"),
-                ));
+                let reason = format!("there is no class {unknown:?}");
+                Err(SpecError::new("classes", reason))
             }
         }
-        if self
-            .destinations
-            .as_ref()
-            .is_some_and(|ranges| ranges.len() > MAX_LISTED_ITEMS)
-        {
-            return Err(SpecError::new(
-                "destinations",
-                format!("more than {MAX_LISTED_ITEMS}"),
-            ));
-        }
-        Ok(())
     }
 
-    /// Whether a message of a class may go to a destination.
+    fn check_destinations(&self) -> Result<(), SpecError> {
+        check_length(
+            "destinations",
+            self.destinations.as_ref().map_or(0, Vec::len),
+        )
+    }
+
+    /// Checks that a message of this class may go to this destination.
     ///
     /// # Errors
     ///
@@ -278,42 +302,52 @@
         Ok(())
     }
 
-    /// The terms by which the module treats a tenant that stands so.
+    /// The terms by which the decision module treats a tenant in this state.
     #[must_use]
     pub fn terms(&self, state: TenantState) -> TenantTerms {
-        let most = |limit: Option<u32>| limit.map_or(usize::MAX, |limit| limit as usize);
+        let limit = |limit: Option<u32>| limit.map_or(usize::MAX, |limit| limit as usize);
         TenantTerms {
             weight: self.weight,
             rate: self.rate.map(|rate| RateLimit {
                 per_second: rate.per_second,
                 burst: f64::from(rate.burst),
             }),
-            max_queued: most(self.max_held),
-            max_in_flight: most(self.max_in_flight),
+            max_queued: limit(self.max_held),
+            max_in_flight: limit(self.max_in_flight),
             state,
         }
     }
 }
 
-/// Whether a tenant may be called so: letters, digits, `.`, `_` and `-`, the first a letter or digit.
+fn check_length(field: &'static str, length: usize) -> Result<(), SpecError> {
+    if length > MAX_LISTED_ITEMS {
+        return Err(SpecError::new(
+            field,
+            format!("more than {MAX_LISTED_ITEMS}"),
+        ));
+    }
+    Ok(())
+}
+
+/// Checks a name: up to [`MAX_NAME_CHARS`] letters, digits, `.`, `_` and `-`, the first a letter or digit.
 ///
 /// # Errors
 ///
 /// [`SpecError`] says what is wrong with the name.
 pub fn check_name(name: &str) -> Result<(), SpecError> {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-    let first = name
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    let starts_well = name
         .bytes()
         .next()
         .is_some_and(|byte| byte.is_ascii_alphanumeric());
-    if first && name.len() <= MAX_NAME_CHARS && name.bytes().all(plain) {
+    if starts_well && name.len() <= MAX_NAME_CHARS && name.bytes().all(is_allowed) {
         return Ok(());
     }
-    let shown: String = name.chars().take(MAX_NAME_CHARS).collect();
-    let why = format!(
-        "{shown:?} is not 1 to {MAX_NAME_CHARS} letters, digits, '.', '_' and '-', a letter or digit first"
+    let excerpt: String = name.chars().take(MAX_NAME_CHARS).collect();
+    let reason = format!(
+        "{excerpt:?} is not 1 to {MAX_NAME_CHARS} letters, digits, '.', '_' and '-', a letter or digit first"
     );
-    Err(SpecError::new("name", why))
+    Err(SpecError::new("name", reason))
 }
 
 #[cfg(test)]
--- a/crates/tenancy/src/spec/tests.rs
+++ b/crates/tenancy/src/spec/tests.rs
@@ -1,21 +1,29 @@
 use super::*;
 
-fn spec(text: &str) -> Result<TenantSpec, String> {
-    let spec: TenantSpec = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    spec.check(&["payout".into(), "update".into()])
-        .map_err(|e| e.to_string())
-        .map(|()| spec)
+/// Why a text is no specification that the relay accepts.
+#[derive(Debug, thiserror::Error)]
+enum ParseError {
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    #[error(transparent)]
+    Spec(#[from] SpecError),
+}
+
+fn parse_spec(text: &str) -> Result<TenantSpec, ParseError> {
+    let spec: TenantSpec = serde_json::from_str(text)?;
+    spec.check(&["payout".into(), "update".into()])?;
+    Ok(spec)
 }
 
 #[test]
-fn what_is_absent_has_its_default() {
-    assert_eq!(spec("{}"), Ok(TenantSpec::default()));
+fn absent_fields_have_their_defaults() {
+    assert_eq!(parse_spec("{}").ok(), Some(TenantSpec::default()));
     let text = serde_json::to_string(&TenantSpec::default()).expect("JSON");
     assert_eq!(text, r#"{"weight":100,"on_removal":"finish"}"#);
 }
 
 #[test]
-fn values_out_of_bounds_are_named() {
+fn error_names_the_value_out_of_bounds() {
     for (text, named) in [
         (r#"{"weight":0}"#, "weight"),
         (r#"{"weight":10001}"#, "weight"),
@@ -33,14 +41,14 @@
         (r#"{"destinations":["-"]}"#, "range"),
         (r#"{"on_removal":"drop"}"#, "unknown variant"),
     ] {
-        let error = spec(text).expect_err(text);
+        let error = parse_spec(text).expect_err(text).to_string();
         assert!(error.contains(named), "{text}: {error}");
     }
 }
 
 #[test]
-fn classes_and_destinations_are_kept_to() {
-    let spec = spec(r#"{"classes":["payout"],"destinations":["3","10-12"]}"#).expect("good");
+fn message_outside_listed_classes_or_destinations_is_rejected() {
+    let spec = parse_spec(r#"{"classes":["payout"],"destinations":["3","10-12"]}"#).expect("good");
     assert!(spec.allows("payout", 3).is_ok() && spec.allows("payout", 12).is_ok());
     for (class, destination) in [("update", 3), ("payout", 4), ("payout", 13), ("payout", 9)] {
         assert!(
@@ -51,7 +59,7 @@
 }
 
 #[test]
-fn names_are_plain() {
+fn names_are_limited_to_letters_digits_and_punctuation() {
     for good in ["a", "forthside-cash", "Acme.2_b", &"x".repeat(64)] {
         assert!(check_name(good).is_ok(), "{good}");
     }
