--- a/crates/tenancy/src/meter.rs
+++ b/crates/tenancy/src/meter.rs
@@ -2,7 +2,8 @@
 
 use policy::types::{Micros, RateLimit};
 
-const MICROS_PER_SECOND: f64 = 1_000_000.0;
+/// Microseconds in a second.
+pub(crate) const MICROS_PER_SECOND: f64 = 1_000_000.0;
 /// A shortage below this is a rounding error, in microseconds.
 const ROUNDING_TOLERANCE: f64 = 0.5;
 
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: each change against each state, and what is kept of it.
+//! The registry: changes against each state of a tenant, its bounds, and recovery from its file.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
     vec!["payout".into(), "update".into()]
 }
 
-fn command(name: &str, expect: Precondition, change: Change) -> Command {
+fn command(name: &str, precondition: Precondition, change: Change) -> Command {
     let actor = Actor {
         name: "ops".into(),
         role: "admin".into(),
@@ -26,25 +26,25 @@
         request: "r1".into(),
         key: None,
         name: name.into(),
-        precondition: expect,
+        precondition,
         change,
     }
 }
 
-/// Decides and commits; tells the tenant as it is after.
-fn make(registry: &mut Registry, command: &Command) -> Result<Tenant, RegistryError> {
+/// Decides on a command and commits it; returns the tenant after it.
+fn execute(registry: &mut Registry, command: &Command) -> Result<Tenant, RegistryError> {
     match registry.decide(1000, command)? {
         Decision::Commit(record) => {
             registry.commit(&record);
             Ok(record.to.expect("a tenant"))
         }
         Decision::Unchanged(tenant) => Ok(*tenant),
-        Decision::Replay(answered) => Ok(answered.tenant),
+        Decision::Replay(response) => Ok(response.tenant),
     }
 }
 
 fn create(registry: &mut Registry, name: &str) -> Tenant {
-    make(
+    execute(
         registry,
         &command(
             name,
@@ -52,10 +52,11 @@
             Change::Create(TenantSpec::default()),
         ),
     )
-    .expect("made")
+    .expect("created")
 }
 
-fn drain(registry: &mut Registry) -> usize {
+/// Commits all tenants that have drained as gone; returns how many.
+fn commit_drained(registry: &mut Registry) -> usize {
     let mut count = 0;
     while let Some(record) = registry.next_drained(2000) {
         registry.commit(&record);
@@ -65,36 +66,40 @@
 }
 
 #[test]
-fn of_two_who_change_the_same_state_one_wins() {
+fn second_change_of_the_same_version_is_stale() {
     let mut registry = Registry::new(classes());
-    let made = create(&mut registry, "acme");
-    assert_eq!(made.version.to_string(), "1.1");
-    let expect = || Precondition::OneOf(vec![made.version]);
-    let heavier = command("acme", expect(), Change::Merge(json!({"weight": 300})));
-    let lighter = command("acme", expect(), Change::Merge(json!({"weight": 30})));
+    let created = create(&mut registry, "acme");
+    assert_eq!(created.version.to_string(), "1.1");
+    let precondition = || Precondition::OneOf(vec![created.version]);
+    let heavier = command(
+        "acme",
+        precondition(),
+        Change::Merge(json!({"weight": 300})),
+    );
+    let lighter = command("acme", precondition(), Change::Merge(json!({"weight": 30})));
     assert_eq!(
-        make(&mut registry, &heavier)
+        execute(&mut registry, &heavier)
             .expect("the first wins")
             .spec
             .weight,
         300
     );
-    let now = Version {
+    let current = Version {
         generation: 1,
         revision: 2,
     };
     assert_eq!(
-        make(&mut registry, &lighter),
-        Err(RegistryError::Stale(now))
+        execute(&mut registry, &lighter),
+        Err(RegistryError::Stale(current))
     );
-    let again = command(
+    let retry = command(
         "acme",
-        Precondition::OneOf(vec![made.version, now]),
+        Precondition::OneOf(vec![created.version, current]),
         Change::Merge(json!({"weight": 30})),
     );
     assert_eq!(
-        make(&mut registry, &again)
-            .expect("by the state that is")
+        execute(&mut registry, &retry)
+            .expect("the current version")
             .spec
             .weight,
         30
@@ -102,43 +107,46 @@
 }
 
 #[test]
-fn a_change_that_changes_nothing_is_no_change() {
+fn command_without_effect_leaves_the_tenant_unchanged() {
     let mut registry = Registry::new(classes());
-    let made = create(&mut registry, "acme");
+    let created = create(&mut registry, "acme");
     for change in [
         Change::Resume,
         Change::Replace(TenantSpec::default()),
         Change::Merge(json!({})),
     ] {
-        let same = registry.decide(1, &command("acme", Precondition::Any, change));
-        assert_eq!(same, Ok(Decision::Unchanged(Box::new(made.clone()))));
+        let decision = registry.decide(1, &command("acme", Precondition::Any, change));
+        assert_eq!(decision, Ok(Decision::Unchanged(Box::new(created.clone()))));
     }
 }
 
 #[test]
-fn a_merge_patch_sets_and_clears_and_is_checked() {
+fn merge_patch_sets_and_clears_fields_and_is_validated() {
     let mut registry = Registry::new(classes());
     create(&mut registry, "acme");
     let mut merge = |patch| {
-        make(
+        execute(
             &mut registry,
             &command("acme", Precondition::Any, Change::Merge(patch)),
         )
     };
     let rate = json!({"rate": {"per_second": 5.0, "burst": 9}, "classes": ["payout"]});
-    let set = merge(rate).expect("good").spec;
+    let patched = merge(rate).expect("valid").spec;
     assert_eq!(
-        set.rate.map(|rate| (rate.per_second, rate.burst)),
+        patched.rate.map(|rate| (rate.per_second, rate.burst)),
         Some((5.0, 9))
     );
-    assert_eq!(set.classes, Some(BTreeSet::from(["payout".to_string()])));
-    let part = merge(json!({"rate": {"burst": 3}})).expect("good").spec;
     assert_eq!(
-        part.rate.map(|rate| (rate.per_second, rate.burst)),
+        patched.classes,
+        Some(BTreeSet::from(["payout".to_string()]))
+    );
+    let partial = merge(json!({"rate": {"burst": 3}})).expect("valid").spec;
+    assert_eq!(
+        partial.rate.map(|rate| (rate.per_second, rate.burst)),
         Some((5.0, 3))
     );
-    assert_eq!(merge(json!({"rate": null})).expect("good").spec.rate, None);
-    for bad in [
+    assert_eq!(merge(json!({"rate": null})).expect("valid").spec.rate, None);
+    for invalid in [
         json!(7),
         json!({"weight": 0}),
         json!({"nothing": 1}),
@@ -146,14 +154,14 @@
         json!([]),
     ] {
         assert!(
-            matches!(merge(bad.clone()), Err(RegistryError::Invalid(_))),
-            "{bad}"
+            matches!(merge(invalid.clone()), Err(RegistryError::Invalid(_))),
+            "{invalid}"
         );
     }
 }
 
 #[test]
-fn a_tenant_drains_is_gone_and_can_be_made_anew_meanwhile() {
+fn removed_tenant_drains_beside_its_successor_and_is_gone_once_acknowledged() {
     let mut registry = Registry::new(classes());
     create(&mut registry, "acme");
     let first = registry
@@ -161,29 +169,33 @@
         .expect("admitted");
     first.unacknowledged = 2;
     let number = first.number;
-    let removed = make(
+    let removed = execute(
         &mut registry,
         &command("acme", Precondition::Any, Change::Remove(None)),
     )
     .expect("removed");
     assert_eq!(removed.terms().state, TenantState::Draining);
     assert!(registry.check_admission("acme", "payout", 1).is_err());
-    assert_eq!(drain(&mut registry), 0);
-    // It can't be changed any more, but hurried.
-    let pause = make(
+    assert_eq!(commit_drained(&mut registry), 0);
+    // A draining tenant cannot be changed, except to end its messages at once.
+    let pause = execute(
         &mut registry,
         &command("acme", Precondition::Any, Change::Pause),
     );
     assert_eq!(pause, Err(RegistryError::Draining("acme".into())));
-    let hurry = Change::Remove(Some(OnRemoval::Refuse));
-    let hurried = make(&mut registry, &command("acme", Precondition::Any, hurry)).expect("hurried");
-    assert_eq!(hurried.terms().state, TenantState::Terminating);
-    let slow = Change::Remove(Some(OnRemoval::Finish));
+    let terminate = Change::Remove(Some(OnRemoval::Refuse));
+    let terminated = execute(
+        &mut registry,
+        &command("acme", Precondition::Any, terminate),
+    )
+    .expect("terminated");
+    assert_eq!(terminated.terms().state, TenantState::Terminating);
+    let finish = Change::Remove(Some(OnRemoval::Finish));
     assert_eq!(
-        make(&mut registry, &command("acme", Precondition::Any, slow)),
-        Ok(hurried)
+        execute(&mut registry, &command("acme", Precondition::Any, finish)),
+        Ok(terminated)
     );
-    // Made anew under its name, it is another, beside the one that drains.
+    // A tenant that is created under the name is another generation, beside the draining one.
     let second = create(&mut registry, "acme");
     assert_eq!(
         second.version,
@@ -193,11 +205,11 @@
         }
     );
     assert_eq!(second.reference(), "acme/2");
-    let fresh = registry
+    let successor = registry
         .check_admission("acme", "payout", 1)
         .expect("admitted");
-    assert_ne!(fresh.number, number);
-    fresh.unacknowledged = 1;
+    assert_ne!(successor.number, number);
+    successor.unacknowledged = 1;
     assert_eq!(
         registry
             .entry_by_reference("acme")
@@ -219,9 +231,9 @@
         .entry_by_reference("acme")
         .expect("drains")
         .unacknowledged = 0;
-    assert_eq!(drain(&mut registry), 1);
+    assert_eq!(commit_drained(&mut registry), 1);
     assert!(registry.entry_by_reference("acme").is_none() && registry.find("acme").is_ok());
-    make(
+    execute(
         &mut registry,
         &command("acme", Precondition::Any, Change::Remove(None)),
     )
@@ -230,7 +242,7 @@
         .entry_by_reference("acme/2")
         .expect("drains")
         .unacknowledged = 0;
-    assert_eq!(drain(&mut registry), 1);
+    assert_eq!(commit_drained(&mut registry), 1);
     assert_eq!(
         registry.find("acme").map(|_| ()),
         Err(RegistryError::Gone("acme".into()))
@@ -240,12 +252,12 @@
         Err(RegistryError::Unknown("beta".into()))
     );
     assert!(registry.is_empty());
-    // Its generations are not used again.
+    // Generations are not reused.
     assert_eq!(create(&mut registry, "acme").version.generation, 3);
 }
 
 #[test]
-fn all_tables_have_their_bounds() {
+fn tables_are_bounded() {
     let mut registry = Registry::new(classes());
     for _ in 0..=MAX_DRAINING_GENERATIONS {
         create(&mut registry, "acme");
@@ -253,7 +265,7 @@
             .check_admission("acme", "payout", 1)
             .expect("admitted")
             .unacknowledged = 1;
-        make(
+        execute(
             &mut registry,
             &command("acme", Precondition::Any, Change::Remove(None)),
         )
@@ -262,7 +274,7 @@
             break;
         }
     }
-    let more = make(
+    let more = execute(
         &mut registry,
         &command(
             "acme",
@@ -283,7 +295,7 @@
     for n in 0..MAX_TENANTS - MAX_DRAINING_GENERATIONS {
         create(&mut registry, &format!("t{n}"));
     }
-    let more = make(
+    let more = execute(
         &mut registry,
         &command(
             "late",
@@ -301,16 +313,16 @@
         ),
         "{more:?}"
     );
-    // As many as may be are read back, too.
-    let kept = Registry::restore(classes(), registry.persisted_state());
-    assert_eq!(kept.len(), MAX_TENANTS);
+    // The maximum number of tenants is restored, too.
+    let restored = Registry::restore(classes(), registry.persisted_state());
+    assert_eq!(restored.len(), MAX_TENANTS);
     for n in 0..MAX_TOMBSTONES + 10 {
-        make(
+        execute(
             &mut registry,
             &command(&format!("t{n}"), Precondition::Any, Change::Remove(None)),
         )
         .expect("removed");
-        drain(&mut registry);
+        commit_drained(&mut registry);
     }
     assert_eq!(registry.persisted_state().gone.len(), MAX_TOMBSTONES);
     let secret = |n: usize| Change::AddSecret {
@@ -318,13 +330,13 @@
         sha256: Digest::of(&n.to_le_bytes()),
     };
     for n in 0..MAX_SECRETS {
-        make(
+        execute(
             &mut registry,
             &command("t5000", Precondition::Any, secret(n)),
         )
         .expect("added");
     }
-    let more = make(
+    let more = execute(
         &mut registry,
         &command("t5000", Precondition::Any, secret(99)),
     );
@@ -341,53 +353,55 @@
 }
 
 #[test]
-fn the_same_request_is_answered_the_same_and_another_with_its_key_is_refused() {
+fn idempotent_request_is_replayed_and_a_reused_key_is_rejected() {
     let mut registry = Registry::new(classes());
-    let keyed = |key: &str, asked: &[u8], change: Change| {
-        let key = Some((key.to_string(), Digest::of(asked)));
+    let keyed = |key: &str, request: &[u8], change: Change| {
+        let key = Some((key.to_string(), Digest::of(request)));
         Command {
             key,
             ..command("acme", Precondition::Any, change)
         }
     };
     let create = keyed("k1", b"create", Change::Create(TenantSpec::default()));
-    let made = make(&mut registry, &create).expect("made");
-    make(
+    let created = execute(&mut registry, &create).expect("created");
+    execute(
         &mut registry,
         &command("acme", Precondition::Any, Change::Pause),
     )
     .expect("paused");
-    // The answer of then, though things have moved on.
-    assert!(matches!(registry.decide(2000, &create), Ok(Decision::Replay(a)) if a.tenant == made));
+    // The first response is replayed, though the tenant has changed since.
+    assert!(
+        matches!(registry.decide(2000, &create), Ok(Decision::Replay(a)) if a.tenant == created)
+    );
     let other = keyed("k1", b"other", Change::Pause);
     assert_eq!(registry.decide(2000, &other), Err(RegistryError::KeyReused));
-    // Another's key is another key.
+    // Keys of different actors are independent.
     let actor = Actor {
         name: "dev".into(),
         role: "admin".into(),
     };
-    let theirs = Command {
+    let of_other_actor = Command {
         actor,
         ..other.clone()
     };
     assert!(matches!(
-        registry.decide(2000, &theirs),
+        registry.decide(2000, &of_other_actor),
         Ok(Decision::Unchanged(_))
     ));
-    // Over a restart, and for a day.
+    // Responses survive a restart, and expire after a day.
     let restored = Registry::restore(classes(), registry.persisted_state());
     assert!(matches!(
         restored.decide(2000, &create),
         Ok(Decision::Replay(_))
     ));
-    let late = 1000 + IDEMPOTENCY_KEY_TTL_MS;
+    let expired = 1000 + IDEMPOTENCY_KEY_TTL_MS;
     assert_eq!(
-        restored.decide(late, &create),
+        restored.decide(expired, &create),
         Err(RegistryError::Exists("acme".into()))
     );
     for n in 0..MAX_IDEMPOTENCY_KEYS as u64 {
         let change = Change::Merge(json!({"weight": 1 + n}));
-        make(&mut registry, &keyed(&format!("n{n}"), b"x", change)).expect("changed");
+        execute(&mut registry, &keyed(&format!("n{n}"), b"x", change)).expect("changed");
     }
     assert_eq!(
         registry.persisted_state().idempotent_responses.len(),
@@ -400,7 +414,7 @@
 }
 
 #[test]
-fn clients_name_themselves_with_any_secret_that_stands() {
+fn clients_authenticate_with_any_current_secret() {
     let mut registry = Registry::new(classes());
     create(&mut registry, "acme");
     assert_eq!(registry.authenticate("acme", b""), None);
@@ -414,10 +428,10 @@
             },
         )
     };
-    make(&mut registry, &add("old", b"first")).expect("added");
-    make(&mut registry, &add("new", b"second")).expect("added");
+    execute(&mut registry, &add("old", b"first")).expect("added");
+    execute(&mut registry, &add("new", b"second")).expect("added");
     assert!(matches!(
-        make(&mut registry, &add("new", b"third")),
+        execute(&mut registry, &add("new", b"third")),
         Err(RegistryError::SecretExists(id)) if id == "new"
     ));
     let (old, new) = (
@@ -428,19 +442,19 @@
     assert_eq!(registry.authenticate("acme", b"third"), None);
     assert_eq!(registry.authenticate("beta", b"first"), None);
     assert!(registry.is_session_valid(&old) && registry.is_session_valid(&new));
-    make(
+    execute(
         &mut registry,
         &command("acme", Precondition::Any, Change::DropSecret("old".into())),
     )
     .expect("dropped");
     assert!(!registry.is_session_valid(&old) && registry.is_session_valid(&new));
-    let none = make(
+    let none = execute(
         &mut registry,
         &command("acme", Precondition::Any, Change::DropSecret("old".into())),
     );
     assert!(matches!(none, Err(RegistryError::UnknownSecret(id)) if id == "old"));
-    // A tenant that is made anew has secrets of its own.
-    make(
+    // A new generation has secrets of its own.
+    execute(
         &mut registry,
         &command("acme", Precondition::Any, Change::Remove(None)),
     )
@@ -451,7 +465,7 @@
 }
 
 #[test]
-fn pages_go_by_name_and_show_the_newest() {
+fn entries_are_paged_by_name_with_the_newest_generation() {
     let mut registry = Registry::new(classes());
     for name in ["c", "a", "b"] {
         create(&mut registry, name);
@@ -460,7 +474,7 @@
         .check_admission("b", "payout", 1)
         .expect("admitted")
         .unacknowledged = 1;
-    make(
+    execute(
         &mut registry,
         &command("b", Precondition::Any, Change::Remove(None)),
     )
@@ -496,22 +510,22 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// Whatever is asked for in whatever order: versions only grow, each change is recorded once, numbers are
-    /// never shared, and what is read back from the file at any point is what was there.
+    /// After any sequence of commands versions have only grown, each change has one sequence number, no two tenants
+    /// have one number, and the file yields the same state at any point.
     #[test]
-    fn what_is_read_back_is_what_was_there(steps in prop::collection::vec((any_change(), any::<bool>()), 1..60)) {
+    fn file_yields_the_registry_after_any_commands(steps in prop::collection::vec((any_change(), any::<bool>()), 1..60)) {
         let mut registry = Registry::new(classes());
         let mut text = registry_file::encode_snapshot(&registry, 0);
         let mut newest = std::collections::BTreeMap::new();
-        for (at, ((name, change, key), anew)) in steps.into_iter().enumerate() {
+        for (at, ((name, change, key), rewrite)) in steps.into_iter().enumerate() {
             let name = format!("t{name}");
             let key = key.map(|key| (format!("k{key}"), Digest::of(format!("{name}{change:?}").as_bytes())));
-            let asked = Command { key, ..command(&name, Precondition::Any, change) };
-            if let Ok(Decision::Commit(made)) = registry.decide(at as u64, &asked) {
-                prop_assert_eq!(made.seq, registry.last_sequence() + 1);
-                text.extend(registry_file::encode_change(&made));
-                registry.commit(&made);
-                let to = made.to.expect("a tenant");
+            let command = Command { key, ..command(&name, Precondition::Any, change) };
+            if let Ok(Decision::Commit(record)) = registry.decide(at as u64, &command) {
+                prop_assert_eq!(record.seq, registry.last_sequence() + 1);
+                text.extend(registry_file::encode_change(&record));
+                registry.commit(&record);
+                let to = record.to.expect("a tenant");
                 let before = newest.insert(to.name.clone(), to.version);
                 prop_assert!(before.is_none_or(|before| before < to.version));
             }
@@ -521,14 +535,14 @@
                     registry.commit(&gone);
                 }
             }
-            if anew {
+            if rewrite {
                 text = registry_file::encode_snapshot(&registry, 0);
             }
             let numbers: BTreeSet<_> = registry.entries().map(|entry| entry.number).collect();
             prop_assert_eq!(numbers.len(), registry.len());
-            let read = recover(&classes(), Some(&text), Some(&text)).expect("readable");
-            prop_assert_eq!(&read.state, &registry.persisted_state());
-            prop_assert!(read.lost_changes == 0 && !read.needs_repair);
+            let recovered = recover(&classes(), Some(&text), Some(&text)).expect("readable");
+            prop_assert_eq!(&recovered.state, &registry.persisted_state());
+            prop_assert!(recovered.lost_changes == 0 && !recovered.needs_repair);
         }
     }
 }
--- a/crates/tenancy/tests/stored_format.rs
+++ b/crates/tenancy/tests/stored_format.rs
@@ -85,7 +85,7 @@
     }
     let gone = registry
         .next_drained(1_790_000_000_999)
-        .expect("one that is owed nothing");
+        .expect("a drained tenant");
     registry.commit(&gone);
     records.push(gone);
     (registry, records)
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn registry_is_written_as_before() {
+fn registry_is_encoded_as_golden_files() {
     assert_eq!(written_changes(), golden("tenants.changes"));
     assert_eq!(
         registry_file::encode_snapshot(&changed().0, 2),
@@ -110,31 +110,43 @@
 }
 
 #[test]
-fn both_copies_of_the_registry_are_read_as_before() {
+fn golden_replicas_are_recovered() {
     let (snapshot, changes) = (golden("tenants.snapshot"), golden("tenants.changes"));
     let (registry, records) = changed();
-    let read = recover(&classes(), Some(&changes), Some(&changes)).expect("readable");
+    let recovered = recover(&classes(), Some(&changes), Some(&changes)).expect("readable");
     assert_eq!(
-        (read.state, read.lost_changes, read.needs_repair),
+        (
+            recovered.state,
+            recovered.lost_changes,
+            recovered.needs_repair
+        ),
         (registry.persisted_state(), 0, false)
     );
-    assert_eq!(read.changes.into_values().collect::<Vec<_>>(), records);
-    let read = recover(&classes(), Some(&snapshot), Some(&snapshot)).expect("readable");
+    assert_eq!(recovered.changes.into_values().collect::<Vec<_>>(), records);
+    let recovered = recover(&classes(), Some(&snapshot), Some(&snapshot)).expect("readable");
     assert_eq!(
-        (read.state, read.lost_changes, read.needs_repair),
+        (
+            recovered.state,
+            recovered.lost_changes,
+            recovered.needs_repair
+        ),
         (registry.persisted_state(), 2, false)
     );
-    // The first copy is torn within its last change, the second one heals it.
+    // The first replica is torn within its last change, the second one repairs it.
     let torn = &changes[..changes.len() - 30];
-    let read = recover(&classes(), Some(torn), Some(&changes)).expect("readable");
+    let recovered = recover(&classes(), Some(torn), Some(&changes)).expect("readable");
     assert_eq!(
-        (read.state, read.lost_changes, read.needs_repair),
+        (
+            recovered.state,
+            recovered.lost_changes,
+            recovered.needs_repair
+        ),
         (registry.persisted_state(), 0, true)
     );
 }
 
 #[test]
-fn audit_entries_are_written_and_read_as_before() {
+fn audit_entries_are_encoded_and_decoded_as_golden_file() {
     let entries: Vec<Entry> = changed().1.iter().map(Entry::of).collect();
     let written: Vec<u8> = entries.iter().flat_map(Entry::line).collect();
     let text = golden("audit.jsonl");
