--- a/crates/tenancy/src/fair_queueing/mod.rs
+++ b/crates/tenancy/src/fair_queueing/mod.rs
@@ -197,22 +197,22 @@
         }
     }
 
-    /// The turn of a candidate: the most quanta that its tenant is ahead of its share of either resource.
-    fn next_turn(&mut self, round: &mut Round, candidate: &Candidate) -> u32 {
+    /// The rank of a candidate, the lowest of which goes first: the most quanta that its tenant is ahead of its share of either resource.
+    fn next_rank(&mut self, round: &mut Round, candidate: &Candidate) -> u32 {
         let weight = self.weight(candidate.tenant);
         let slot_cost =
             candidate.expected_duration as f64 / MICROS_PER_SECOND / weight * round.slots.scale;
-        let mut turn = round
+        let mut rank = round
             .slots
-            .next_turn(candidate.tenant, SLOT_QUANTUM_SECONDS, slot_cost);
+            .next_rank(candidate.tenant, SLOT_QUANTUM_SECONDS, slot_cost);
         if let Some(contention) = round.destinations.get_mut(&candidate.destination) {
             let call_cost = contention.scale / weight;
-            turn = turn.max(contention.next_turn(candidate.tenant, CALL_QUANTUM, call_cost));
+            rank = rank.max(contention.next_rank(candidate.tenant, CALL_QUANTUM, call_cost));
         }
         if let Some(clock) = self.destinations.get_mut(&candidate.destination) {
             clock.unsent_candidates += 1;
         }
-        turn as u32
+        rank as u32
     }
 }
 
@@ -323,13 +323,13 @@
         }
         let mut round = self.contention(candidates);
         self.start_round(&mut round);
-        let mut turns: Vec<(u32, Candidate)> = Vec::with_capacity(candidates.len());
+        let mut ranked: Vec<(u32, Candidate)> = Vec::with_capacity(candidates.len());
         for candidate in candidates.drain(..) {
-            turns.push((self.next_turn(&mut round, &candidate), candidate));
+            ranked.push((self.next_rank(&mut round, &candidate), candidate));
         }
-        // The sort is stable: within a turn the candidates keep their order by cost of delay.
-        turns.sort_by_key(|(turn, _)| *turn);
-        candidates.extend(turns.into_iter().map(|(_, candidate)| candidate));
+        // The sort is stable: candidates of one rank keep their order by cost of delay.
+        ranked.sort_by_key(|(rank, _)| *rank);
+        candidates.extend(ranked.into_iter().map(|(_, candidate)| candidate));
     }
 
     fn may_start_call(&self, tenant: TenantId) -> bool {
--- a/crates/tenancy/src/fair_queueing/virtual_clock.rs
+++ b/crates/tenancy/src/fair_queueing/virtual_clock.rs
@@ -12,8 +12,8 @@
 pub(super) struct Contention {
     /// Converts a lead in virtual time, which is divided by weight, to the unit of the resource's quantum.
     pub(super) scale: f64,
-    /// How far each tenant is ahead of its share, in the unit of the quantum, as if the candidates that have had
-    /// their turn were sent.
+    /// How far each tenant is ahead of its share, in the unit of the quantum, as if the candidates that have a
+    /// rank were sent.
     pub(super) leads: BTreeMap<TenantId, f64>,
 }
 
@@ -23,13 +23,13 @@
         self.leads.insert(tenant, 0.0);
     }
 
-    /// The turn of a tenant's next candidate, which is the number of quanta that the tenant is ahead; adds the
+    /// The rank of a tenant's next candidate, which is the number of quanta that the tenant is ahead; adds the
     /// candidate's cost to its lead.
-    pub(super) fn next_turn(&mut self, tenant: TenantId, quantum: f64, cost: f64) -> f64 {
+    pub(super) fn next_rank(&mut self, tenant: TenantId, quantum: f64, cost: f64) -> f64 {
         self.leads.get_mut(&tenant).map_or(0.0, |lead| {
-            let turn = *lead / quantum;
+            let rank = *lead / quantum;
             *lead += cost;
-            turn
+            rank
         })
     }
 }
--- a/crates/tenancy/tests/fair_queueing.rs
+++ b/crates/tenancy/tests/fair_queueing.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Runs rounds in which the tenants contend for one destination that takes so many calls a round, and in which all
+/// Runs rounds in which the tenants contend for one destination that takes `calls_per_round`, and in which all
 /// slots are wanted; returns the calls that each tenant got.
 fn contend(
     scheduler: &mut FairQueueScheduler,
