--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -43,16 +43,23 @@
     }
 }
 
+/// Executes a change of a tenant in any version.
+fn execute_change(
+    registry: &mut Registry,
+    name: &str,
+    change: Change,
+) -> Result<Tenant, RegistryError> {
+    execute(registry, &command(name, Precondition::Any, change))
+}
+
 fn create(registry: &mut Registry, name: &str) -> Tenant {
-    execute(
-        registry,
-        &command(
-            name,
-            Precondition::Any,
-            Change::Create(TenantSpec::default()),
-        ),
-    )
-    .expect("created")
+    execute_change(registry, name, Change::Create(TenantSpec::default())).expect("created")
+}
+
+/// Accepts a message of a tenant.
+fn accept_message(registry: &mut Registry, name: &str) {
+    let entry = registry.check_admission(name, "payout", 1);
+    entry.expect("admitted").unacknowledged = 1;
 }
 
 /// Commits all tenants that have drained as gone; returns how many.
@@ -124,12 +131,7 @@
 fn merge_patch_sets_and_clears_fields_and_is_validated() {
     let mut registry = Registry::new(classes());
     create(&mut registry, "acme");
-    let mut merge = |patch| {
-        execute(
-            &mut registry,
-            &command("acme", Precondition::Any, Change::Merge(patch)),
-        )
-    };
+    let mut merge = |patch| execute_change(&mut registry, "acme", Change::Merge(patch));
     let rate = json!({"rate": {"per_second": 5.0, "burst": 9}, "classes": ["payout"]});
     let patched = merge(rate).expect("valid").spec;
     assert_eq!(
@@ -169,30 +171,19 @@
         .expect("admitted");
     first.unacknowledged = 2;
     let number = first.number;
-    let removed = execute(
-        &mut registry,
-        &command("acme", Precondition::Any, Change::Remove(None)),
-    )
-    .expect("removed");
+    let removed = execute_change(&mut registry, "acme", Change::Remove(None)).expect("removed");
     assert_eq!(removed.terms().state, TenantState::Draining);
     assert!(registry.check_admission("acme", "payout", 1).is_err());
     assert_eq!(commit_drained(&mut registry), 0);
     // A draining tenant cannot be changed, except to end its messages at once.
-    let pause = execute(
-        &mut registry,
-        &command("acme", Precondition::Any, Change::Pause),
-    );
+    let pause = execute_change(&mut registry, "acme", Change::Pause);
     assert_eq!(pause, Err(RegistryError::Draining("acme".into())));
     let terminate = Change::Remove(Some(OnRemoval::Refuse));
-    let terminated = execute(
-        &mut registry,
-        &command("acme", Precondition::Any, terminate),
-    )
-    .expect("terminated");
+    let terminated = execute_change(&mut registry, "acme", terminate).expect("terminated");
     assert_eq!(terminated.terms().state, TenantState::Terminating);
     let finish = Change::Remove(Some(OnRemoval::Finish));
     assert_eq!(
-        execute(&mut registry, &command("acme", Precondition::Any, finish)),
+        execute_change(&mut registry, "acme", finish),
         Ok(terminated)
     );
     // A tenant that is created under the name is another generation, beside the draining one.
@@ -233,11 +224,7 @@
         .unacknowledged = 0;
     assert_eq!(commit_drained(&mut registry), 1);
     assert!(registry.entry_by_reference("acme").is_none() && registry.find("acme").is_ok());
-    execute(
-        &mut registry,
-        &command("acme", Precondition::Any, Change::Remove(None)),
-    )
-    .expect("removed");
+    execute_change(&mut registry, "acme", Change::Remove(None)).expect("removed");
     registry
         .entry_by_reference("acme/2")
         .expect("drains")
@@ -256,100 +243,73 @@
     assert_eq!(create(&mut registry, "acme").version.generation, 3);
 }
 
-#[test]
-fn tables_are_bounded() {
+/// A registry with as many draining tenants of a name as there may be.
+fn registry_with_draining_tenants() -> Registry {
     let mut registry = Registry::new(classes());
-    for _ in 0..=MAX_DRAINING_GENERATIONS {
+    for _ in 0..MAX_DRAINING_GENERATIONS {
         create(&mut registry, "acme");
-        registry
-            .check_admission("acme", "payout", 1)
-            .expect("admitted")
-            .unacknowledged = 1;
-        execute(
-            &mut registry,
-            &command("acme", Precondition::Any, Change::Remove(None)),
-        )
-        .expect("removed");
-        if registry.draining_entries("acme").len() == MAX_DRAINING_GENERATIONS {
-            break;
-        }
+        accept_message(&mut registry, "acme");
+        execute_change(&mut registry, "acme", Change::Remove(None)).expect("removed");
     }
-    let more = execute(
-        &mut registry,
-        &command(
-            "acme",
-            Precondition::Any,
-            Change::Create(TenantSpec::default()),
-        ),
+    assert_eq!(
+        registry.draining_entries("acme").len(),
+        MAX_DRAINING_GENERATIONS
     );
+    registry
+}
+
+fn assert_too_many(result: &Result<Tenant, RegistryError>, expected: usize) {
     assert!(
-        matches!(
-            more,
-            Err(RegistryError::TooMany {
-                most: MAX_DRAINING_GENERATIONS,
-                ..
-            })
-        ),
-        "{more:?}"
+        matches!(result, Err(RegistryError::TooMany { most, .. }) if *most == expected),
+        "{result:?}"
     );
+}
+
+#[test]
+fn draining_generations_of_a_name_are_bounded() {
+    let mut registry = registry_with_draining_tenants();
+    let result = execute_change(&mut registry, "acme", Change::Create(TenantSpec::default()));
+    assert_too_many(&result, MAX_DRAINING_GENERATIONS);
+}
+
+#[test]
+fn tenants_are_bounded_draining_ones_included() {
+    let mut registry = registry_with_draining_tenants();
     for n in 0..MAX_TENANTS - MAX_DRAINING_GENERATIONS {
         create(&mut registry, &format!("t{n}"));
     }
-    let more = execute(
-        &mut registry,
-        &command(
-            "late",
-            Precondition::Any,
-            Change::Create(TenantSpec::default()),
-        ),
-    );
-    assert!(
-        matches!(
-            more,
-            Err(RegistryError::TooMany {
-                most: MAX_TENANTS,
-                ..
-            })
-        ),
-        "{more:?}"
-    );
+    let result = execute_change(&mut registry, "late", Change::Create(TenantSpec::default()));
+    assert_too_many(&result, MAX_TENANTS);
     // The maximum number of tenants is restored, too.
     let restored = Registry::restore(classes(), registry.persisted_state());
     assert_eq!(restored.len(), MAX_TENANTS);
+}
+
+#[test]
+fn tombstones_are_bounded() {
+    let mut registry = Registry::new(classes());
     for n in 0..MAX_TOMBSTONES + 10 {
-        execute(
-            &mut registry,
-            &command(&format!("t{n}"), Precondition::Any, Change::Remove(None)),
-        )
-        .expect("removed");
+        let name = format!("t{n}");
+        create(&mut registry, &name);
+        execute_change(&mut registry, &name, Change::Remove(None)).expect("removed");
         commit_drained(&mut registry);
     }
     assert_eq!(registry.persisted_state().gone.len(), MAX_TOMBSTONES);
+}
+
+#[test]
+fn secrets_of_a_tenant_are_bounded() {
+    let mut registry = Registry::new(classes());
+    create(&mut registry, "acme");
     let secret = |n: usize| Change::AddSecret {
         id: format!("s{n}"),
         sha256: Digest::of(&n.to_le_bytes()),
     };
     for n in 0..MAX_SECRETS {
-        execute(
-            &mut registry,
-            &command("t5000", Precondition::Any, secret(n)),
-        )
-        .expect("added");
+        execute_change(&mut registry, "acme", secret(n)).expect("added");
     }
-    let more = execute(
-        &mut registry,
-        &command("t5000", Precondition::Any, secret(99)),
-    );
-    assert!(
-        matches!(
-            more,
-            Err(RegistryError::TooMany {
-                most: MAX_SECRETS,
-                ..
-            })
-        ),
-        "{more:?}"
-    );
+    let result = execute_change(&mut registry, "acme", secret(99));
+    assert_too_many(&result, MAX_SECRETS);
 }
 
 #[test]
@@ -364,11 +324,7 @@
     };
     let create = keyed("k1", b"create", Change::Create(TenantSpec::default()));
     let created = execute(&mut registry, &create).expect("created");
-    execute(
-        &mut registry,
-        &command("acme", Precondition::Any, Change::Pause),
-    )
-    .expect("paused");
+    execute_change(&mut registry, "acme", Change::Pause).expect("paused");
     // The first response is replayed, though the tenant has changed since.
     assert!(
         matches!(registry.decide(2000, &create), Ok(Decision::Replay(a)) if a.tenant == created)
@@ -442,23 +398,12 @@
     assert_eq!(registry.authenticate("acme", b"third"), None);
     assert_eq!(registry.authenticate("beta", b"first"), None);
     assert!(registry.is_session_valid(&old) && registry.is_session_valid(&new));
-    execute(
-        &mut registry,
-        &command("acme", Precondition::Any, Change::DropSecret("old".into())),
-    )
-    .expect("dropped");
+    execute_change(&mut registry, "acme", Change::DropSecret("old".into())).expect("dropped");
     assert!(!registry.is_session_valid(&old) && registry.is_session_valid(&new));
-    let none = execute(
-        &mut registry,
-        &command("acme", Precondition::Any, Change::DropSecret("old".into())),
-    );
+    let none = execute_change(&mut registry, "acme", Change::DropSecret("old".into()));
     assert!(matches!(none, Err(RegistryError::UnknownSecret(id)) if id == "old"));
     // A new generation has secrets of its own.
-    execute(
-        &mut registry,
-        &command("acme", Precondition::Any, Change::Remove(None)),
-    )
-    .expect("removed");
+    execute_change(&mut registry, "acme", Change::Remove(None)).expect("removed");
     assert!(!registry.is_session_valid(&new));
     create(&mut registry, "acme");
     assert!(!registry.is_session_valid(&new) && registry.authenticate("acme", b"second").is_none());
@@ -470,15 +415,8 @@
     for name in ["c", "a", "b"] {
         create(&mut registry, name);
     }
-    registry
-        .check_admission("b", "payout", 1)
-        .expect("admitted")
-        .unacknowledged = 1;
-    execute(
-        &mut registry,
-        &command("b", Precondition::Any, Change::Remove(None)),
-    )
-    .expect("removed");
+    accept_message(&mut registry, "b");
+    execute_change(&mut registry, "b", Change::Remove(None)).expect("removed");
     create(&mut registry, "b");
     let names = |after: Option<&str>| -> Vec<String> {
         registry
