--- a/crates/tenancy/tests/flood.rs
+++ b/crates/tenancy/tests/flood.rs
@@ -203,7 +203,8 @@
     }
 
     fn submit_due(&mut self) {
-        while let Some((_, id, message)) = pop_due(&mut self.submissions, self.now) {
+        while let Some(due) = pop_due(&mut self.submissions, self.now) {
+            let (id, message) = (due.id, due.item);
             self.events.push(Event::MessageReceived(Message {
                 id,
                 class: message.class,
@@ -220,7 +221,7 @@
     }
 
     fn answer_due(&mut self) {
-        while let Some((at, id, call)) = pop_due(&mut self.responses, self.now) {
+        while let Some(Due { at, id, item: call }) = pop_due(&mut self.responses, self.now) {
             self.events.push(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: self.attempts[&id],
@@ -299,14 +300,22 @@
     }
 }
 
-/// The first item whose time has come, with its time.
-fn pop_due<T>(
-    queue: &mut BTreeMap<(Micros, MessageId), T>,
-    now: Micros,
-) -> Option<(Micros, MessageId, T)> {
+/// An item of a queue whose time has come.
+struct Due<T> {
+    at: Micros,
+    id: MessageId,
+    item: T,
+}
+
+/// Takes the first item out of a queue if its time has come.
+fn pop_due<T>(queue: &mut BTreeMap<(Micros, MessageId), T>, now: Micros) -> Option<Due<T>> {
     let first = queue.first_entry()?;
     let (at, id) = *first.key();
-    (at <= now).then(|| (at, id, first.remove()))
+    (at <= now).then(|| Due {
+        at,
+        id,
+        item: first.remove(),
+    })
 }
 
 fn fair_queueing() -> Box<dyn TenantScheduler> {
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -430,7 +430,8 @@
     assert_eq!(names(Some("c")), [""; 0]);
 }
 
-fn any_change() -> impl Strategy<Value = (u8, Change, Option<u8>)> {
+/// Any change of one of four tenants, by chance with an idempotency key that fits it.
+fn any_command() -> impl Strategy<Value = Command> {
     let change = prop_oneof![
         3 => (1u32..50).prop_map(|weight| Change::Create(TenantSpec { weight, ..TenantSpec::default() })),
         2 => (1u32..50).prop_map(|weight| Change::Replace(TenantSpec { weight, ..TenantSpec::default() })),
@@ -442,7 +443,14 @@
         1 => (0u8..4).prop_map(|n| Change::AddSecret { id: format!("s{n}"), sha256: Digest::of(&[n]) }),
         1 => (0u8..4).prop_map(|n| Change::DropSecret(format!("s{n}"))),
     ];
-    (0u8..4, change, prop::option::of(0u8..6))
+    (0u8..4, change, prop::option::of(0u8..6)).prop_map(|(tenant, change, key)| {
+        let name = format!("t{tenant}");
+        let digest = Digest::of(format!("{name}{change:?}").as_bytes());
+        Command {
+            key: key.map(|key| (format!("k{key}"), digest)),
+            ..command(&name, Precondition::Any, change)
+        }
+    })
 }
 
 proptest! {
@@ -451,14 +459,11 @@
     /// After any sequence of commands versions have only grown, each change has one sequence number, no two tenants
     /// have one number, and the file yields the same state at any point.
     #[test]
-    fn file_yields_the_registry_after_any_commands(steps in prop::collection::vec((any_change(), any::<bool>()), 1..60)) {
+    fn file_yields_the_registry_after_any_commands(steps in prop::collection::vec((any_command(), any::<bool>()), 1..60)) {
         let mut registry = Registry::new(classes());
         let mut text = registry_file::encode_snapshot(&registry, 0);
         let mut newest = std::collections::BTreeMap::new();
-        for (at, ((name, change, key), rewrite)) in steps.into_iter().enumerate() {
-            let name = format!("t{name}");
-            let key = key.map(|key| (format!("k{key}"), Digest::of(format!("{name}{change:?}").as_bytes())));
-            let command = Command { key, ..command(&name, Precondition::Any, change) };
+        for (at, (command, rewrite)) in steps.into_iter().enumerate() {
             if let Ok(Decision::Commit(record)) = registry.decide(at as u64, &command) {
                 prop_assert_eq!(record.seq, registry.last_sequence() + 1);
                 text.extend(registry_file::encode_change(&record));
--- a/crates/tenancy/tests/stored_format.rs
+++ b/crates/tenancy/tests/stored_format.rs
@@ -41,8 +41,14 @@
     }
 }
 
-/// A registry after changes of every kind, and their records.
-fn changed() -> (Registry, Vec<ChangeRecord>) {
+/// A registry and the changes that led to it.
+struct ChangedRegistry {
+    registry: Registry,
+    records: Vec<ChangeRecord>,
+}
+
+/// A registry after changes of every kind.
+fn changed_registry() -> ChangedRegistry {
     let mut registry = Registry::new(classes());
     let mut records = Vec::new();
     let secret = || Change::AddSecret {
@@ -88,13 +94,13 @@
         .expect("a drained tenant");
     registry.commit(&gone);
     records.push(gone);
-    (registry, records)
+    ChangedRegistry { registry, records }
 }
 
 fn written_changes() -> Vec<u8> {
     let mut text = registry_file::encode_snapshot(&Registry::new(classes()), 0);
-    changed()
-        .1
+    changed_registry()
+        .records
         .iter()
         .for_each(|change| text.extend(registry_file::encode_change(change)));
     text
@@ -104,7 +110,7 @@
 fn registry_is_encoded_as_golden_files() {
     assert_eq!(written_changes(), golden("tenants.changes"));
     assert_eq!(
-        registry_file::encode_snapshot(&changed().0, 2),
+        registry_file::encode_snapshot(&changed_registry().registry, 2),
         golden("tenants.snapshot")
     );
 }
@@ -112,7 +118,7 @@
 #[test]
 fn golden_replicas_are_recovered() {
     let (snapshot, changes) = (golden("tenants.snapshot"), golden("tenants.changes"));
-    let (registry, records) = changed();
+    let ChangedRegistry { registry, records } = changed_registry();
     let recovered = recover(&classes(), Some(&changes), Some(&changes)).expect("readable");
     assert_eq!(
         (
@@ -147,7 +153,7 @@
 
 #[test]
 fn audit_entries_are_encoded_and_decoded_as_golden_file() {
-    let entries: Vec<Entry> = changed().1.iter().map(Entry::of).collect();
+    let entries: Vec<Entry> = changed_registry().records.iter().map(Entry::of).collect();
     let written: Vec<u8> = entries.iter().flat_map(Entry::line).collect();
     let text = golden("audit.jsonl");
     assert_eq!(written, text);
