--- a/crates/tenancy/src/fair_queueing/mod.rs
+++ b/crates/tenancy/src/fair_queueing/mod.rs
@@ -197,7 +197,8 @@
         }
     }
 
-    /// The rank of a candidate, the lowest of which goes first: the most quanta that its tenant is ahead of its share of either resource.
+    /// The rank of a candidate, the lowest of which goes first: the most quanta that its tenant is ahead of its share of
+    /// either resource.
     fn next_rank(&mut self, round: &mut Round, candidate: &Candidate) -> u32 {
         let weight = self.weight(candidate.tenant);
         let slot_cost =
