--- a/crates/relay/src/operator_config/error.rs
+++ b/crates/relay/src/operator_config/error.rs
@@ -4,6 +4,8 @@
 
 use thiserror::Error;
 
+use crate::undeliverable_service::SettingsError;
+
 /// Why an operator file cannot be used. Each message is one plain line for the operator.
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
@@ -60,7 +62,7 @@
     },
     /// A value of the undeliverable messages' section.
     #[error("{0}")]
-    Undeliverable(String),
+    Undeliverable(SettingsError),
     /// A value of the administration API's section.
     #[error("{0}")]
     Administration(String),
--- a/crates/relay/src/undeliverable_service/mod.rs
+++ b/crates/relay/src/undeliverable_service/mod.rs
@@ -36,7 +36,7 @@
 
 use crate::journal::{self, AcceptedMessage, PendingMessage, ResendOrigin};
 use partner::Question;
-pub use settings::Settings;
+pub use settings::{Settings, SettingsError};
 
 /// Batches and rules are looked after so often.
 const LOOK: Duration = Duration::from_millis(50);
@@ -343,9 +343,9 @@
     fn terms(&self, now: Micros) -> ResendPolicy {
         ResendPolicy {
             now,
-            key_expiry_margin: self.set.margin(),
-            settle_time: self.set.settle(),
-            attestation_validity: self.set.fresh(),
+            key_expiry_margin: self.set.key_expiry_margin(),
+            settle_time: self.set.settle_time(),
+            attestation_validity: self.set.attestation_validity(),
             max_resends: self.set.max_resends,
         }
     }
@@ -752,7 +752,7 @@
         }
         if self.drop <= at {
             self.drop = at + DROP.0;
-            let caps = self.set.caps();
+            let caps = self.set.store_limits();
             if let Some(dropped @ 1..) =
                 self.with(|store| store.evict_beyond_limits(&caps, now, DROP.1))
             {
@@ -775,7 +775,7 @@
     }
 
     fn room(&self, resends: &[Resend]) -> bool {
-        self.out.len() + resends.len() < self.set.at_once
+        self.out.len() + resends.len() < self.set.max_concurrent_resends
     }
 
     fn run_batches(&mut self, now: Micros, resends: &mut Vec<Resend>) {
@@ -1077,7 +1077,7 @@
         live: Live,
         resends: &mut Vec<Resend>,
     ) -> UndeliverableResponse {
-        let lease = self.set.lease();
+        let lease = self.set.claim_lease();
         if act == RecordAction::Resend {
             if !self.room(resends) || !live.spare() {
                 return UndeliverableResponse::Busy(COME_AGAIN);
--- a/crates/relay/src/undeliverable_service/partner.rs
+++ b/crates/relay/src/undeliverable_service/partner.rs
@@ -12,7 +12,7 @@
 use runtime::{Runtime, Stream, Task};
 use undeliverable::record::ExecutionClaim;
 
-use super::settings::Partner;
+use super::settings::PartnerSettings;
 
 /// A longer answer is not read.
 const LONGEST: usize = 64 << 10;
@@ -22,12 +22,12 @@
     address: SocketAddr,
     path: String,
     timeout: Duration,
-    partner: Partner,
+    partner: PartnerSettings,
 }
 
 impl Question {
     /// The question on a message of this name and key.
-    pub fn new(partner: &Partner, name: &str, key: Option<&str>) -> Self {
+    pub fn new(partner: &PartnerSettings, name: &str, key: Option<&str>) -> Self {
         let path = partner
             .path
             .replace("{id}", &in_path(name))
@@ -71,7 +71,7 @@
 }
 
 /// What an answer says; none for one that says nothing that was agreed on.
-fn read(partner: &Partner, status: StatusCode, body: &[u8]) -> Option<ExecutionClaim> {
+fn read(partner: &PartnerSettings, status: StatusCode, body: &[u8]) -> Option<ExecutionClaim> {
     if status == StatusCode::NOT_FOUND {
         return partner.absent_is_404.then_some(ExecutionClaim::NotApplied);
     }
@@ -107,7 +107,7 @@
 mod tests {
     use super::*;
 
-    fn partner(absent_is_404: bool) -> Partner {
+    fn partner(absent_is_404: bool) -> PartnerSettings {
         let text = format!(
             "destination = 3\naddress = \"127.0.0.1:9\"\npath = \"/s/{{id}}?k={{key}}\"\napplied = [\"done\"]\n\
              not_applied = [\"none\"]\nabsent_is_404 = {absent_is_404}"
--- a/crates/relay/src/undeliverable_service/settings.rs
+++ b/crates/relay/src/undeliverable_service/settings.rs
@@ -1,4 +1,6 @@
-//! What an operator sets of undeliverable messages. All of it is checked at the start.
+//! The undeliverable section of the operator file. All of it is checked at the start.
+
+mod error;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,21 +9,31 @@
 use serde::Deserialize;
 use undeliverable::rules::{Rule, RuleTrigger};
 use undeliverable::store::StoreLimits;
-use undeliverable::{Filter, Reason};
+use undeliverable::{Filter, Micros, Reason};
+
+pub use error::SettingsError;
 
-/// Partners and rules that may be set.
-const MOST_PARTNERS: usize = 10_000;
-const MOST_RULES: usize = 100;
-/// The longest path or word of a partner's, in bytes.
-const LONGEST: usize = 256;
+/// The most partners that may be set.
+const MAX_PARTNERS: usize = 10_000;
+/// The most rules that may be set.
+const MAX_RULES: usize = 100;
+/// The longest path and query of a partner, in bytes.
+const MAX_PATH_BYTES: usize = 256;
+/// The longest name of a rule, in bytes.
+const MAX_RULE_NAME_BYTES: usize = 64;
+/// The largest limit of the store, in mebibytes: a tebibyte.
+const MAX_STORE_MB: f64 = 1_048_576.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+const SECONDS_PER_YEAR: f64 = 31_536_000.0;
+const MICROS_PER_DAY: Micros = 86_400_000_000;
 
-/// Undeliverable messages.
+/// The store of undeliverable messages, and how its records may be resent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The folder of the store, which is there and this relay's alone.
+    /// The directory of the store, which exists and which no other relay uses.
     pub folder: String,
-    /// What is kept outlasts the machine, not just the process.
+    /// Whether records survive a crash of the machine, and not only one of the process.
     #[serde(default)]
     pub sync: bool,
     #[serde(default = "max_mb")]
@@ -32,59 +44,53 @@
     max_records: u64,
     #[serde(default = "max_age_days")]
     max_age_days: u64,
-    /// Messages that are sent again at once at most.
-    #[serde(default = "at_once")]
-    pub at_once: usize,
-    /// Resends of a record at most.
+    /// The most resends in flight.
+    #[serde(default = "at_once", rename = "at_once")]
+    pub max_concurrent_resends: usize,
+    /// The most resends of one record.
     #[serde(default = "max_resends")]
     pub max_resends: u32,
     #[serde(default = "settle_s")]
     settle_s: f64,
-    #[serde(default = "word_fresh_s")]
-    word_fresh_s: f64,
-    #[serde(default = "key_margin_s")]
-    key_margin_s: f64,
-    #[serde(default = "lease_s")]
-    lease_s: f64,
-    /// How partners tell whether a message took effect.
+    #[serde(default = "word_fresh_s", rename = "word_fresh_s")]
+    attestation_validity_s: f64,
+    #[serde(default = "key_margin_s", rename = "key_margin_s")]
+    key_expiry_margin_s: f64,
+    #[serde(default = "lease_s", rename = "lease_s")]
+    claim_lease_s: f64,
+    /// Partners that can be queried whether a message took effect.
     #[serde(default)]
-    pub partners: Vec<Partner>,
+    pub partners: Vec<PartnerSettings>,
     #[serde(default)]
     rules: Vec<RuleSettings>,
 }
 
-/// How a partner tells whether a message took effect: `GET` at an address, answered with JSON.
+/// How a partner is queried whether a message took effect: `GET` at an address, answered with JSON.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Partner {
+// The name in error messages stays as it was.
+#[serde(deny_unknown_fields, expecting = "struct Partner")]
+pub struct PartnerSettings {
     /// The partner's destination.
     pub destination: u16,
-    /// Where it is asked.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// The path and query; `{id}` stands for the message's name, `{key}` for its key.
+    /// Path and query; `{id}` stands for the message's name, `{key}` for its idempotency key.
     pub path: String,
-    /// The member of the answer's object that tells.
+    /// The member of the answer's object with the state.
     #[serde(default = "field")]
     pub field: String,
-    /// Values that say that it took effect.
+    /// Its values that mean that the message took effect.
     pub applied: Vec<String>,
-    /// Values that say that it did not and will not. An answer 404 says nothing unless `absent_is_404` is set.
+    /// Its values that mean that the message did not take effect and will not.
     #[serde(default)]
     pub not_applied: Vec<String>,
-    /// 404 says that it did not and will not.
+    /// Whether status 404 means that the message did not take effect and will not; it means nothing otherwise.
     #[serde(default)]
     pub absent_is_404: bool,
     #[serde(default = "timeout_ms")]
     timeout_ms: u64,
 }
 
-impl Partner {
-    /// Longest wait for the whole answer.
-    pub fn timeout(&self) -> Duration {
-        Duration::from_millis(self.timeout_ms)
-    }
-}
-
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RuleSettings {
@@ -94,8 +100,7 @@
     reason: Option<Reason>,
     tenant: Option<String>,
     may_have_run: Option<bool>,
-    /// `recovered`, or `after`.
-    when: Moment,
+    when: TriggerSettings,
     after_s: Option<f64>,
     #[serde(default = "per_minute")]
     per_minute: u32,
@@ -103,13 +108,15 @@
     resends: u32,
 }
 
+/// What triggers a rule. The name in error messages stays as it was.
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(rename_all = "lowercase")]
-enum Moment {
+#[serde(rename_all = "lowercase", expecting = "enum Moment")]
+enum TriggerSettings {
     Recovered,
     After,
 }
 
+/// Defines the functions that serde calls for absent keys.
 macro_rules! defaults {
     ($($name:ident: $type:ty = $value:expr;)*) => { $(fn $name() -> $type { $value })* };
 }
@@ -131,222 +138,186 @@
     resends: u32 = 1;
 }
 
-fn micros(seconds: f64) -> u64 {
-    (seconds * 1e6) as u64
-}
-
 impl Settings {
-    /// What the store holds at most.
-    pub fn caps(&self) -> StoreLimits {
+    /// What the store holds before records are evicted.
+    pub fn store_limits(&self) -> StoreLimits {
         StoreLimits {
             bytes: self.max_mb << 20,
             tenant_bytes: self.tenant_max_mb << 20,
             records: self.max_records,
-            age: self.max_age_days * 86_400_000_000,
+            age: self.max_age_days * MICROS_PER_DAY,
         }
     }
 
-    /// An attempt may still be running for so long after it was sent.
-    pub fn settle(&self) -> u64 {
+    /// How long after it was sent an attempt may still be executing.
+    pub fn settle_time(&self) -> Micros {
         micros(self.settle_s)
     }
 
-    /// A partner's word is believed for so long.
-    pub fn fresh(&self) -> u64 {
-        micros(self.word_fresh_s)
+    /// How long a partner's attestation is valid.
+    pub fn attestation_validity(&self) -> Micros {
+        micros(self.attestation_validity_s)
     }
 
-    /// A key is taken for forgotten so long before its time.
-    pub fn margin(&self) -> u64 {
-        micros(self.key_margin_s)
+    /// How long before its expiry an idempotency key counts as expired.
+    pub fn key_expiry_margin(&self) -> Micros {
+        micros(self.key_expiry_margin_s)
     }
 
-    /// How long a claim holds.
-    pub fn lease(&self) -> u64 {
-        micros(self.lease_s)
+    /// How long an operator's claim on a record holds.
+    pub fn claim_lease(&self) -> Micros {
+        micros(self.claim_lease_s)
     }
 
-    /// The rules by which records are sent again by themselves.
+    /// The rules that resend records without an operator.
     pub fn rules(&self) -> Vec<Rule> {
-        let rule = |rule: &RuleSettings| Rule {
-            name: rule.name.clone(),
-            filter: Filter {
-                destination: rule.destination,
-                class: rule.class.clone(),
-                reason: rule.reason,
-                tenant: rule.tenant.clone(),
-                may_have_run: rule.may_have_run,
-                ..Filter::default()
-            },
-            when: match rule.when {
-                Moment::Recovered => RuleTrigger::Recovered,
-                Moment::After => RuleTrigger::After(micros(rule.after_s.unwrap_or_default())),
-            },
-            per_minute: rule.per_minute,
-            resends: rule.resends,
-        };
-        self.rules.iter().map(rule).collect()
+        self.rules.iter().map(RuleSettings::rule).collect()
     }
 
-    /// Checks all values; the error is one plain line.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "to be divided with the second part of readable code, see docs/ROADMAP.md"
-    )]
-    pub fn check(&self) -> Result<(), String> {
-        let within = |name: &str, value: f64, least: f64, most: f64| {
-            if (least..=most).contains(&value) {
-                Ok(())
-            } else {
-                Err(format!(
-                    "undeliverable.{name} is not from {least} to {most}"
-                ))
-            }
-        };
+    /// Checks all values, in the order of the section.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] names the first value that cannot be used.
+    pub fn check(&self) -> Result<(), SettingsError> {
         if !Path::new(&self.folder).is_absolute() {
-            return Err(format!(
-                "undeliverable.folder: {:?} is no absolute path",
-                self.folder
-            ));
+            let folder = self.folder.clone();
+            return Err(SettingsError::RelativeFolder { folder });
         }
-        within("max_mb", self.max_mb as f64, 1.0, 1_048_576.0)?;
-        within("tenant_max_mb", self.tenant_max_mb as f64, 1.0, 1_048_576.0)?;
-        within("max_records", self.max_records as f64, 1.0, 1e9)?;
-        within("max_age_days", self.max_age_days as f64, 1.0, 3650.0)?;
-        within("at_once", self.at_once as f64, 1.0, 64.0)?;
-        within("max_resends", f64::from(self.max_resends), 1.0, 100.0)?;
-        within("settle_s", self.settle_s, 0.0, 86_400.0)?;
-        within("word_fresh_s", self.word_fresh_s, 1.0, 86_400.0)?;
-        within("key_margin_s", self.key_margin_s, 0.0, 3600.0)?;
-        within("lease_s", self.lease_s, 1.0, 86_400.0)?;
-        if self.partners.len() > MOST_PARTNERS || self.rules.len() > MOST_RULES {
-            return Err(format!(
-                "undeliverable: over {MOST_PARTNERS} partners or {MOST_RULES} rules are too many"
-            ));
+        self.check_store_limits()?;
+        self.check_resend_policy()?;
+        if self.partners.len() > MAX_PARTNERS || self.rules.len() > MAX_RULES {
+            return Err(SettingsError::TooManyEntries {
+                max_partners: MAX_PARTNERS,
+                max_rules: MAX_RULES,
+            });
         }
         for partner in &self.partners {
-            let of = format!("partners: destination {}", partner.destination);
-            let plain = |text: &str| {
-                text.len() <= LONGEST && text.bytes().all(|byte| byte.is_ascii_graphic())
-            };
-            if !partner.path.starts_with('/')
-                || !plain(&partner.path)
-                || !partner.path.contains("{id}")
-            {
-                return Err(format!(
-                    "undeliverable.{of}: path is no path with {{id}} in it"
-                ));
-            }
-            if partner.applied.is_empty()
-                || partner
-                    .applied
-                    .iter()
-                    .any(|word| partner.not_applied.contains(word))
-            {
-                return Err(format!(
-                    "undeliverable.{of}: applied is empty, or shares a value with not_applied"
-                ));
-            }
-            within(
-                &format!("{of}: timeout_ms"),
-                partner.timeout_ms as f64,
-                1.0,
-                60_000.0,
-            )?;
-            if self
-                .partners
-                .iter()
-                .filter(|other| other.destination == partner.destination)
-                .count()
-                > 1
-            {
-                return Err(format!("undeliverable.{of} is named twice"));
-            }
+            partner.check()?;
+            self.check_destination_is_unique(partner)?;
         }
-        for rule in &self.rules {
-            let of = format!("rules: {}", rule.name);
-            if rule.name.is_empty() || rule.name.len() > 64 {
-                return Err("undeliverable.rules: a name is empty or over 64 bytes".into());
-            }
-            within(
-                &format!("{of}: per_minute"),
-                f64::from(rule.per_minute),
-                1.0,
-                60_000.0,
-            )?;
-            within(
-                &format!("{of}: resends"),
-                f64::from(rule.resends),
-                1.0,
-                100.0,
-            )?;
-            match (rule.when, rule.after_s) {
-                (Moment::After, Some(after)) => {
-                    within(&format!("{of}: after_s"), after, 1.0, 31_536_000.0)?
-                }
-                (Moment::After, None) => {
-                    return Err(format!("undeliverable.{of}: after_s is missing"))
-                }
-                (Moment::Recovered, Some(_)) => {
-                    return Err(format!(
-                        "undeliverable.{of}: after_s goes with when = \"after\""
-                    ));
-                }
-                (Moment::Recovered, None) => {}
-            }
+        self.rules.iter().try_for_each(RuleSettings::check)
+    }
+
+    fn check_store_limits(&self) -> Result<(), SettingsError> {
+        check_range("max_mb", self.max_mb as f64, 1.0, MAX_STORE_MB)?;
+        check_range(
+            "tenant_max_mb",
+            self.tenant_max_mb as f64,
+            1.0,
+            MAX_STORE_MB,
+        )?;
+        check_range("max_records", self.max_records as f64, 1.0, 1e9)?;
+        check_range("max_age_days", self.max_age_days as f64, 1.0, 3650.0)
+    }
+
+    fn check_resend_policy(&self) -> Result<(), SettingsError> {
+        let concurrent = self.max_concurrent_resends as f64;
+        check_range("at_once", concurrent, 1.0, 64.0)?;
+        check_range("max_resends", f64::from(self.max_resends), 1.0, 100.0)?;
+        check_range("settle_s", self.settle_s, 0.0, SECONDS_PER_DAY)?;
+        let validity = self.attestation_validity_s;
+        check_range("word_fresh_s", validity, 1.0, SECONDS_PER_DAY)?;
+        check_range("key_margin_s", self.key_expiry_margin_s, 0.0, 3600.0)?;
+        check_range("lease_s", self.claim_lease_s, 1.0, SECONDS_PER_DAY)
+    }
+
+    fn check_destination_is_unique(&self, partner: &PartnerSettings) -> Result<(), SettingsError> {
+        let destination = partner.destination;
+        let same = |other: &&PartnerSettings| other.destination == destination;
+        if self.partners.iter().filter(same).count() > 1 {
+            return Err(SettingsError::DuplicatePartner { destination });
         }
         Ok(())
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+impl PartnerSettings {
+    /// Longest wait for the whole answer.
+    pub fn timeout(&self) -> Duration {
+        Duration::from_millis(self.timeout_ms)
+    }
 
-    fn read(text: &str) -> Result<Settings, String> {
-        let settings: Settings = toml::from_str(text).map_err(|e| e.to_string())?;
-        settings.check().map(|()| settings)
+    fn check(&self) -> Result<(), SettingsError> {
+        let destination = self.destination;
+        if !is_request_path(&self.path) || !self.path.contains("{id}") {
+            return Err(SettingsError::InvalidPath { destination });
+        }
+        let is_shared = |value| self.not_applied.contains(value);
+        if self.applied.is_empty() || self.applied.iter().any(is_shared) {
+            return Err(SettingsError::AmbiguousAnswers { destination });
+        }
+        let key = format!("partners: destination {destination}: timeout_ms");
+        check_range(&key, self.timeout_ms as f64, 1.0, 60_000.0)
     }
+}
 
-    #[test]
-    fn what_is_wrong_is_named_and_what_is_absent_has_its_default() {
-        let good = read("folder = \"/x\"").expect("good");
-        assert_eq!(
-            (good.at_once, good.settle(), good.caps().records),
-            (2, 60_000_000, 1_000_000)
-        );
-        let partner = "folder = \"/x\"\n[[partners]]\ndestination = 3\naddress = \"127.0.0.1:9\"\n";
-        let rule = "folder = \"/x\"\n[[rules]]\nname = \"r\"\n";
-        for (text, named) in [
-            ("folder = \"x\"".to_string(), "folder"),
-            ("folder = \"/x\"\nmax_mb = 0".into(), "max_mb"),
-            ("folder = \"/x\"\nsettle_s = nan".into(), "settle_s"),
-            ("folder = \"/x\"\nat_onze = 1".into(), "at_onze"),
-            (
-                format!("{partner}path = \"/s\"\napplied = [\"done\"]"),
-                "{id}",
-            ),
-            (
-                format!("{partner}path = \"/s/{{id}}\"\napplied = []"),
-                "applied",
-            ),
-            (
-                format!("{partner}path = \"/s/{{id}}\"\napplied = [\"a\"]\nnot_applied = [\"a\"]"),
-                "applied",
-            ),
-            (format!("{rule}when = \"after\""), "after_s"),
-            (
-                format!("{rule}when = \"recovered\"\nafter_s = 3.0"),
-                "after_s",
-            ),
-            (format!("{rule}when = \"now\""), "now"),
-            (
-                format!("{rule}when = \"recovered\"\nper_minute = 0"),
-                "per_minute",
-            ),
-        ] {
-            let error = read(&text).expect_err(&text);
-            assert!(error.contains(named), "{text}: {error}");
+impl RuleSettings {
+    fn rule(&self) -> Rule {
+        Rule {
+            name: self.name.clone(),
+            filter: Filter {
+                destination: self.destination,
+                class: self.class.clone(),
+                reason: self.reason,
+                tenant: self.tenant.clone(),
+                may_have_run: self.may_have_run,
+                ..Filter::default()
+            },
+            when: match self.when {
+                TriggerSettings::Recovered => RuleTrigger::Recovered,
+                TriggerSettings::After => {
+                    RuleTrigger::After(micros(self.after_s.unwrap_or_default()))
+                }
+            },
+            per_minute: self.per_minute,
+            resends: self.resends,
         }
     }
+
+    fn check(&self) -> Result<(), SettingsError> {
+        if self.name.is_empty() || self.name.len() > MAX_RULE_NAME_BYTES {
+            return Err(SettingsError::InvalidRuleName);
+        }
+        let per_minute = f64::from(self.per_minute);
+        check_range(&self.key("per_minute"), per_minute, 1.0, 60_000.0)?;
+        let resends = f64::from(self.resends);
+        check_range(&self.key("resends"), resends, 1.0, 100.0)?;
+        let rule = self.name.clone();
+        match (self.when, self.after_s) {
+            (TriggerSettings::After, Some(delay)) => {
+                check_range(&self.key("after_s"), delay, 1.0, SECONDS_PER_YEAR)
+            }
+            (TriggerSettings::After, None) => Err(SettingsError::MissingDelay { rule }),
+            (TriggerSettings::Recovered, Some(_)) => Err(SettingsError::UnusedDelay { rule }),
+            (TriggerSettings::Recovered, None) => Ok(()),
+        }
+    }
+
+    /// A key of this rule, as errors name it.
+    fn key(&self, key: &str) -> String {
+        format!("rules: {}: {key}", self.name)
+    }
+}
+
+fn micros(seconds: f64) -> Micros {
+    (seconds * 1e6) as Micros
 }
+
+/// Whether text can be sent as a request's path and query.
+fn is_request_path(text: &str) -> bool {
+    let is_graphic = text.bytes().all(|byte| byte.is_ascii_graphic());
+    text.starts_with('/') && text.len() <= MAX_PATH_BYTES && is_graphic
+}
+
+/// Checks that a number is within its bounds; NaN never is.
+fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), SettingsError> {
+    if (min..=max).contains(&value) {
+        return Ok(());
+    }
+    let key = key.to_owned();
+    Err(SettingsError::OutOfRange { key, min, max })
+}
+
+#[cfg(test)]
+mod tests;
