--- a/crates/relay/src/event_loop/undeliverable_messages.rs
+++ b/crates/relay/src/event_loop/undeliverable_messages.rs
@@ -9,7 +9,7 @@
 use super::EventLoop;
 use crate::in_flight::MessageName;
 use crate::journal::{AcceptedMessage, ResendOrigin};
-use crate::undeliverable_service::{Live, Resend};
+use crate::undeliverable_service::{RelayLoad, Resend, ServiceRun};
 
 /// Whether a resend has reached the policy.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -26,7 +26,7 @@
         let Some(service) = &mut self.undeliverable else {
             return;
         };
-        let (resends, ended) = service.run(now, load);
+        let ServiceRun { resends, ended } = service.run(now, load);
         for id in ended {
             self.release_message(id);
         }
@@ -40,12 +40,12 @@
         match event {
             UndeliverableEvent::PartnerQueryCompleted {
                 id,
-                queried_at: asked,
-                claim: says,
+                queried_at,
+                claim,
             } => {
                 let now = self.clock.now();
                 if let Some(service) = &mut self.undeliverable {
-                    service.partner_answered(id, asked, says, now);
+                    service.partner_query_completed(id, queried_at, claim, now);
                 }
             }
             UndeliverableEvent::UndeliverableCall(call) => self.answer_undeliverable_call(call),
@@ -73,22 +73,22 @@
         drop(call.reply.send(response));
     }
 
-    /// How busy the relay is; resends leave room for other messages.
-    fn current_load(&self) -> Live {
+    /// How busy the relay is; resends leave capacity for other messages.
+    fn current_load(&self) -> RelayLoad {
         let settings = &self.config.settings;
-        Live {
-            held: self.in_flight.len(),
-            most_held: settings.max_queued,
-            out: self.open_calls.len(),
-            slots: settings.max_calls,
+        RelayLoad {
+            messages: self.in_flight.len(),
+            max_messages: settings.max_queued,
+            open_calls: self.open_calls.len(),
+            max_calls: settings.max_calls,
         }
     }
 
     /// Hands an undeliverable message to the policy once more, with a new deadline.
     fn start_resend(&mut self, now: Micros, resend: Resend) -> ResendStart {
         let Resend {
-            again: origin,
-            taken: mut message,
+            origin,
+            mut message,
         } = resend;
         message.deadline = now + self.time_to_live(&message.class);
         let tenant = self.resend_tenant(&message);
@@ -100,7 +100,7 @@
         let Some(resent) = resent else {
             log!(
                 self.runtime,
-                "undeliverable: record {} is not sent again: its class, tenant or name",
+                "undeliverable: resend_rejected record={} cause=class_tenant_or_name",
                 origin.record
             );
             if tenant.is_some() {
@@ -111,7 +111,7 @@
         if let Err(error) = self.journal.accept_resend(id, message.clone(), origin) {
             log!(
                 self.runtime,
-                "undeliverable: record {} is not sent again: {error}",
+                "undeliverable: resend_not_journaled record={} error={error}",
                 origin.record
             );
             self.tenants.message_released(&message.tenant);
--- /dev/null
+++ b/crates/relay/src/undeliverable_service/resend.rs
@@ -0,0 +1,420 @@
+//! Resends of records: whether one may begin, which are in flight, and how each ends in the store.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use policy::types::{MessageId, Micros};
+use runtime::Runtime;
+use thiserror::Error;
+use undeliverable::record::{Origin, RecordError, Resolution};
+use undeliverable::resend_policy::{check_resend, ResendBlocked, ResendPermit, ResendPolicy};
+use undeliverable::store::StoreError;
+use undeliverable::{Record, RecordId, RecordState};
+
+use super::partner_query::{PartnerQueries, QueryState};
+use super::resend_outcome::{
+    apply_outcome, DeliveryResult, PendingResend, RecordMatch, ResendOutcome,
+};
+use super::settings::Settings;
+use super::store_lifecycle::StoreLifecycle;
+use super::submission::Submission;
+use crate::journal::{self, AcceptedMessage, ResendOrigin};
+
+/// A record is not resent sooner after its last delivery failed: the last call is cancelled only then, and has surely
+/// ended after this time.
+const RESEND_SETTLE_TIME: Duration = Duration::from_secs(1);
+
+/// A message to hand to the policy once more.
+pub struct Resend {
+    /// Its record and the number of the resend.
+    pub origin: ResendOrigin,
+    /// The message, whose deadline is not set.
+    pub message: AcceptedMessage,
+}
+
+/// Which record to resend, and for whom.
+pub struct ResendRequest<'a> {
+    /// The record.
+    pub record: RecordId,
+    /// What sends it, as its state names it: an operator, a batch or a rule.
+    pub sender: &'a str,
+    /// Whose claim on the record permits the resend.
+    pub claimant: &'a str,
+    /// Precondition: the record's current version.
+    pub version: Option<u32>,
+}
+
+/// Why a resend did not begin.
+#[derive(Debug, Error)]
+pub enum ResendError {
+    /// The store cannot be used, or the record cannot be read.
+    #[error("the store cannot be used")]
+    StoreUnavailable,
+    /// The record may not be resent now.
+    #[error(transparent)]
+    Refused(#[from] RecordError),
+}
+
+/// What came of recording how a resend ended.
+pub enum Recording {
+    /// The message is no resend in flight.
+    NotPending,
+    /// The store could not be written. [`Resender::take_unsaved_outcomes`] gives it for another try.
+    Unsaved,
+    /// The store has it.
+    Saved {
+        /// What had sent the record.
+        sender: String,
+        /// Whether the message was delivered.
+        result: DeliveryResult,
+    },
+}
+
+/// Begins resends and records their ends.
+pub struct Resender<R: Runtime> {
+    runtime: R,
+    /// What the operator has set.
+    pub settings: Settings,
+    /// The store.
+    pub store: StoreLifecycle<R>,
+    /// Queries of the records' partners.
+    pub partner_queries: PartnerQueries<R>,
+    pending: BTreeMap<MessageId, PendingResend>,
+    /// Ends of resends that could not be written to the store.
+    unsaved_outcomes: BTreeMap<MessageId, ResendOutcome>,
+    /// Records whose last delivery has failed a moment ago, and until when they are not resent.
+    settling_until: BTreeMap<RecordId, Instant>,
+}
+
+impl<R: Runtime> Resender<R> {
+    /// No resends.
+    pub fn new(
+        runtime: R,
+        settings: Settings,
+        store: StoreLifecycle<R>,
+        partner_queries: PartnerQueries<R>,
+    ) -> Self {
+        Resender {
+            runtime,
+            settings,
+            store,
+            partner_queries,
+            pending: BTreeMap::new(),
+            unsaved_outcomes: BTreeMap::new(),
+            settling_until: BTreeMap::new(),
+        }
+    }
+
+    /// The conditions of a resend now.
+    pub fn policy(&self, now: Micros) -> ResendPolicy {
+        ResendPolicy {
+            now,
+            key_expiry_margin: self.settings.key_expiry_margin(),
+            settle_time: self.settings.settle_time(),
+            attestation_validity: self.settings.attestation_validity(),
+            max_resends: self.settings.max_resends,
+        }
+    }
+
+    /// Whether one more resend may be in flight, beside those that are about to begin.
+    pub fn has_capacity(&self, beginning: &[Resend]) -> bool {
+        self.in_flight() + beginning.len() < self.settings.max_concurrent_resends
+    }
+
+    /// The number of resends in flight.
+    pub fn in_flight(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// Whether a message is a resend in flight.
+    pub fn is_resend(&self, id: MessageId) -> bool {
+        self.pending.contains_key(&id)
+    }
+
+    /// Marks a record as being sent and gives its message, if it may be resent.
+    ///
+    /// # Errors
+    ///
+    /// [`ResendError`] says why it may not.
+    pub fn begin(
+        &mut self,
+        request: &ResendRequest<'_>,
+        now: Micros,
+    ) -> Result<Resend, ResendError> {
+        let policy = self.policy(now);
+        self.check_record(request, &policy)?;
+        if self.is_settling(request.record) {
+            return Err(RecordError::Settling.into());
+        }
+        let begun = self
+            .store
+            .access(|store| {
+                let Some(body) = store.body(request.record)? else {
+                    return Ok(None);
+                };
+                let begun = store.update(request.record, |record| {
+                    begin_record(record, request, &policy)
+                })?;
+                Ok(begun.map(|begun| begun.map(|begun| (begun, body))))
+            })
+            .ok_or(ResendError::StoreUnavailable)?;
+        let (begun, body) = begun.ok_or(RecordError::NoRecord)??;
+        Ok(begun.into_resend(request.record, body))
+    }
+
+    /// Checks a record before it is changed: reading is much cheaper than a write that changes nothing.
+    fn check_record(
+        &mut self,
+        request: &ResendRequest<'_>,
+        policy: &ResendPolicy,
+    ) -> Result<(), ResendError> {
+        let found = self
+            .store
+            .access(|store| store.find(request.record))
+            .ok_or(ResendError::StoreUnavailable)?;
+        let record = found.ok_or(RecordError::NoRecord)?;
+        record.check_unclaimed(request.claimant, request.version, policy.now)?;
+        check_resend(&record, policy).map_err(RecordError::ResendBlocked)?;
+        Ok(())
+    }
+
+    /// Delays the next resend of records.
+    pub fn settle(&mut self, records: &[RecordId]) {
+        let now = self.runtime.now();
+        self.settling_until.retain(|_, until| *until > now);
+        let until = now + RESEND_SETTLE_TIME;
+        self.settling_until
+            .extend(records.iter().map(|id| (*id, until)));
+    }
+
+    /// Whether it is too early to resend a record.
+    pub fn is_settling(&self, id: RecordId) -> bool {
+        let now = self.runtime.now();
+        self.settling_until
+            .get(&id)
+            .is_some_and(|until| *until > now)
+    }
+
+    /// Does what can be done about a record that may not be resent: queries its partner, or closes it. Says whether
+    /// the partner's answer may permit the resend soon.
+    pub fn handle_refusal(
+        &mut self,
+        id: RecordId,
+        refusal: &RecordError,
+        now: Micros,
+    ) -> QueryState {
+        match refusal {
+            RecordError::ResendBlocked(ResendBlocked::NeedsAttestation) => {
+                self.query_partner(id, now)
+            }
+            RecordError::ResendBlocked(ResendBlocked::Applied) => {
+                self.close_if_applied(id, now);
+                QueryState::NotPossible
+            }
+            _ => QueryState::NotPossible,
+        }
+    }
+
+    /// Queries a record's partner, unless that was done lately.
+    pub fn query_partner(&mut self, id: RecordId, now: Micros) -> QueryState {
+        self.partner_queries.query(id, &mut self.store, now)
+    }
+
+    /// Closes a record whose message took effect before, as its attestations say.
+    pub fn close_if_applied(&mut self, id: RecordId, now: Micros) {
+        let policy = self.policy(now);
+        self.store.access(|store| {
+            store.update(id, |record| {
+                record.check_unclaimed("", None, now)?;
+                if check_resend(record, &policy) == Err(ResendBlocked::Applied) {
+                    record.resolve(Resolution::AppliedBefore, now);
+                }
+                Ok::<_, RecordError>(())
+            })
+        });
+    }
+
+    /// The journal has accepted a resend under this number.
+    pub fn resend_started(&mut self, id: MessageId, origin: ResendOrigin, name: &str) {
+        let mut pending = PendingResend {
+            origin,
+            sender: String::new(),
+            message_name: name.into(),
+        };
+        let record = self
+            .store
+            .access(|store| store.find(origin.record))
+            .flatten()
+            .filter(|record| pending.is_of(record));
+        if let Some(RecordState::Sending { by, .. }) = record.map(|record| record.state) {
+            pending.sender = by;
+        }
+        self.pending.insert(id, pending);
+    }
+
+    /// A resend of the journal continues after a restart.
+    pub fn resend_restored(
+        &mut self,
+        id: MessageId,
+        origin: ResendOrigin,
+        name: &str,
+        now: Micros,
+    ) {
+        // The journal is right where the store has lost its newest changes.
+        self.store.access(|store| {
+            store.update(origin.record, |record| {
+                if record.origin.name == name {
+                    record.continue_resend("", origin.number, now);
+                }
+                Ok::<_, RecordError>(())
+            })
+        });
+        self.resend_started(id, origin, name);
+    }
+
+    /// Reopens the record of a resend that could not be handed over. Returns what had sent it; none if the record
+    /// cannot be changed.
+    pub fn abort(&mut self, origin: &ResendOrigin) -> Option<String> {
+        let aborted = self.store.access(|store| {
+            store.update(origin.record, |record| {
+                let sender = match &record.state {
+                    RecordState::Sending { by, .. } => by.clone(),
+                    _ => String::new(),
+                };
+                record.abort_resend();
+                Ok::<_, RecordError>(sender)
+            })
+        });
+        aborted.flatten()?.ok()
+    }
+
+    /// Whether the store has the end of a resend already, so that it must not be made again.
+    pub fn is_ended(&mut self, origin: &ResendOrigin, name: &str) -> bool {
+        let record = self.store.access(|store| store.find(origin.record));
+        record.flatten().is_some_and(|record| {
+            let is_sending = matches!(record.state, RecordState::Sending { .. });
+            let is_closed = matches!(record.state, RecordState::Closed(..));
+            let is_past =
+                record.resends > origin.number || (record.resends == origin.number && !is_sending);
+            record.origin.name == name && (is_past || is_closed)
+        })
+    }
+
+    /// Writes the end of a resend to its record.
+    pub fn record_outcome(
+        &mut self,
+        id: MessageId,
+        outcome: ResendOutcome,
+        now: Micros,
+        submission: &mut Submission<R>,
+    ) -> Recording {
+        let Some(pending) = self.pending.get(&id).cloned() else {
+            return Recording::NotPending;
+        };
+        let record = pending.origin.record;
+        let result = outcome.result();
+        let written = self.store.get().map(|store| {
+            store.update(record, |record| {
+                Ok::<_, RecordError>(apply_outcome(record, &pending, &outcome, now))
+            })
+        });
+        match written {
+            Some(Ok(Some(Ok(RecordMatch::SameMessage)))) => {}
+            // The record cannot be read, or is gone with a quarantined store: what is known of the message is stored
+            // as a new record.
+            Some(Ok(_) | Err(StoreError::Unreadable(_))) => {
+                if let ResendOutcome::Failed(failed) = outcome {
+                    submission.add(failed.replacement);
+                    let stored = submission.flush(&mut self.store);
+                    self.settle(&stored);
+                }
+            }
+            unavailable => {
+                if let Some(Err(error)) = unavailable {
+                    self.store.mark_unavailable(&error);
+                }
+                self.unsaved_outcomes.insert(id, outcome);
+                return Recording::Unsaved;
+            }
+        }
+        self.pending.remove(&id);
+        self.settle(&[record]);
+        // An earlier answer of the partner says nothing about this resend.
+        self.partner_queries.forget(record);
+        let sender = pending.sender;
+        Recording::Saved { sender, result }
+    }
+
+    /// The ends of resends that could not be written to the store, in the order of their messages.
+    pub fn take_unsaved_outcomes(&mut self) -> BTreeMap<MessageId, ResendOutcome> {
+        std::mem::take(&mut self.unsaved_outcomes)
+    }
+
+    /// The records and numbers of the resends in flight.
+    pub fn resends_in_flight(&self) -> BTreeSet<(RecordId, u32)> {
+        self.pending
+            .values()
+            .map(|pending| (pending.origin.record, pending.origin.number))
+            .collect()
+    }
+
+    /// What has sent each of the resends in flight.
+    pub fn senders(&self) -> impl Iterator<Item = &str> {
+        self.pending.values().map(|pending| pending.sender.as_str())
+    }
+}
+
+/// A record that is marked as being sent.
+struct BegunResend {
+    permit: ResendPermit,
+    number: u32,
+    origin: Origin,
+}
+
+/// Marks a record as being sent. It is checked in the same transaction, as it may have changed since it was read.
+fn begin_record(
+    record: &mut Record,
+    request: &ResendRequest<'_>,
+    policy: &ResendPolicy,
+) -> Result<BegunResend, RecordError> {
+    record.check_unclaimed(request.claimant, request.version, policy.now)?;
+    let permit = check_resend(record, policy).map_err(RecordError::ResendBlocked)?;
+    let number = record.begin_resend(request.sender, policy.now);
+    let origin = record.origin.clone();
+    Ok(BegunResend {
+        permit,
+        number,
+        origin,
+    })
+}
+
+impl BegunResend {
+    fn into_resend(self, record: RecordId, body: Vec<u8>) -> Resend {
+        let past_attempt = match self.permit {
+            ResendPermit::AsNew => None,
+            ResendPermit::Keyed { first } => Some(journal::Attempt {
+                sent_at: first,
+                zone: 0,
+                may_have_executed: true,
+            }),
+        };
+        let message = AcceptedMessage {
+            name: self.origin.name,
+            idempotency_key: self.origin.idempotency_key,
+            ordering_key: self.origin.ordering_key,
+            class: self.origin.class,
+            tenant: self.origin.tenant,
+            destination: self.origin.destination,
+            deadline: 0,
+            is_resubmitted: true,
+            body: Bytes::from(body),
+        };
+        let origin = ResendOrigin {
+            record,
+            number: self.number,
+            past_attempt,
+        };
+        Resend { origin, message }
+    }
+}
--- a/crates/relay/src/undeliverable_service/settings.rs
+++ b/crates/relay/src/undeliverable_service/settings.rs
@@ -45,18 +45,18 @@
     #[serde(default = "max_age_days")]
     max_age_days: u64,
     /// The most resends in flight.
-    #[serde(default = "at_once", rename = "at_once")]
+    #[serde(default = "max_concurrent_resends", rename = "at_once")]
     pub max_concurrent_resends: usize,
     /// The most resends of one record.
     #[serde(default = "max_resends")]
     pub max_resends: u32,
     #[serde(default = "settle_s")]
     settle_s: f64,
-    #[serde(default = "word_fresh_s", rename = "word_fresh_s")]
+    #[serde(default = "attestation_validity_s", rename = "word_fresh_s")]
     attestation_validity_s: f64,
-    #[serde(default = "key_margin_s", rename = "key_margin_s")]
+    #[serde(default = "key_expiry_margin_s", rename = "key_margin_s")]
     key_expiry_margin_s: f64,
-    #[serde(default = "lease_s", rename = "lease_s")]
+    #[serde(default = "claim_lease_s", rename = "lease_s")]
     claim_lease_s: f64,
     /// Partners that can be queried whether a message took effect.
     #[serde(default)]
@@ -126,12 +126,12 @@
     tenant_max_mb: u64 = 256;
     max_records: u64 = 1_000_000;
     max_age_days: u64 = 30;
-    at_once: usize = 2;
+    max_concurrent_resends: usize = 2;
     max_resends: u32 = 5;
     settle_s: f64 = 60.0;
-    word_fresh_s: f64 = 60.0;
-    key_margin_s: f64 = 1.0;
-    lease_s: f64 = 600.0;
+    attestation_validity_s: f64 = 60.0;
+    key_expiry_margin_s: f64 = 1.0;
+    claim_lease_s: f64 = 600.0;
     field: String = "status".into();
     timeout_ms: u64 = 2000;
     per_minute: u32 = 60;
