--- a/crates/relay/src/event_loop/completion.rs
+++ b/crates/relay/src/event_loop/completion.rs
@@ -10,6 +10,7 @@
 use crate::control_socket;
 use crate::in_flight::MessageName;
 use crate::journal::PendingMessage;
+use crate::undeliverable_service::FailedMessage;
 
 impl<R: Runtime> EventLoop<R> {
     /// A message's last attempt has ended: counts the end, unless its failure was counted before, and remembers the
@@ -80,7 +81,14 @@
         let Some(service) = &mut self.undeliverable else {
             return true;
         };
-        service.resend_failed(id, pending, class.as_ref(), failure, max_attempts, now)
+        let failed = FailedMessage {
+            pending,
+            class: class.as_ref(),
+            is_tenant_removed: false,
+            max_attempts,
+            failed_at: now,
+        };
+        service.resend_failed(id, &failed, failure)
     }
 
     /// Hands an undeliverable message to the store, if there is one.
@@ -90,13 +98,13 @@
         let class = self.class_of(pending);
         let is_tenant_removed = self.tenants.is_removed(&pending.accepted.tenant);
         if let Some(service) = &mut self.undeliverable {
-            service.record_given_up(
+            service.record_undeliverable(&FailedMessage {
                 pending,
-                class.as_ref(),
+                class: class.as_ref(),
                 is_tenant_removed,
                 max_attempts,
-                now,
-            );
+                failed_at: now,
+            });
         }
     }
 
--- a/crates/relay/src/event_loop/restore.rs
+++ b/crates/relay/src/event_loop/restore.rs
@@ -248,7 +248,7 @@
             self.release_message(id);
             return Remaining::Nothing;
         };
-        if service.is_closed(&origin, name) {
+        if service.is_ended(&origin, name) {
             self.release_message(id);
             return Remaining::Nothing;
         }
--- a/crates/relay/src/undeliverable_service/mod.rs
+++ b/crates/relay/src/undeliverable_service/mod.rs
@@ -26,17 +26,16 @@
 
 use std::time::{Duration, Instant};
 
-use policy::types::{AttemptOutcome, Class, MessageId, Micros};
+use policy::types::{AttemptOutcome, MessageId, Micros};
 use relay_events::{DeliveryFailure, RelayEvent};
 use runtime::Runtime;
 use tokio::sync::mpsc;
 use undeliverable::record::{Attester, ExecutionClaim};
 use undeliverable::RecordId;
 
-use crate::journal::{PendingMessage, ResendOrigin};
+use crate::journal::ResendOrigin;
 use batch_runner::BatchRunner;
-pub use failed_message::stored_outcome;
-use failed_message::FailedMessage;
+pub use failed_message::{stored_outcome, FailedMessage};
 use partner_query::PartnerQueries;
 pub use resend::Resend;
 use resend::{Recording, Resender};
@@ -163,21 +162,7 @@
     }
 
     /// Adds an undeliverable message, which the next [`UndeliverableService::flush`] stores.
-    pub fn record_given_up(
-        &mut self,
-        pending: &PendingMessage,
-        class: Option<&Class>,
-        is_tenant_removed: bool,
-        max_attempts: usize,
-        now: Micros,
-    ) {
-        let failed = FailedMessage {
-            pending,
-            class,
-            is_tenant_removed,
-            max_attempts,
-            failed_at: now,
-        };
+    pub fn record_undeliverable(&mut self, failed: &FailedMessage<'_>) {
         self.submission.add(UnsavedRecord {
             record: failed.record(),
             body: failed.pending.accepted.body.clone(),
@@ -203,7 +188,7 @@
     }
 
     /// Whether the store has the end of a resend of the journal already, so that it must not be made again.
-    pub fn is_closed(&mut self, origin: &ResendOrigin, name: &str) -> bool {
+    pub fn is_ended(&mut self, origin: &ResendOrigin, name: &str) -> bool {
         self.resender.is_ended(origin, name)
     }
 
@@ -241,25 +226,15 @@
     pub fn resend_failed(
         &mut self,
         id: MessageId,
-        pending: &PendingMessage,
-        class: Option<&Class>,
+        failed: &FailedMessage<'_>,
         failure: DeliveryFailure,
-        max_attempts: usize,
-        now: Micros,
     ) -> bool {
-        let failed = FailedMessage {
-            pending,
-            class,
-            is_tenant_removed: false,
-            max_attempts,
-            failed_at: now,
-        };
         let has_failed = failure == DeliveryFailure::Undeliverable || failed.is_out_of_attempts();
         let mut original = failed.pending.clone();
         original.resend = None;
         let replacement = FailedMessage {
             pending: &original,
-            ..failed
+            ..*failed
         };
         let outcome = FailedResend {
             attempts: failed.attempts(),
