--- a/crates/relay/src/undeliverable_service/partner_client.rs
+++ b/crates/relay/src/undeliverable_service/partner_client.rs
@@ -9,7 +9,7 @@
 use runtime::{Runtime, Stream, Task};
 use undeliverable::record::ExecutionClaim;
 
-use super::settings::PartnerSettings;
+use super::settings::Partner;
 
 /// The longest answer that is read, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
@@ -17,12 +17,12 @@
 /// A query whether a message took effect.
 pub struct PartnerQuery {
     path: String,
-    partner: PartnerSettings,
+    partner: Partner,
 }
 
 impl PartnerQuery {
     /// A query on the message of this name and idempotency key.
-    pub fn new(partner: &PartnerSettings, name: &str, key: Option<&str>) -> Self {
+    pub fn new(partner: &Partner, name: &str, key: Option<&str>) -> Self {
         let path = partner
             .path
             .replace("{id}", &percent_encode(name))
@@ -68,11 +68,7 @@
 }
 
 /// What an answer claims; none for one that the settings give no meaning.
-fn parse_answer(
-    partner: &PartnerSettings,
-    status: StatusCode,
-    body: &[u8],
-) -> Option<ExecutionClaim> {
+fn parse_answer(partner: &Partner, status: StatusCode, body: &[u8]) -> Option<ExecutionClaim> {
     if status == StatusCode::NOT_FOUND {
         return partner.absent_is_404.then_some(ExecutionClaim::NotApplied);
     }
--- a/crates/relay/src/undeliverable_service/partner_client/tests.rs
+++ b/crates/relay/src/undeliverable_service/partner_client/tests.rs
@@ -4,9 +4,9 @@
 use undeliverable::record::ExecutionClaim;
 
 use super::{parse_answer, PartnerQuery};
-use crate::undeliverable_service::settings::PartnerSettings;
+use crate::undeliverable_service::settings::Partner;
 
-fn partner(absent_is_404: bool) -> PartnerSettings {
+fn partner(absent_is_404: bool) -> Partner {
     let text = format!(
         "destination = 3\naddress = \"127.0.0.1:9\"\npath = \"/s/{{id}}?k={{key}}\"\napplied = [\"done\"]\n\
          not_applied = [\"none\"]\nabsent_is_404 = {absent_is_404}"
--- a/crates/relay/src/undeliverable_service/partner_query.rs
+++ b/crates/relay/src/undeliverable_service/partner_query.rs
@@ -10,7 +10,7 @@
 use undeliverable::RecordId;
 
 use super::partner_client::PartnerQuery;
-use super::settings::PartnerSettings;
+use super::settings::Partner;
 use super::store_lifecycle::StoreLifecycle;
 
 /// The most queries in progress.
@@ -31,7 +31,7 @@
 pub struct PartnerQueries<R: Runtime> {
     runtime: R,
     relay_events: mpsc::Sender<RelayEvent>,
-    partners: Vec<PartnerSettings>,
+    partners: Vec<Partner>,
     /// When the partners of records were last queried.
     queried_at: BTreeMap<RecordId, Micros>,
     in_progress: BTreeSet<RecordId>,
@@ -39,11 +39,7 @@
 
 impl<R: Runtime> PartnerQueries<R> {
     /// No queries. Answers go to the event loop's channel.
-    pub fn new(
-        runtime: R,
-        relay_events: mpsc::Sender<RelayEvent>,
-        partners: Vec<PartnerSettings>,
-    ) -> Self {
+    pub fn new(runtime: R, relay_events: mpsc::Sender<RelayEvent>, partners: Vec<Partner>) -> Self {
         PartnerQueries {
             runtime,
             relay_events,
--- a/crates/relay/src/undeliverable_service/settings.rs
+++ b/crates/relay/src/undeliverable_service/settings.rs
@@ -60,16 +60,16 @@
     claim_lease_s: f64,
     /// Partners that can be queried whether a message took effect.
     #[serde(default)]
-    pub partners: Vec<PartnerSettings>,
+    pub partners: Vec<Partner>,
     #[serde(default)]
     rules: Vec<RuleSettings>,
 }
 
-/// How a partner is queried whether a message took effect: `GET` at an address, answered with JSON.
+/// How a partner is queried whether a message took effect: `GET` at an address, answered with JSON. Errors of the
+/// parser show the name of this type.
 #[derive(Clone, Debug, Deserialize)]
-// The name in error messages stays as it was.
-#[serde(deny_unknown_fields, expecting = "struct Partner")]
-pub struct PartnerSettings {
+#[serde(deny_unknown_fields)]
+pub struct Partner {
     /// The partner's destination.
     pub destination: u16,
     /// The address to connect to.
@@ -222,9 +222,9 @@
         check_range("lease_s", self.claim_lease_s, 1.0, SECONDS_PER_DAY)
     }
 
-    fn check_destination_is_unique(&self, partner: &PartnerSettings) -> Result<(), SettingsError> {
+    fn check_destination_is_unique(&self, partner: &Partner) -> Result<(), SettingsError> {
         let destination = partner.destination;
-        let same = |other: &&PartnerSettings| other.destination == destination;
+        let same = |other: &&Partner| other.destination == destination;
         if self.partners.iter().filter(same).count() > 1 {
             return Err(SettingsError::DuplicatePartner { destination });
         }
@@ -232,7 +232,7 @@
     }
 }
 
-impl PartnerSettings {
+impl Partner {
     /// Longest wait for the whole answer.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
