--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -38,7 +38,7 @@
     let prefix = format!("{:x}", runtime.unix_time().as_millis());
     let router = api::router(api::Api::new(driver, tokens, &prefix));
     let (connections, pace) = (settings.connections, settings.requests_per_second);
-    log!(*runtime, "admin: serves at {address}");
+    log!(*runtime, "admin: listening address={address}");
     Ok(runtime.spawn(serve::serve(
         runtime.clone(),
         listener,
--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -14,7 +14,6 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
 #[cfg_attr(feature = "openapi", schema(as = Image, description = "A tenant as it was before or after a change. Of its secrets only the names are told."))]
-#[serde(rename = "Image")]
 pub struct TenantSnapshot {
     /// Its generation and revision.
     pub version: String,
--- a/crates/tenancy/src/spec.rs
+++ b/crates/tenancy/src/spec.rs
@@ -127,7 +127,7 @@
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
 #[cfg_attr(feature = "openapi", schema(as = Spec, description = "What an administrator sets of a tenant."))]
 #[serde(deny_unknown_fields, default)]
-#[serde(rename = "Spec")]
+#[serde(expecting = "struct Spec")]
 pub struct TenantSpec {
     /// Its part of the hold, of the slots and of each destination's calls, against those of the other tenants
     /// that use them, from 1 to 10,000. What a tenant leaves unused is lent to the others.
--- a/crates/tenancy/src/spec/tests.rs
+++ b/crates/tenancy/src/spec/tests.rs
@@ -77,3 +77,14 @@
         assert!(check_name(bad).is_err(), "{bad}");
     }
 }
+
+/// The text is part of what the API answers to a body of a wrong type.
+#[test]
+fn wrong_type_is_reported_under_the_name_of_the_schema() {
+    let error =
+        serde_json::from_str::<TenantSpec>("\"x\"").expect_err("a string is no specification");
+    assert_eq!(
+        error.to_string(),
+        "invalid type: string \"x\", expected struct Spec at line 1 column 3"
+    );
+}
