--- a/crates/relay/src/event_loop/error.rs
+++ b/crates/relay/src/event_loop/error.rs
@@ -7,6 +7,7 @@
 
 use crate::config::ConfigError;
 use crate::operator_config::OperatorFileError;
+use crate::tenant_service::TenantsError;
 
 /// The policy found its own state inconsistent. The process has to end; the journal holds all that matters.
 #[derive(Debug, Error)]
@@ -39,8 +40,8 @@
         slots: usize,
     },
     /// The tenants' registry cannot be opened.
-    #[error("{0}")]
-    Tenants(String),
+    #[error(transparent)]
+    Tenants(#[from] TenantsError),
     /// The policy aborted while the state was restored.
     #[error(transparent)]
     Policy(#[from] PolicyAborted),
--- a/crates/relay/src/event_loop/maintenance.rs
+++ b/crates/relay/src/event_loop/maintenance.rs
@@ -9,11 +9,9 @@
 use crate::undeliverable_service::UndeliverableService;
 
 impl<R: Runtime> EventLoop<R> {
-    /// Runs a step of the tenants' maintenance. Returns whether more is to be done soon.
+    /// Runs a step of the tenants' maintenance, unless the disk is full. Returns whether more is to be done soon.
     pub fn run_tenant_maintenance(&mut self) -> bool {
-        let has_spare = self.journal.has_spare();
-        self.tenants
-            .run_maintenance(&mut self.pending_events, has_spare)
+        self.journal.has_spare() && self.tenants.run_maintenance(&mut self.pending_events)
     }
 
     /// When the undeliverable service is to run next; none if there is no such service.
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -49,7 +49,7 @@
 use crate::in_flight::InFlightMessages;
 use crate::journal::Journal;
 use crate::state_directory::{Calls, DirectoryOwner};
-use crate::tenant_service::Tenants;
+use crate::tenant_service::{DiskSpace, Tenants};
 use crate::undeliverable_service::UndeliverableService;
 
 pub use error::{PolicyAborted, StartupError};
@@ -249,12 +249,16 @@
 
     fn answer_tenant_call(&mut self, call: TenantCall) {
         let scheduler = self.policy.scheduler();
-        let has_spare = self.journal.restore_spare();
+        let disk_space = if self.journal.restore_spare() {
+            DiskSpace::Available
+        } else {
+            DiskSpace::ReserveOnly
+        };
         let response = self.tenants.handle_request(
             call.request,
             |tenant| scheduler.usage(tenant),
             &mut self.pending_events,
-            has_spare,
+            disk_space,
         );
         // The caller may have gone away.
         drop(call.reply.send(response));
--- a/crates/relay/src/event_loop/reload.rs
+++ b/crates/relay/src/event_loop/reload.rs
@@ -30,7 +30,7 @@
                 "configuration: the old one stays in force: {error}"
             );
         }
-        operator_config::read_again(
+        operator_config::reload_tokens(
             &self.runtime,
             self.operator_file.as_deref(),
             &self.admin_tokens,
--- a/crates/relay/src/event_loop/startup.rs
+++ b/crates/relay/src/event_loop/startup.rs
@@ -201,7 +201,7 @@
         &config.classes,
         &config.settings,
     )
-    .map_err(|error| StartupError::Tenants(error.to_string()))
+    .map_err(StartupError::Tenants)
 }
 
 /// The state of the host list. When discovery was last in contact decides whether the list is confirmed at once.
--- a/crates/relay/src/operator_config.rs
+++ b/crates/relay/src/operator_config.rs
@@ -1,4 +1,4 @@
-//! The operator file: what goes beyond the platform's configuration. Without it, nothing of that is switched on.
+//! The operator file: settings beyond the platform's configuration. Without the file, none of these functions is on.
 
 mod error;
 
@@ -12,79 +12,96 @@
 use error::InvalidValue;
 pub use error::OperatorFileError;
 
-/// Bounds of the size of each registry file, in megabytes.
+/// Least value of the limit on a registry replica, in MiB.
 const MIN_STORE_MB: u64 = 1;
+/// Largest value of the limit on a registry replica, in MiB.
 const MAX_STORE_MB: u64 = 4096;
-/// Bounds of the size of one file of the audit log, in megabytes.
+/// Least value of the limit on a file of the audit log, in MiB.
 const MIN_AUDIT_MB: u64 = 1;
+/// Largest value of the limit on a file of the audit log, in MiB.
 const MAX_AUDIT_MB: u64 = 4096;
-/// Bounds of the number of older files of the audit log.
+/// Least number of rotated files of the audit log.
 const MIN_AUDIT_FILES: u64 = 1;
+/// Largest number of rotated files of the audit log.
 const MAX_AUDIT_FILES: u64 = 1000;
+/// Bytes in a MiB, the unit of the sizes in the file.
+const MIB: u64 = 1 << 20;
 
-/// What an operator sets.
+/// The settings of the operator file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// Tenants that administrators change.
+    /// The registry of tenants that administrators change.
     pub tenants: Option<Tenants>,
-    /// Messages that were given up: kept, looked through, sent again.
+    /// The store of undeliverable messages, and their resends.
     pub undeliverable: Option<crate::undeliverable_service::Settings>,
     /// The administration API.
     pub admin: Option<admin::Settings>,
-    /// A line in the log for each message taken, call made and answer, for counts over a fleet.
+    /// Log a line for each accepted message, call and response, for statistics over a fleet.
     #[serde(default)]
     pub log_calls: bool,
 }
 
-/// Tenants that administrators change.
+/// The registry of tenants that administrators change.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenants {
-    /// The folder of the registry and the audit log, which is there and this relay's alone.
+    /// The folder of the registry and the audit log: an absolute path of an existing folder that no other relay uses.
     pub folder: String,
-    /// Clients have to name themselves with `AUTH`, and hand in for their tenant alone.
+    /// Clients have to authenticate with `AUTH`, and may submit messages of their own tenant only.
     #[serde(default)]
     pub auth: bool,
     /// A new registry begins with the tenants of the settings.
-    #[serde(default = "yes")]
+    #[serde(default = "default_import")]
     pub import: bool,
-    /// Megabytes of each of the registry's two files at most.
-    #[serde(default = "store_mb")]
+    /// Largest size of each of the registry's two replicas, in MiB.
+    #[serde(default = "default_store_mb")]
     store_mb: u64,
-    /// Megabytes of one file of the audit log.
-    #[serde(default = "audit_mb")]
+    /// Largest size of a file of the audit log, in MiB.
+    #[serde(default = "default_audit_mb")]
     audit_mb: u64,
-    /// Older files of the audit log that are kept.
-    #[serde(default = "audit_files")]
+    /// Rotated files of the audit log that are kept.
+    #[serde(default = "default_audit_files")]
     audit_files: u32,
 }
 
-fn yes() -> bool {
+/// The limits of the audit log.
+#[derive(Clone, Copy, Debug)]
+pub struct AuditLogLimits {
+    /// Largest size of a file, in bytes.
+    pub max_file_bytes: u64,
+    /// Number of rotated files that are kept besides the current one.
+    pub max_rotated_files: u32,
+}
+
+fn default_import() -> bool {
     true
 }
 
-fn store_mb() -> u64 {
+fn default_store_mb() -> u64 {
     64
 }
 
-fn audit_mb() -> u64 {
+fn default_audit_mb() -> u64 {
     16
 }
 
-fn audit_files() -> u32 {
+fn default_audit_files() -> u32 {
     16
 }
 
 impl Tenants {
-    /// Bytes of each of the registry's files at most.
-    pub fn store_bytes(&self) -> u64 {
-        self.store_mb << 20
+    /// Largest size of each of the registry's two replicas, in bytes.
+    pub fn max_replica_bytes(&self) -> u64 {
+        self.store_mb * MIB
     }
 
-    /// Bytes of one file of the audit log, and older files that are kept.
-    pub fn audit(&self) -> (u64, u32) {
-        (self.audit_mb << 20, self.audit_files)
+    /// The limits of the audit log.
+    pub fn audit_log_limits(&self) -> AuditLogLimits {
+        AuditLogLimits {
+            max_file_bytes: self.audit_mb * MIB,
+            max_rotated_files: self.audit_files,
+        }
     }
 
     fn check(&self) -> Result<(), InvalidValue> {
@@ -108,7 +125,7 @@
 }
 
 impl Operator {
-    /// Reads the file and checks it as a whole. Without a file, nothing is switched on.
+    /// Reads the file and checks it as a whole. Without a path, all is off.
     ///
     /// # Errors
     ///
@@ -117,38 +134,30 @@
         let Some(path) = path else {
             return Ok(Operator::default());
         };
-        let shown = path.display().to_string();
-        let bytes = match runtime.read(path) {
-            Ok(bytes) => bytes,
-            Err(source) => {
-                return Err(OperatorFileError::Unreadable {
-                    path: shown,
-                    source,
-                })
-            }
-        };
-        let Ok(text) = std::str::from_utf8(&bytes) else {
-            return Err(OperatorFileError::NotText { path: shown });
-        };
-        let operator: Operator = match toml::from_str(text) {
-            Ok(operator) => operator,
-            Err(source) => {
-                return Err(OperatorFileError::Malformed {
-                    path: shown,
-                    source,
-                })
-            }
-        };
-        match operator.check() {
-            Ok(()) => Ok(operator),
-            Err(source) => Err(OperatorFileError::Invalid {
-                path: shown,
+        let file_name = || path.display().to_string();
+        let bytes = runtime
+            .read(path)
+            .map_err(|source| OperatorFileError::Unreadable {
+                path: file_name(),
                 source,
-            }),
-        }
+            })?;
+        let text = String::from_utf8(bytes)
+            .map_err(|_| OperatorFileError::NotText { path: file_name() })?;
+        let operator: Operator =
+            toml::from_str(&text).map_err(|source| OperatorFileError::Malformed {
+                path: file_name(),
+                source,
+            })?;
+        operator
+            .check()
+            .map_err(|source| OperatorFileError::Invalid {
+                path: file_name(),
+                source,
+            })?;
+        Ok(operator)
     }
 
-    /// Who may use the administration API.
+    /// The tokens of the administration API; none if the API is off.
     pub fn tokens(&self) -> Tokens {
         Tokens::new(self.admin.as_ref().map_or(&[], |admin| &admin.tokens))
     }
@@ -170,8 +179,9 @@
     }
 }
 
-/// Reads the file again, for its tokens; one that is not usable changes nothing.
-pub fn read_again(runtime: &impl Runtime, path: Option<&Path>, tokens: &watch::Sender<Tokens>) {
+/// Reads the file again, and puts its tokens in force. A file that cannot be used changes nothing; all other settings
+/// apply from the next start on.
+pub fn reload_tokens(runtime: &impl Runtime, path: Option<&Path>, tokens: &watch::Sender<Tokens>) {
     if path.is_none() {
         return;
     }
@@ -179,13 +189,10 @@
         Ok(new) => {
             log!(
                 *runtime,
-                "operator file: read again; all but tokens counts from the next start on"
+                "operator_file: tokens_reloaded other_settings=from_next_start"
             );
             tokens.send_replace(new.tokens());
         }
-        Err(error) => log!(
-            *runtime,
-            "operator file: the old one stays in force: {error}"
-        ),
+        Err(error) => log!(*runtime, "operator_file: reload_rejected error={error}"),
     }
 }
--- a/crates/relay/tests/admin.rs
+++ b/crates/relay/tests/admin.rs
@@ -752,7 +752,7 @@
     assert_eq!(weights(&api), [10, 11, 77]);
     assert_eq!(api.get("/v1/status").body["lost_changes"], 1);
     assert!(
-        scene.log().contains("1 changes are lost"),
+        scene.log().contains("tenants: changes_lost changes=1\n"),
         "{}",
         scene.log()
     );
@@ -776,7 +776,7 @@
     scene.start();
     assert_eq!(api.get("/v1/status").body["lost_changes"], 2);
     assert!(
-        scene.log().contains("the last 1 changes are lost"),
+        scene.log().contains("tenants: trailing_changes_lost changes=1\n"),
         "{}",
         scene.log()
     );
