--- a/crates/relay/src/tenant_service/audit_log.rs
+++ b/crates/relay/src/tenant_service/audit_log.rs
@@ -17,7 +17,7 @@
 const MAX_CACHED_ENTRIES: usize = 1000;
 /// Bytes at the end of the current file that are read at a start.
 const MAX_TAIL_BYTES: u64 = 1 << 20;
-/// Changes that may wait for the log; with so many waiting, no further change is made.
+/// Changes that may wait for the log; at this limit no further change is made.
 const MAX_UNLOGGED_CHANGES: usize = 100;
 
 /// The audit log.
@@ -106,7 +106,7 @@
         self.unlogged.len()
     }
 
-    /// Whether so many changes wait that no further one may be made.
+    /// Whether the limit of waiting changes is reached, so that no further change may be made.
     pub fn is_backlog_full(&self) -> bool {
         self.unlogged.len() >= MAX_UNLOGGED_CHANGES
     }
--- a/crates/relay/src/tenant_service/changes.rs
+++ b/crates/relay/src/tenant_service/changes.rs
@@ -12,7 +12,7 @@
 use super::hosted::{ConfiguredTenant, HostedTenants};
 
 /// Weight of a tenant whose share in the settings is the whole capacity.
-const WEIGHT_OF_WHOLE_SHARE: f64 = 1000.0;
+const WEIGHT_OF_FULL_SHARE: f64 = 1000.0;
 /// The actor of imported tenants, as the audit log names it.
 const IMPORT_ACTOR: &str = "configuration";
 /// The role of that actor.
@@ -95,7 +95,7 @@
 
 fn import_command(name: &str, share: f64) -> Command {
     let max_weight = f64::from(MAX_WEIGHT);
-    let weight = (share * WEIGHT_OF_WHOLE_SHARE).clamp(1.0, max_weight) as u32;
+    let weight = (share * WEIGHT_OF_FULL_SHARE).clamp(1.0, max_weight) as u32;
     Command {
         actor: Actor {
             name: IMPORT_ACTOR.into(),
--- a/crates/relay/src/tenant_service/error.rs
+++ b/crates/relay/src/tenant_service/error.rs
@@ -31,7 +31,7 @@
     },
 }
 
-/// Why a change was not made. Front ends show the message.
+/// Why a change was not made. The message is the `detail` of the administration API's error.
 #[derive(Debug, Error)]
 pub enum ChangeError {
     /// Too many changes wait for the audit log, which cannot be written.
--- a/crates/relay/src/tenant_service/replica_rewrite.rs
+++ b/crates/relay/src/tenant_service/replica_rewrite.rs
@@ -133,7 +133,7 @@
             self.file = Some(file);
             return Ok(self);
         }
-        // The snapshot holds some of these changes already; the sequence numbers tell which.
+        // Some of these changes are in the snapshot too; recovery skips them by the versions of their tenants.
         file.write_all(changes)?;
         let length = (self.snapshot.len() + changes.len()) as u64;
         replica.replace(runtime, file, length)?;
--- a/crates/relay/tests/admin.rs
+++ b/crates/relay/tests/admin.rs
@@ -776,7 +776,9 @@
     scene.start();
     assert_eq!(api.get("/v1/status").body["lost_changes"], 2);
     assert!(
-        scene.log().contains("tenants: trailing_changes_lost changes=1\n"),
+        scene
+            .log()
+            .contains("tenants: trailing_changes_lost changes=1\n"),
         "{}",
         scene.log()
     );
