--- a/crates/relay/tests/admin.rs
+++ b/crates/relay/tests/admin.rs
@@ -680,7 +680,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn a_spoilt_registry_is_healed_by_its_other_copy_or_told() {
+fn corrupt_registry_replica_is_repaired_and_lost_changes_are_reported() {
     let (mut scene, api) = started(Vec::new(), "import = false");
     for n in 0..3 {
         assert_eq!(
@@ -689,7 +689,7 @@
             201
         );
     }
-    let (one, other) = (
+    let (leader, follower) = (
         scene.folder.join("tenants/tenants.a"),
         scene.folder.join("tenants/tenants.b"),
     );
@@ -702,27 +702,27 @@
             .filter_map(|tenant| tenant["spec"]["weight"].as_u64())
             .collect()
     };
-    let spoil = |path: &std::path::Path, at: usize| {
+    let corrupt = |path: &std::path::Path, at: usize| {
         let mut text = fs::read(path).expect("a file");
         let at = at % text.len();
         text[at] ^= 0x10;
         fs::write(path, text).expect("written");
     };
-    // One copy spoilt, cut off, gone, or with a half-written one beside it.
+    // One replica is corrupt, truncated, missing, or has an incomplete replacement beside it.
     for turn in 0..5 {
         scene.kill();
         match turn {
-            0 => spoil(&one, 40),
-            1 => spoil(&other, 300),
-            2 => fs::write(&one, &fs::read(&one).expect("a file")[..100]).expect("written"),
-            3 => fs::remove_file(&one).expect("removed"),
+            0 => corrupt(&leader, 40),
+            1 => corrupt(&follower, 300),
+            2 => fs::write(&leader, &fs::read(&leader).expect("a file")[..100]).expect("written"),
+            3 => fs::remove_file(&leader).expect("removed"),
             _ => fs::write(scene.folder.join("tenants/tenants.a.new"), "half").expect("written"),
         }
         scene.start();
         assert_eq!(weights(&api), [10, 11, 12], "turn {turn}");
         assert_eq!(api.get("/v1/status").body["lost_changes"], 0);
     }
-    // The same change spoilt in both: what is lost is told, and the rest is served.
+    // The same change is corrupt in both replicas: the loss is reported, and all other changes are served.
     assert_eq!(
         api.patch("t1", "*", json!({"weight": 99}))
             .expect("an answer")
@@ -736,7 +736,7 @@
         200
     );
     scene.kill();
-    for path in [&one, &other] {
+    for path in [&leader, &follower] {
         let mut text = fs::read(path).expect("a file");
         let lines: Vec<usize> = text
             .iter()
@@ -756,7 +756,7 @@
         "{}",
         scene.log()
     );
-    // An end that both have lost: the audit log tells.
+    // Both replicas lack their last change: the audit log shows the loss.
     assert_eq!(
         api.patch("t0", "*", json!({"weight": 44}))
             .expect("an answer")
@@ -764,7 +764,7 @@
         200
     );
     scene.kill();
-    for path in [&one, &other] {
+    for path in [&leader, &follower] {
         let text = fs::read(path).expect("a file");
         let last = text[..text.len() - 1]
             .iter()
@@ -782,7 +782,7 @@
         "{}",
         scene.log()
     );
-    // No number is given twice.
+    // No sequence number is used twice.
     assert_eq!(
         api.patch("t0", "*", json!({"weight": 55}))
             .expect("an answer")
@@ -790,7 +790,7 @@
         200
     );
     assert_eq!(api.get("/v1/audit?limit=1").body["items"][0]["seq"], 7);
-    // It is told on until the files' end, also by the next process.
+    // The next process reports the loss too, as the replicas record it.
     scene.kill();
     scene.start();
     assert_eq!(api.get("/v1/status").body["lost_changes"], 2);
