--- a/crates/relay/src/event_loop/reload.rs
+++ b/crates/relay/src/event_loop/reload.rs
@@ -27,7 +27,7 @@
             let error = error.to_string().replace('\n', " ");
             log!(self.runtime, "configuration: reload_rejected error={error}");
         }
-        operator_config::read_again(
+        operator_config::reload_tokens(
             &self.runtime,
             self.operator_file.as_deref(),
             &self.admin_tokens,
