--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,49 +1,81 @@
 //! The administration API: HTTP and JSON on a listener of its own.
 //!
-//! It talks to the relay in [`relay_events`]'s terms alone, and only by questions and answers: what is
-//! decided of tenants is decided in [`tenancy`], what is kept is kept by the relay.
+//! It sends [`relay_events`] requests to the event loop and waits for the responses. What a change does is decided in
+//! [`tenancy`] and in the relay; the API authenticates, authorizes, and translates between HTTP and those requests.
+//!
+//! A resource is one module: [`tenants`], [`secrets`], [`audit`], [`status`] and [`undeliverable`]. They use what lies
+//! below (authentication, preconditions, paging, problems), which uses none of them; [`router`] joins them.
 
-mod api;
+mod audit;
 mod auth;
-mod model;
+mod entity_tag;
+mod headers;
+mod paging;
+mod precondition;
 mod problem;
+mod query;
+mod refusals;
+mod relay_client;
 mod request;
+mod router;
+mod secrets;
 mod serve;
 mod settings;
+mod state;
+mod status;
+mod tenants;
 mod undeliverable;
 
+use std::io;
+
 use relay_events::RelayEvent;
-use runtime::{log, Runtime};
+use runtime::{log, Address, Runtime};
 use tokio::sync::{mpsc, watch};
 
-pub use api::{document, LONGEST_BODY};
 pub use auth::Tokens;
-pub use settings::{Role, Settings, Token};
+pub use settings::{Role, Settings, SettingsError, Token};
+
+/// Why the API cannot be started.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The address of the listener cannot be used.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The listener cannot be opened.
+    #[error("cannot listen on {address} for administration: {error}")]
+    Listen {
+        /// The address.
+        address: Address,
+        /// Why not.
+        error: io::Error,
+    },
+}
 
-/// Listens, and serves the API from then on, until the task is ended. The error is one plain line.
+/// Opens the listener, and starts the task that serves the API until it is aborted.
 ///
 /// # Errors
 ///
-/// One plain line if the address cannot be parsed or bound.
+/// A [`StartError`] if the address cannot be parsed or bound.
 pub async fn start<R: Runtime>(
     runtime: &R,
     settings: &Settings,
     tokens: watch::Receiver<Tokens>,
-    driver: mpsc::Sender<RelayEvent>,
-) -> Result<R::Task, String> {
+    events: mpsc::Sender<RelayEvent>,
+) -> Result<R::Task, StartError> {
     let address = settings.address()?;
-    let listener = runtime.listen(address.clone()).await;
-    let listener =
-        listener.map_err(|e| format!("cannot listen on {address} for administration: {e}"))?;
-    let prefix = format!("{:x}", runtime.unix_time().as_millis());
-    let router = api::router(api::Api::new(driver, tokens, &prefix));
-    let (connections, pace) = (settings.connections, settings.requests_per_second);
-    log!(*runtime, "admin: serves at {address}");
-    Ok(runtime.spawn(serve::serve(
-        runtime.clone(),
-        listener,
-        router,
-        connections,
-        pace,
-    )))
+    let listener = match runtime.listen(address.clone()).await {
+        Ok(listener) => listener,
+        Err(error) => return Err(StartError::Listen { address, error }),
+    };
+    // Request ids begin with the start time, so that no two processes of a relay give the same.
+    let request_id_prefix = format!("{:x}", runtime.unix_time().as_millis());
+    let state = state::ApiState::new(events, tokens, &request_id_prefix);
+    let limits = serve::ServeLimits {
+        connections: settings.connections,
+        requests_per_second: settings.requests_per_second,
+    };
+    log!(*runtime, "admin: listening address={address}");
+    let router = router::router(state);
+    let serving = serve::serve(runtime.clone(), listener, router, limits);
+    Ok(runtime.spawn(serving))
 }
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -1,10 +1,11 @@
-//! Problem bodies (RFC 9457).
+//! Error responses: problem details for HTTP APIs (RFC 9457).
 
 use axum::http::header::{CONTENT_TYPE, ETAG, RETRY_AFTER, WWW_AUTHENTICATE};
 use axum::http::{HeaderValue, StatusCode};
 use axum::response::{IntoResponse, Response};
 use serde::Serialize;
-use tenancy::registry::RegistryError;
+
+use crate::entity_tag::entity_tag_value;
 
 /// What went wrong, as RFC 9457 has it.
 #[derive(Debug, Serialize, utoipa::ToSchema)]
@@ -28,53 +29,45 @@
     field: Option<&'static str>,
 }
 
-/// What more there is to say of a problem.
-#[derive(Clone, Debug, PartialEq, Eq)]
-enum More {
-    Nothing,
-    /// The version as it is now.
-    Current(String),
-    /// The field that is wrong.
-    Field(&'static str),
-}
-
-/// What went wrong.
+/// An error response: its HTTP status, and what the body says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The HTTP status.
     pub status: StatusCode,
     kind: &'static str,
     detail: String,
-    more: More,
+    current_version: Option<String>,
+    field: Option<&'static str>,
 }
 
 impl Problem {
-    /// A problem of a kind.
+    /// A problem of a kind, which is the last part of the body's `type`. The detail is for people.
     pub fn new(status: StatusCode, kind: &'static str, detail: impl Into<String>) -> Self {
         Problem {
             status,
             kind,
             detail: detail.into(),
-            more: More::Nothing,
+            current_version: None,
+            field: None,
         }
     }
 
-    /// 401.
+    /// 401: the request has no acceptable token.
     pub fn unauthorized(detail: impl Into<String>) -> Self {
         Problem::new(StatusCode::UNAUTHORIZED, "unauthorized", detail)
     }
 
-    /// 403.
+    /// 403: the token does not permit the request.
     pub fn forbidden(detail: impl Into<String>) -> Self {
         Problem::new(StatusCode::FORBIDDEN, "forbidden", detail)
     }
 
-    /// 400.
+    /// 400: the request cannot be parsed.
     pub fn malformed(detail: impl Into<String>) -> Self {
         Problem::new(StatusCode::BAD_REQUEST, "malformed-request", detail)
     }
 
-    /// 428: a change has to say which state it is meant for.
+    /// 428: a change needs `If-Match`.
     pub fn precondition_required() -> Self {
         let detail = "a change needs If-Match with the ETag of what it changes, or * for any state";
         Problem::new(
@@ -84,7 +77,7 @@
         )
     }
 
-    /// 429.
+    /// 429: the rate of requests is over its limit.
     pub fn too_many_requests() -> Self {
         Problem::new(
             StatusCode::TOO_MANY_REQUESTS,
@@ -93,66 +86,55 @@
         )
     }
 
-    /// 412: another version was meant.
-    pub fn stale(current: String, detail: impl Into<String>) -> Self {
+    /// 412: `If-Match` does not name the current version.
+    pub fn stale(current_version: String, detail: impl Into<String>) -> Self {
         let problem = Problem::new(StatusCode::PRECONDITION_FAILED, "stale-version", detail);
         Problem {
-            more: More::Current(current),
+            current_version: Some(current_version),
             ..problem
         }
     }
 
-    /// 503: not done, and harmless to ask again.
+    /// 422: a value of the body is out of range or malformed.
+    pub fn invalid_value(detail: impl Into<String>) -> Self {
+        Problem::new(StatusCode::UNPROCESSABLE_ENTITY, "invalid-value", detail)
+    }
+
+    /// 422: the value of this field is out of range or malformed.
+    pub fn invalid_field(field: &'static str, detail: impl Into<String>) -> Self {
+        Problem {
+            field: Some(field),
+            ..Problem::invalid_value(detail)
+        }
+    }
+
+    /// 503: nothing was done; the request may be retried.
     pub fn unavailable(detail: impl Into<String>) -> Self {
         Problem::new(StatusCode::SERVICE_UNAVAILABLE, "unavailable", detail)
     }
-}
 
-impl From<RegistryError> for Problem {
-    fn from(refusal: RegistryError) -> Self {
-        let detail = refusal.to_string();
-        let problem = |status, kind| Problem::new(status, kind, detail.clone());
-        match refusal {
-            RegistryError::Unknown(_) => problem(StatusCode::NOT_FOUND, "no-such-tenant"),
-            RegistryError::Gone(_) => problem(StatusCode::GONE, "tenant-removed"),
-            RegistryError::Exists(_) => problem(StatusCode::CONFLICT, "tenant-exists"),
-            RegistryError::Draining(_) => problem(StatusCode::CONFLICT, "tenant-draining"),
-            RegistryError::Stale(current) => Problem::stale(current.to_string(), detail.clone()),
-            RegistryError::Invalid(invalid) => {
-                let problem = problem(StatusCode::UNPROCESSABLE_ENTITY, "invalid-value");
-                Problem {
-                    more: More::Field(invalid.field),
-                    ..problem
-                }
-            }
-            RegistryError::TooMany { .. } => problem(StatusCode::CONFLICT, "too-many"),
-            RegistryError::Secret(_) => problem(StatusCode::CONFLICT, "secret"),
-            RegistryError::KeyReused => {
-                problem(StatusCode::UNPROCESSABLE_ENTITY, "idempotency-key-reused")
-            }
-        }
+    /// 500: the relay's response does not belong to the request.
+    pub fn unexpected_response() -> Self {
+        Problem::new(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "internal",
+            "the relay gave another answer than was asked for",
+        )
     }
 }
 
 impl IntoResponse for Problem {
     fn into_response(self) -> Response {
-        let (current, field) = match self.more {
-            More::Nothing => (None, None),
-            More::Current(version) => (Some(version), None),
-            More::Field(field) => (None, Some(field)),
-        };
-        let etag = current
-            .as_ref()
-            .and_then(|v| HeaderValue::from_str(&format!("\"{v}\"")).ok());
+        let etag = self.current_version.as_ref().map(entity_tag_value);
         let body = ProblemBody {
             kind: format!("urn:madderpitch:problem:{}", self.kind),
             title: self.kind.replace('-', " "),
             status: self.status.as_u16(),
             detail: self.detail,
-            current_version: current,
-            field,
+            current_version: self.current_version,
+            field: self.field,
         };
-        // A struct of texts and numbers, which does not fail to be written.
+        // Serializing a struct of strings and numbers cannot fail.
         let text = serde_json::to_vec(&body).unwrap_or_default();
         let mut response = (self.status, text).into_response();
         let headers = response.headers_mut();
@@ -169,8 +151,9 @@
             }
             _ => {}
         }
-        etag.into_iter()
-            .for_each(|etag| drop(headers.insert(ETAG, etag)));
+        if let Some(etag) = etag {
+            headers.insert(ETAG, etag);
+        }
         response
     }
 }
--- /dev/null
+++ b/crates/admin/src/refusals.rs
@@ -0,0 +1,63 @@
+//! Which problem a refusal of the registry or of the undeliverable store becomes.
+
+use axum::http::StatusCode;
+use tenancy::registry::RegistryError;
+use undeliverable::batch::BatchError;
+use undeliverable::record::RecordError;
+
+use crate::problem::Problem;
+
+impl From<RegistryError> for Problem {
+    fn from(error: RegistryError) -> Self {
+        let detail = error.to_string();
+        let (status, kind) = match error {
+            RegistryError::Stale(current) => return Problem::stale(current.to_string(), detail),
+            RegistryError::Invalid(invalid) => {
+                return Problem::invalid_field(invalid.field, detail)
+            }
+            RegistryError::Unknown(_) => (StatusCode::NOT_FOUND, "no-such-tenant"),
+            RegistryError::Gone(_) => (StatusCode::GONE, "tenant-removed"),
+            RegistryError::Exists(_) => (StatusCode::CONFLICT, "tenant-exists"),
+            RegistryError::Draining(_) => (StatusCode::CONFLICT, "tenant-draining"),
+            RegistryError::TooMany { .. } => (StatusCode::CONFLICT, "too-many"),
+            RegistryError::Secret(_) => (StatusCode::CONFLICT, "secret"),
+            RegistryError::KeyReused => {
+                (StatusCode::UNPROCESSABLE_ENTITY, "idempotency-key-reused")
+            }
+        };
+        Problem::new(status, kind, detail)
+    }
+}
+
+impl From<RecordError> for Problem {
+    fn from(error: RecordError) -> Self {
+        let detail = error.to_string();
+        let (status, kind) = match error {
+            RecordError::Version(current) => return Problem::stale(current.to_string(), detail),
+            RecordError::Malformed(_) => return Problem::invalid_value(detail),
+            RecordError::NoRecord => (StatusCode::NOT_FOUND, "no-such-record"),
+            RecordError::Claimed(_) => (StatusCode::LOCKED, "record-claimed"),
+            RecordError::Sending => (StatusCode::CONFLICT, "record-sending"),
+            RecordError::Closed(_) => (StatusCode::CONFLICT, "record-closed"),
+            RecordError::ResendBlocked(reason) => (StatusCode::CONFLICT, reason.word()),
+            RecordError::Settling => (StatusCode::TOO_MANY_REQUESTS, "record-resting"),
+            RecordError::NotAccepted => (StatusCode::CONFLICT, "not-handed-over"),
+        };
+        Problem::new(status, kind, detail)
+    }
+}
+
+impl From<BatchError> for Problem {
+    fn from(error: BatchError) -> Self {
+        let detail = error.to_string();
+        let (status, kind) = match error {
+            BatchError::Version(current) => return Problem::stale(current.to_string(), detail),
+            BatchError::Malformed(_) => return Problem::invalid_value(detail),
+            BatchError::Exists => (StatusCode::CONFLICT, "batch-exists"),
+            BatchError::None => (StatusCode::NOT_FOUND, "no-such-batch"),
+            BatchError::TooMany => (StatusCode::CONFLICT, "too-many"),
+            BatchError::Over(_) => (StatusCode::CONFLICT, "batch-over"),
+        };
+        Problem::new(status, kind, detail)
+    }
+}
--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -1,7 +1,8 @@
-//! The listener. It bounds what an administrator may take of the process: connections, the time of one without a
-//! whole request, and requests a second. Nothing here waits for the relay but within a request.
+//! The listener. It limits what clients may take of the process: connections, time without a complete request, and
+//! requests per second.
 
 use std::cell::{Cell, RefCell};
+use std::pin::pin;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -20,89 +21,107 @@
 
 use crate::problem::Problem;
 
-/// A connection on which no request has become whole for so long is closed.
-const IDLE: Duration = Duration::from_secs(10);
-/// The longest head of a request, in bytes.
-const LONGEST_HEAD: usize = 16 << 10;
-/// After a connection that could not be accepted, or past the most, the next is taken so much later.
-const REST: Duration = Duration::from_millis(20);
+/// Time after which a connection without a complete request is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest head of a request, in bytes.
+const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
+/// Delay before the next accept after one that failed, or after a connection over the limit.
+const ACCEPT_DELAY: Duration = Duration::from_millis(20);
+/// Seconds of the permitted rate that may be used in one burst.
+const BURST_S: f64 = 2.0;
 
-/// Requests that may come: so many a second, twice as many at once.
-struct Pace {
-    per_s: f64,
-    tokens: f64,
-    at: Instant,
+/// Limits of the listener.
+pub struct ServeLimits {
+    /// Most connections open at a time.
+    pub connections: usize,
+    /// Sustained rate of requests.
+    pub requests_per_second: f64,
 }
 
-impl Pace {
-    fn take(&mut self, now: Instant) -> bool {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        (self.tokens, self.at) = (
-            (self.tokens + passed * self.per_s).min(2.0 * self.per_s),
-            now,
-        );
-        let room = self.tokens >= 1.0;
-        self.tokens -= if room { 1.0 } else { 0.0 };
-        room
+/// A token bucket that limits the rate of requests.
+struct RequestRateLimiter {
+    requests_per_second: f64,
+    available: f64,
+    refilled_at: Instant,
+}
+
+impl RequestRateLimiter {
+    fn new(requests_per_second: f64, now: Instant) -> Self {
+        RequestRateLimiter {
+            requests_per_second,
+            available: BURST_S * requests_per_second,
+            refilled_at: now,
+        }
+    }
+
+    /// Whether a request may be served now; it counts if so.
+    fn try_acquire(&mut self, now: Instant) -> bool {
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        let refilled = self.available + elapsed.as_secs_f64() * self.requests_per_second;
+        self.available = refilled.min(BURST_S * self.requests_per_second);
+        self.refilled_at = now;
+        if self.available < 1.0 {
+            return false;
+        }
+        self.available -= 1.0;
+        true
     }
 }
 
-/// Serves the API's routes for good.
+/// Accepts connections and serves the API's routes on them; never returns.
 pub async fn serve<R: Runtime>(
     runtime: R,
     listener: R::Listener,
     router: Router,
-    connections: usize,
-    requests_per_second: f64,
+    limits: ServeLimits,
 ) {
-    let open = Rc::new(Cell::new(0));
-    let per_s = requests_per_second;
-    let pace = Rc::new(RefCell::new(Pace {
-        per_s,
-        tokens: 2.0 * per_s,
-        at: runtime.now(),
-    }));
+    let open_connections = Rc::new(Cell::new(0));
+    let limiter = RequestRateLimiter::new(limits.requests_per_second, runtime.now());
+    let limiter = Rc::new(RefCell::new(limiter));
     loop {
         let stream = match listener.accept().await {
             Ok(stream) => stream,
             Err(error) => {
                 log!(runtime, "admin: cannot accept: {error}");
-                runtime.sleep(REST).await;
+                runtime.sleep(ACCEPT_DELAY).await;
                 continue;
             }
         };
-        if open.get() >= connections {
+        if open_connections.get() >= limits.connections {
             drop(stream);
             // Guards the process against a client that opens connections at full speed.
-            runtime.sleep(REST).await;
+            runtime.sleep(ACCEPT_DELAY).await;
             continue;
         }
-        open.set(open.get() + 1);
-        let (own, router, pace, open) =
-            (runtime.clone(), router.clone(), pace.clone(), open.clone());
+        open_connections.set(open_connections.get() + 1);
+        let connection_runtime = runtime.clone();
+        let router = router.clone();
+        let limiter = limiter.clone();
+        let open_connections = open_connections.clone();
         runtime.spawn(async move {
-            connection(&own, stream, router, pace).await;
-            open.set(open.get() - 1);
+            serve_connection(&connection_runtime, stream, router, limiter).await;
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-async fn connection<R: Runtime>(
+async fn serve_connection<R: Runtime>(
     runtime: &R,
     stream: R::Stream,
     router: Router,
-    pace: Rc<RefCell<Pace>>,
+    limiter: Rc<RefCell<RequestRateLimiter>>,
 ) {
     if stream.set_nodelay().is_err() {
         return;
     }
-    // When the last request was answered, or the connection began.
-    let last = Rc::new(Cell::new(runtime.now()));
+    // When the last response was ready, or the connection was accepted.
+    let last_active_at = Rc::new(Cell::new(runtime.now()));
     let service = service_fn(|request: Request<Incoming>| {
-        let (router, last) = (router.clone(), last.clone());
-        let room = pace.borrow_mut().take(runtime.now());
+        let router = router.clone();
+        let last_active_at = last_active_at.clone();
+        let permitted = limiter.borrow_mut().try_acquire(runtime.now());
         async move {
-            let mut response: Response<Body> = if room {
+            let mut response: Response<Body> = if permitted {
                 router
                     .oneshot(request)
                     .await
@@ -114,25 +133,28 @@
             if let Ok(date) = HeaderValue::from_str(&date) {
                 response.headers_mut().insert(DATE, date);
             }
-            last.set(runtime.now());
+            last_active_at.set(runtime.now());
             Ok::<_, std::convert::Infallible>(response)
         }
     });
-    let mut library = http1::Builder::new();
-    library
-        .max_buf_size(LONGEST_HEAD)
+    let mut protocol = http1::Builder::new();
+    protocol
+        .max_buf_size(MAX_REQUEST_HEAD_BYTES)
         .auto_date_header(false)
         .half_close(false);
-    let mut served = std::pin::pin!(library.serve_connection(TokioIo::new(stream), service));
+    let mut served = pin!(protocol.serve_connection(TokioIo::new(stream), service));
     loop {
-        let until = last.get() + IDLE;
+        let idle_until = last_active_at.get() + IDLE_TIMEOUT;
         tokio::select! {
             biased;
-            // A client that breaks off or sends what can't be read has its connection closed.
+            // An error means that the client closed the connection, or sent what is not HTTP.
             _ = &mut served => return,
-            () = runtime.sleep_until(until) => if runtime.now() >= last.get() + IDLE {
-                return;
-            },
+            // A request may have been answered since the timer was set.
+            () = runtime.sleep_until(idle_until) => {
+                if runtime.now() >= last_active_at.get() + IDLE_TIMEOUT {
+                    return;
+                }
+            }
         }
     }
 }
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -1,32 +1,38 @@
-//! What an operator sets of the API.
+//! Settings of the administration API: the section `[admin]` of the operator file.
 
 use relay_events::tenants::Scope;
-use runtime::Address;
+use runtime::{Address, AddressError};
 use serde::Deserialize;
 use tenancy::secret::Digest;
-use tenancy::spec::check_name;
+use tenancy::spec::{check_name, SpecError};
 
-/// Tokens at most.
-pub const MOST_TOKENS: usize = 256;
-/// Patterns of one token's scope at most.
-const MOST_PATTERNS: usize = 64;
-/// Connections and requests a second that may be set at most.
-const MOST: (usize, f64) = (1024, 10_000.0);
+/// Most tokens that may be configured.
+const MAX_TOKENS: usize = 256;
+/// Most patterns in the scope of one token.
+const MAX_SCOPE_PATTERNS: usize = 64;
+/// Largest permitted value of [`Settings::connections`].
+const MAX_CONNECTIONS: usize = 1024;
+/// Largest permitted value of [`Settings::requests_per_second`].
+const MAX_REQUESTS_PER_SECOND: f64 = 10_000.0;
+/// Value of [`Settings::connections`] if the key is absent.
+const DEFAULT_CONNECTIONS: usize = 32;
+/// Value of [`Settings::requests_per_second`] if the key is absent.
+const DEFAULT_REQUESTS_PER_SECOND: f64 = 50.0;
 
-/// What somebody may do.
+/// What the bearer of a token may do. Each role includes those before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Look at tenants and their usage.
+    /// Read tenants, their usage, and undeliverable messages.
     Viewer,
-    /// Also change specifications, pause, resume, and read the audit log.
+    /// Also change specifications, pause and resume tenants, read the audit log, and act on undeliverable messages.
     Operator,
-    /// Also make and remove tenants, and change their secrets.
+    /// Also create and remove tenants, and change their secrets.
     Admin,
 }
 
 impl Role {
-    /// Its name.
+    /// The role's name, as in the operator file and the audit log.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -41,114 +47,136 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
-    /// Its name in the audit log.
+    /// The bearer's name in the audit log.
     pub name: String,
-    /// What its bearer may do.
+    /// What the bearer may do.
     pub role: Role,
     /// SHA-256 of the token, in hexadecimal digits.
     pub sha256: Digest,
-    /// Tenants that its bearer may see and change: names, or beginnings of names followed by `*`.
+    /// Tenants that the bearer may see and change: names, or prefixes of names followed by `*`.
     pub tenants: Vec<String>,
 }
 
 impl Token {
-    /// The tenants of the token.
+    /// The tenants that the bearer may see and change.
     #[must_use]
     pub fn scope(&self) -> Scope {
         Scope(self.tenants.clone())
     }
+
+    fn check(&self, earlier: &[Token]) -> Result<(), SettingsError> {
+        check_name(&self.name).map_err(SettingsError::TokenName)?;
+        if earlier.iter().any(|other| other.name == self.name) {
+            return Err(SettingsError::DuplicateTokenName(self.name.clone()));
+        }
+        if earlier.iter().any(|other| other.sha256 == self.sha256) {
+            return Err(SettingsError::DuplicateTokenDigest(self.name.clone()));
+        }
+        let valid = |pattern: &String| is_scope_pattern(pattern);
+        if self.tenants.len() > MAX_SCOPE_PATTERNS || !self.tenants.iter().all(valid) {
+            return Err(SettingsError::TokenScope(self.name.clone()));
+        }
+        Ok(())
+    }
+}
+
+/// Whether a pattern is a tenant's name, a prefix of one followed by `*`, or `*` alone.
+fn is_scope_pattern(pattern: &str) -> bool {
+    let prefix = pattern.strip_suffix('*').unwrap_or(pattern);
+    pattern == "*" || check_name(prefix).is_ok()
 }
 
-fn connections() -> usize {
-    32
+fn default_connections() -> usize {
+    DEFAULT_CONNECTIONS
 }
 
-fn requests_per_second() -> f64 {
-    50.0
+fn default_requests_per_second() -> f64 {
+    DEFAULT_REQUESTS_PER_SECOND
 }
 
-/// What an operator sets of the API.
+/// Settings of the API.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where it listens: a loopback address and port, or `unix:` and a path.
+    /// Address of the listener: a loopback address and port, or `unix:` and an absolute path.
     pub listen: String,
-    /// Connections at once at most; past that a new one is closed.
-    #[serde(default = "connections")]
+    /// Most connections open at a time; a further one is closed at once.
+    #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Requests a second at most, twice as many at once; past that they are answered 429.
-    #[serde(default = "requests_per_second")]
+    /// Sustained rate of requests; bursts may have twice as many. Requests beyond it are answered 429.
+    #[serde(default = "default_requests_per_second")]
     pub requests_per_second: f64,
-    /// Who may use it.
+    /// The bearer tokens that are accepted.
     #[serde(default)]
     pub tokens: Vec<Token>,
 }
 
+/// A setting that cannot be used. The text names the key in the operator file.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SettingsError {
+    /// `listen` is not an address.
+    #[error("admin.listen: {0}")]
+    ListenAddress(AddressError),
+    /// `listen` can be reached from other machines.
+    #[error("admin.listen: {0} is no loopback address")]
+    NotLoopback(Address),
+    /// `connections` is out of range.
+    #[error("admin.connections is not from 1 to {MAX_CONNECTIONS}")]
+    Connections,
+    /// `requests_per_second` is out of range.
+    #[error("admin.requests_per_second is not from 1 to {MAX_REQUESTS_PER_SECOND}")]
+    RequestsPerSecond,
+    /// There are too many tokens.
+    #[error("admin.tokens are more than {MAX_TOKENS}")]
+    TooManyTokens,
+    /// A token's name is malformed.
+    #[error("admin.tokens: {0}")]
+    TokenName(SpecError),
+    /// Two tokens have this name.
+    #[error("admin.tokens: {0:?} is there twice")]
+    DuplicateTokenName(String),
+    /// The token of this name has the same digest as an earlier one.
+    #[error("admin.tokens: {0:?} has the digest of another")]
+    DuplicateTokenDigest(String),
+    /// The token of this name has too many scope patterns, or a malformed one.
+    #[error("admin.tokens: the tenants of {0:?} are not up to {MAX_SCOPE_PATTERNS} names or beginnings with *")]
+    TokenScope(String),
+}
+
 impl Settings {
-    /// Whether all is within bounds; the error is one plain line.
+    /// Checks that every value is in range.
     ///
     /// # Errors
     ///
-    /// One plain line that names the first value out of bounds.
-    pub fn check(&self) -> Result<(), String> {
+    /// A [`SettingsError`] that names the first value out of range.
+    pub fn check(&self) -> Result<(), SettingsError> {
         self.address()?;
-        if !(1..=MOST.0).contains(&self.connections) {
-            return Err(format!("admin.connections is not from 1 to {}", MOST.0));
+        if !(1..=MAX_CONNECTIONS).contains(&self.connections) {
+            return Err(SettingsError::Connections);
         }
-        if !(self.requests_per_second >= 1.0 && self.requests_per_second <= MOST.1) {
-            return Err(format!(
-                "admin.requests_per_second is not from 1 to {}",
-                MOST.1
-            ));
+        if !(1.0..=MAX_REQUESTS_PER_SECOND).contains(&self.requests_per_second) {
+            return Err(SettingsError::RequestsPerSecond);
         }
-        if self.tokens.len() > MOST_TOKENS {
-            return Err(format!("admin.tokens are more than {MOST_TOKENS}"));
+        if self.tokens.len() > MAX_TOKENS {
+            return Err(SettingsError::TooManyTokens);
         }
-        for (at, token) in self.tokens.iter().enumerate() {
-            check_name(&token.name).map_err(|e| format!("admin.tokens: {e}"))?;
-            if self.tokens[..at]
-                .iter()
-                .any(|other| other.name == token.name)
-            {
-                return Err(format!("admin.tokens: {:?} is there twice", token.name));
-            }
-            if self.tokens[..at]
-                .iter()
-                .any(|other| other.sha256 == token.sha256)
-            {
-                return Err(format!(
-                    "admin.tokens: {:?} has the digest of another",
-                    token.name
-                ));
-            }
-            let named = |pattern: &String| {
-                let name = pattern.strip_suffix('*').unwrap_or(pattern);
-                name.is_empty() && pattern == "*" || check_name(name).is_ok()
-            };
-            if token.tenants.len() > MOST_PATTERNS || !token.tenants.iter().all(named) {
-                return Err(format!(
-                    "admin.tokens: the tenants of {:?} are not up to {MOST_PATTERNS} names or beginnings with *",
-                    token.name
-                ));
-            }
+        for (index, token) in self.tokens.iter().enumerate() {
+            token.check(&self.tokens[..index])?;
         }
         Ok(())
     }
 
-    /// Where it listens.
+    /// The address of the listener.
     ///
     /// # Errors
     ///
-    /// One plain line if the text is no address.
-    pub fn address(&self) -> Result<Address, String> {
-        let address: Address = self
-            .listen
-            .parse()
-            .map_err(|e| format!("admin.listen: {e}"))?;
+    /// [`SettingsError::ListenAddress`] or [`SettingsError::NotLoopback`].
+    pub fn address(&self) -> Result<Address, SettingsError> {
+        let address: Address = self.listen.parse().map_err(SettingsError::ListenAddress)?;
         if address.is_local() {
             Ok(address)
         } else {
-            Err(format!("admin.listen: {address} is no loopback address"))
+            Err(SettingsError::NotLoopback(address))
         }
     }
 }
--- a/crates/admin/src/model.rs
+++ b/crates/admin/src/tenants/model.rs
@@ -1,8 +1,8 @@
-//! Bodies of requests and answers.
+//! Bodies of requests and responses about tenants.
 
-use relay_events::tenants::{RegistryReport, TenantView, UsageReport};
+use relay_events::tenants::{TenantView, UsageReport};
 use serde::{Deserialize, Serialize};
-use tenancy::audit::{rfc3339, Entry};
+use tenancy::audit::rfc3339;
 use tenancy::registry::State;
 use tenancy::spec::TenantSpec;
 use utoipa::ToSchema;
@@ -91,18 +91,6 @@
     pub spec: serde_json::Value,
 }
 
-/// A secret to be added.
-#[derive(Debug, Deserialize, Serialize, ToSchema)]
-#[serde(deny_unknown_fields)]
-pub struct NewSecret {
-    /// Its name among the tenant's.
-    #[schema(max_length = 64, pattern = "^[A-Za-z0-9][A-Za-z0-9._-]*$")]
-    pub id: String,
-    /// SHA-256 of the secret, in hexadecimal digits. Make secrets of 128 random bits or more.
-    #[schema(pattern = "^[0-9A-Fa-f]{64}$")]
-    pub sha256: String,
-}
-
 /// Some of the tenants.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct TenantPage {
@@ -123,7 +111,8 @@
     #[schema(format = DateTime)]
     pub since: String,
     /// Messages taken on.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted: u64,
     /// Messages delivered.
     pub delivered: u64,
     /// Messages refused, at the door or by a notice; their clients may come again.
@@ -133,11 +122,13 @@
     /// Requests that were not the tenant's to make.
     pub rejected: u64,
     /// Messages held now, those out in calls among them.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub queued: usize,
     /// Messages out in calls now.
     pub in_flight: usize,
     /// Messages taken on that are still owed something, if only that the platform takes their notice.
-    pub owed: usize,
+    #[serde(rename = "owed")]
+    pub unacknowledged: usize,
     /// The same for older tenants of this name that still drain.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     #[schema(no_recursion)]
@@ -145,58 +136,21 @@
 }
 
 impl TenantUsage {
-    /// The usage of a tenant that has been counted since a moment, in milliseconds since the Unix epoch.
+    /// A tenant's usage, counted since a time in milliseconds since the Unix epoch.
     pub fn new(usage: UsageReport, since_ms: u64) -> Self {
         TenantUsage {
             name: usage.name,
             version: usage.version.to_string(),
             since: rfc3339(since_ms),
-            taken: usage.counts.accepted,
+            accepted: usage.counts.accepted,
             delivered: usage.counts.delivered,
             refused: usage.counts.refused,
             failed: usage.counts.failed,
             rejected: usage.counts.rejected,
-            held: usage.queued,
+            queued: usage.queued,
             in_flight: usage.in_flight,
-            owed: usage.unacknowledged,
+            unacknowledged: usage.unacknowledged,
             draining: Vec::new(),
         }
     }
 }
-
-/// Some of the audit log.
-#[derive(Debug, Serialize, ToSchema)]
-pub struct AuditPage {
-    /// Entries, the newest first.
-    pub items: Vec<Entry>,
-    /// The cursor of older ones; null where none are at hand. Older ones still stand in the log's files.
-    pub next: Option<String>,
-}
-
-/// How the registry does.
-#[derive(Debug, Serialize, ToSchema)]
-pub struct RegistryStatus {
-    /// Tenants there are, those that drain among them.
-    pub tenants: usize,
-    /// Number of the last change.
-    pub changes: u64,
-    /// Changes that were lost to damage of the registry's files; a tenant may stand as it did before one.
-    pub lost_changes: u64,
-    /// Changes that could not be written to the audit log yet.
-    pub unwritten_audit_entries: usize,
-    /// When the relay started.
-    #[schema(format = DateTime)]
-    pub since: String,
-}
-
-impl From<RegistryReport> for RegistryStatus {
-    fn from(status: RegistryReport) -> Self {
-        RegistryStatus {
-            tenants: status.tenants,
-            changes: status.seq,
-            lost_changes: status.lost_changes,
-            unwritten_audit_entries: status.unlogged_changes,
-            since: rfc3339(status.since_ms),
-        }
-    }
-}
--- /dev/null
+++ b/crates/admin/src/undeliverable/batches/handlers.rs
@@ -0,0 +1,211 @@
+//! Handlers of `/v1/undeliverable-batches`.
+
+use axum::extract::{Path, State};
+use axum::http::header::{ETAG, LOCATION};
+use axum::http::{HeaderValue, StatusCode};
+use axum::response::{IntoResponse, Response};
+use axum::Json;
+use relay_events::undeliverable::{UndeliverableRequest, UndeliverableResponse};
+use undeliverable::batch::{Batch, BatchCommand, BatchError, BatchSpec};
+use utoipa_axum::router::OpenApiRouter;
+use utoipa_axum::routes;
+
+use super::model::{BatchList, NewBatch, ResendBatch};
+use crate::auth::Caller;
+use crate::entity_tag::entity_tag_value;
+use crate::problem::{Problem, ProblemBody};
+use crate::request::{AuthenticatedRequest, JSON};
+use crate::settings::Role;
+use crate::state::{ApiState, HandlerResult};
+
+/// Limits of a batch where the request gives none.
+struct BatchLimits {
+    /// Records resent per second.
+    per_second: f64,
+    /// Resends in flight.
+    at_once: u32,
+    /// Failures that stop the batch.
+    stop_after: u32,
+}
+
+/// Slow enough that a wrong batch can be stopped before it has done much.
+const DEFAULT_LIMITS: BatchLimits = BatchLimits {
+    per_second: 1.0,
+    at_once: 1,
+    stop_after: 5,
+};
+
+/// Responses to a command that was not carried out.
+#[derive(utoipa::IntoResponses)]
+#[allow(dead_code, reason = "only the OpenAPI document is made from it")]
+enum BatchNotChanged {
+    /// It is over.
+    #[response(status = 409, content_type = "application/problem+json")]
+    Over(ProblemBody),
+    /// It is in another version, which current_version tells.
+    #[response(status = 412, content_type = "application/problem+json")]
+    Stale(ProblemBody),
+    /// Not as asked.
+    #[response(status = "4XX", content_type = "application/problem+json")]
+    Rejected(ProblemBody),
+    /// Not kept; harmless to ask again.
+    #[response(status = 503, content_type = "application/problem+json")]
+    NotPersisted(ProblemBody),
+}
+
+/// List batches of resends. Role: viewer.
+#[utoipa::path(get, path = "/v1/undeliverable-batches", tag = "undeliverable", responses(
+    (status = 200, description = "Batches of the token's tenants.", body = BatchList),
+    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+async fn list_batches(State(state): State<ApiState>, caller: Caller) -> HandlerResult {
+    caller.require_role(Role::Viewer)?;
+    let batches = visible_batches(&state, &caller).await?;
+    let items = batches.into_iter().map(ResendBatch::from).collect();
+    Ok(Json(BatchList { items }).into_response())
+}
+
+/// Plan a batch: a dry run that counts what it would find. Nothing is sent before it is run. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable-batches", tag = "undeliverable", request_body = NewBatch, responses(
+    (status = 201, description = "Planned.", body = ResendBatch,
+        headers(("ETag" = String, description = "Its version."), ("Location" = String, description = "Where it is."))),
+    (status = 409, description = "There is one of this name, or there are as many as may be.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+async fn plan_batch(State(state): State<ApiState>, request: AuthenticatedRequest) -> HandlerResult {
+    request.caller.require_role(Role::Operator)?;
+    let new: NewBatch = request.json_body(JSON)?;
+    let spec = BatchSpec {
+        name: new.name,
+        filter: new.filter.for_caller(&request.caller, None)?,
+        per_second: new.per_second.unwrap_or(DEFAULT_LIMITS.per_second),
+        at_once: new.at_once.unwrap_or(DEFAULT_LIMITS.at_once),
+        stop_after: new.stop_after.unwrap_or(DEFAULT_LIMITS.stop_after),
+    };
+    let location = format!("/v1/undeliverable-batches/{}", spec.name);
+    let who = request.caller.name.clone();
+    let plan = UndeliverableRequest::Plan { spec, who };
+    let UndeliverableResponse::Batch(batch) = state.relay.request_undeliverable(plan).await? else {
+        return Err(Problem::unexpected_response());
+    };
+    let mut response = batch_response(*batch, StatusCode::CREATED);
+    if let Ok(location) = HeaderValue::from_str(&location) {
+        response.headers_mut().insert(LOCATION, location);
+    }
+    Ok(response)
+}
+
+/// Show a batch. Role: viewer.
+#[utoipa::path(get, path = "/v1/undeliverable-batches/{name}", tag = "undeliverable", params(("name" = String, Path)), responses(
+    (status = 200, description = "The batch.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
+    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+async fn show_batch(
+    State(state): State<ApiState>,
+    caller: Caller,
+    Path(name): Path<String>,
+) -> HandlerResult {
+    caller.require_role(Role::Viewer)?;
+    let batch = visible_batch(&state, &caller, &name).await?;
+    Ok(batch_response(batch, StatusCode::OK))
+}
+
+/// Run a batch, or let one go on. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable-batches/{name}/run", tag = "undeliverable", params(("name" = String, Path),
+    ("If-Match" = String, Header, description = "The batch's ETag, or * for any version.")), responses(
+    (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
+    BatchNotChanged))]
+async fn run_batch(
+    State(state): State<ApiState>,
+    Path(name): Path<String>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    execute(&state, &request, name, BatchCommand::Run).await
+}
+
+/// Send nothing new of a batch for now. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable-batches/{name}/pause", tag = "undeliverable", params(("name" = String, Path),
+    ("If-Match" = String, Header, description = "The batch's ETag, or * for any version.")), responses(
+    (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
+    BatchNotChanged))]
+async fn pause_batch(
+    State(state): State<ApiState>,
+    Path(name): Path<String>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    execute(&state, &request, name, BatchCommand::Pause).await
+}
+
+/// Send nothing more of a batch, for good. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable-batches/{name}/cancel", tag = "undeliverable", params(("name" = String, Path),
+    ("If-Match" = String, Header, description = "The batch's ETag, or * for any version.")), responses(
+    (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
+    BatchNotChanged))]
+async fn cancel_batch(
+    State(state): State<ApiState>,
+    Path(name): Path<String>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    execute(&state, &request, name, BatchCommand::Cancel).await
+}
+
+/// Executes a command on a batch that the caller may see, and responds with the batch after it.
+async fn execute(
+    state: &ApiState,
+    request: &AuthenticatedRequest,
+    name: String,
+    command: BatchCommand,
+) -> HandlerResult {
+    request.caller.require_role(Role::Operator)?;
+    let version = request.version_number()?;
+    visible_batch(state, &request.caller, &name).await?;
+    let command_request = UndeliverableRequest::BatchCommand {
+        name,
+        command,
+        version,
+    };
+    let response = state.relay.request_undeliverable(command_request).await?;
+    let UndeliverableResponse::Batch(batch) = response else {
+        return Err(Problem::unexpected_response());
+    };
+    Ok(batch_response(*batch, StatusCode::OK))
+}
+
+/// The batch of this name, if the caller may see it; status 404 otherwise.
+async fn visible_batch(state: &ApiState, caller: &Caller, name: &str) -> Result<Batch, Problem> {
+    let batches = visible_batches(state, caller).await?;
+    batches
+        .into_iter()
+        .find(|batch| batch.spec.name == name)
+        .ok_or_else(|| BatchError::None.into())
+}
+
+/// The batches that the caller may see: all, or those that were planned with exactly the scope of the caller's token.
+async fn visible_batches(state: &ApiState, caller: &Caller) -> Result<Vec<Batch>, Problem> {
+    let request = UndeliverableRequest::Batches;
+    let UndeliverableResponse::Batches(mut batches) =
+        state.relay.request_undeliverable(request).await?
+    else {
+        return Err(Problem::unexpected_response());
+    };
+    if !caller.scope.covers_all() {
+        batches.retain(|batch| batch.spec.filter.scope.as_ref() == Some(&caller.scope));
+    }
+    Ok(batches)
+}
+
+/// A response that shows a batch, with its version as entity tag.
+fn batch_response(batch: Batch, status: StatusCode) -> Response {
+    let etag = entity_tag_value(batch.version);
+    let mut response = (status, Json(ResendBatch::from(batch))).into_response();
+    response.headers_mut().insert(ETAG, etag);
+    response
+}
+
+/// The routes of batches.
+pub fn routes() -> OpenApiRouter<ApiState> {
+    OpenApiRouter::new()
+        .routes(routes!(list_batches, plan_batch))
+        .routes(routes!(show_batch))
+        .routes(routes!(run_batch))
+        .routes(routes!(pause_batch))
+        .routes(routes!(cancel_batch))
+}
--- /dev/null
+++ b/crates/admin/src/undeliverable/batches/mod.rs
@@ -0,0 +1,6 @@
+//! Batches of resends: their model, and the handlers of `/v1/undeliverable-batches`.
+
+mod handlers;
+mod model;
+
+pub use handlers::routes;
--- /dev/null
+++ b/crates/admin/src/undeliverable/counts.rs
@@ -0,0 +1,103 @@
+//! Counts of records by one of their fields: `/v1/undeliverable/counts`.
+
+use axum::extract::State;
+use axum::response::IntoResponse;
+use axum::Json;
+use relay_events::undeliverable::{UndeliverableRequest, UndeliverableResponse};
+use serde::{Deserialize, Serialize};
+use undeliverable::store::GroupBy;
+use utoipa::{IntoParams, ToSchema};
+use utoipa_axum::router::OpenApiRouter;
+use utoipa_axum::routes;
+
+use crate::auth::Caller;
+use crate::problem::{Problem, ProblemBody};
+use crate::query::QueryParameters;
+use crate::settings::Role;
+use crate::state::{ApiState, HandlerResult};
+
+/// How many records there are of a value.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableCount {
+    /// The value.
+    pub value: String,
+    /// Records.
+    pub records: u64,
+}
+
+/// How many records there are, by one of their fields.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableCounts {
+    /// A count for each value.
+    pub items: Vec<UndeliverableCount>,
+}
+
+/// By what is counted.
+#[derive(Deserialize, IntoParams)]
+#[serde(deny_unknown_fields)]
+#[into_params(parameter_in = Query)]
+struct CountParameters {
+    /// destination, class, reason, tenant or state.
+    by: String,
+}
+
+/// Count undeliverable messages by a field. Role: viewer; by another field than tenant only for all tenants.
+#[utoipa::path(get, path = "/v1/undeliverable/counts", tag = "undeliverable", params(CountParameters), responses(
+    (status = 200, description = "The counts.", body = UndeliverableCounts),
+    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "They can't be read now, or are not kept.", body = ProblemBody, content_type = "application/problem+json")))]
+async fn count_undeliverable(
+    State(state): State<ApiState>,
+    caller: Caller,
+    parameters: QueryParameters<CountParameters>,
+) -> HandlerResult {
+    caller.require_role(Role::Viewer)?;
+    let group_by = parse_group_by(&parameters.parsed()?.by)?;
+    if group_by != GroupBy::Tenant && !caller.scope.covers_all() {
+        return Err(Problem::forbidden(
+            "these counts are of all tenants, the token is not",
+        ));
+    }
+    let request = UndeliverableRequest::Counts(group_by);
+    let UndeliverableResponse::Counts(counts) = state.relay.request_undeliverable(request).await?
+    else {
+        return Err(Problem::unexpected_response());
+    };
+    let items = counts
+        .into_iter()
+        .filter(|(value, _)| group_by != GroupBy::Tenant || caller.scope.covers(value))
+        .map(|(value, records)| UndeliverableCount {
+            value: displayed_value(group_by, value),
+            records,
+        })
+        .collect();
+    Ok(Json(UndeliverableCounts { items }).into_response())
+}
+
+fn parse_group_by(field: &str) -> Result<GroupBy, Problem> {
+    match field {
+        "destination" => Ok(GroupBy::Destination),
+        "class" => Ok(GroupBy::Class),
+        "reason" => Ok(GroupBy::Reason),
+        "tenant" => Ok(GroupBy::Tenant),
+        "state" => Ok(GroupBy::State),
+        _ => Err(Problem::malformed(
+            "by is none of destination, class, reason, tenant and state",
+        )),
+    }
+}
+
+/// A value as the API shows it: the store pads destinations with zeros, for their order.
+fn displayed_value(group_by: GroupBy, value: String) -> String {
+    match group_by {
+        GroupBy::Destination => value
+            .parse::<u16>()
+            .map_or(value, |number| number.to_string()),
+        _ => value,
+    }
+}
+
+/// The routes of counts.
+pub fn routes() -> OpenApiRouter<ApiState> {
+    OpenApiRouter::new().routes(routes!(count_undeliverable))
+}
--- /dev/null
+++ b/crates/admin/src/undeliverable/filter.rs
@@ -0,0 +1,83 @@
+//! The filter of records, as lists and batches take it.
+
+use serde::{Deserialize, Serialize};
+use tenancy::Scope;
+use undeliverable::{Filter, Reason};
+use utoipa::ToSchema;
+
+use super::timestamp;
+use crate::auth::Caller;
+use crate::problem::Problem;
+
+/// Which records.
+#[derive(Clone, Debug, Default, Deserialize, Serialize, ToSchema)]
+#[serde(deny_unknown_fields, default)]
+pub struct RecordFilter {
+    /// Of this partner.
+    pub destination: Option<u16>,
+    /// Of this class.
+    pub class: Option<String>,
+    /// Given up for this reason.
+    pub reason: Option<String>,
+    /// Of this tenant.
+    pub tenant: Option<String>,
+    /// Given up at this moment or later.
+    #[schema(format = DateTime)]
+    pub since: Option<String>,
+    /// Given up before this moment.
+    #[schema(format = DateTime)]
+    pub until: Option<String>,
+    /// Of which an attempt may have run, or none may.
+    pub may_have_run: Option<bool>,
+}
+
+impl RecordFilter {
+    /// The store's filter: these records, as far as the caller may see them, and of this state if there is one.
+    ///
+    /// # Errors
+    ///
+    /// A [`Problem`] with status 400 if the reason is unknown or a time is malformed.
+    pub fn for_caller(self, caller: &Caller, state: Option<String>) -> Result<Filter, Problem> {
+        let time = |parameter, text: Option<String>| {
+            text.map(|text| timestamp::parse(parameter, &text))
+                .transpose()
+        };
+        Ok(Filter {
+            destination: self.destination,
+            class: self.class,
+            reason: self.reason.as_deref().map(parse_reason).transpose()?,
+            tenant: self.tenant,
+            scope: scope_limit(caller),
+            since: time("since", self.since)?,
+            until: time("until", self.until)?,
+            may_have_run: self.may_have_run,
+            state,
+        })
+    }
+}
+
+fn parse_reason(word: &str) -> Result<Reason, Problem> {
+    Reason::of(word).ok_or_else(|| {
+        let words: Vec<&str> = Reason::ALL.iter().map(|reason| reason.word()).collect();
+        Problem::malformed(format!("reason is none of {}", words.join(", ")))
+    })
+}
+
+/// The scope that limits which records the caller sees; none if the caller sees all.
+fn scope_limit(caller: &Caller) -> Option<Scope> {
+    (!caller.scope.covers_all()).then(|| caller.scope.clone())
+}
+
+impl From<Filter> for RecordFilter {
+    fn from(filter: Filter) -> Self {
+        RecordFilter {
+            destination: filter.destination,
+            class: filter.class,
+            reason: filter.reason.map(|reason| reason.word().into()),
+            tenant: filter.tenant,
+            since: filter.since.map(timestamp::format),
+            until: filter.until.map(timestamp::format),
+            may_have_run: filter.may_have_run,
+        }
+    }
+}
--- /dev/null
+++ b/crates/admin/src/undeliverable/records/actions.rs
@@ -0,0 +1,163 @@
+//! Handlers of operators' actions on records.
+
+use axum::extract::{Path, State};
+use axum::http::StatusCode;
+use relay_events::undeliverable::{RecordAction, UndeliverableRequest, UndeliverableResponse};
+use undeliverable::RecordId;
+use utoipa_axum::router::OpenApiRouter;
+use utoipa_axum::routes;
+
+use super::model::{NewAttestation, UndeliverableRecord};
+use super::view::{record_response, visible_record};
+use crate::problem::{Problem, ProblemBody};
+use crate::request::{AuthenticatedRequest, JSON};
+use crate::settings::Role;
+use crate::state::{ApiState, HandlerResult};
+
+/// Responses to an action that was not performed.
+#[derive(utoipa::IntoResponses)]
+#[allow(dead_code, reason = "only the OpenAPI document is made from it")]
+enum RecordNotChanged {
+    /// It is being sent, closed, or may not be sent again; the type says which.
+    #[response(status = 409, content_type = "application/problem+json")]
+    Conflict(ProblemBody),
+    /// It is in another version, which current_version tells.
+    #[response(status = 412, content_type = "application/problem+json")]
+    Stale(ProblemBody),
+    /// Somebody else has claimed it.
+    #[response(status = 423, content_type = "application/problem+json")]
+    Claimed(ProblemBody),
+    /// Not as asked.
+    #[response(status = "4XX", content_type = "application/problem+json")]
+    Rejected(ProblemBody),
+    /// Not kept; harmless to ask again.
+    #[response(status = 503, content_type = "application/problem+json")]
+    NotPersisted(ProblemBody),
+}
+
+/// Set a record aside for the one who asks: until the claim is over nobody else may change it. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable/{id}/claim", tag = "undeliverable", params(("id" = u64, Path),
+    ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
+    (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    RecordNotChanged))]
+async fn claim_undeliverable(
+    State(state): State<ApiState>,
+    Path(id): Path<u64>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    perform(&state, &request, id, RecordAction::Claim).await
+}
+
+/// Give a claim up. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable/{id}/release", tag = "undeliverable", params(("id" = u64, Path),
+    ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
+    (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    RecordNotChanged))]
+async fn release_undeliverable(
+    State(state): State<ApiState>,
+    Path(id): Path<u64>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    perform(&state, &request, id, RecordAction::Release).await
+}
+
+/// Send a message again, if its rules allow that now. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable/{id}/resend", tag = "undeliverable", params(("id" = u64, Path),
+    ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
+    (status = 202, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    (status = 429, description = "Too much is sent again already, or live messages need the room; nothing was done.", body = ProblemBody, content_type = "application/problem+json"),
+    RecordNotChanged))]
+async fn resend_undeliverable(
+    State(state): State<ApiState>,
+    Path(id): Path<u64>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    perform(&state, &request, id, RecordAction::Resend).await
+}
+
+/// Ask the partner whether a message took effect. What it says stands among the statements. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable/{id}/ask", tag = "undeliverable", params(("id" = u64, Path),
+    ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
+    (status = 202, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    RecordNotChanged))]
+async fn ask_undeliverable(
+    State(state): State<ApiState>,
+    Path(id): Path<u64>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    perform(&state, &request, id, RecordAction::QueryPartner).await
+}
+
+/// Close a record without more. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable/{id}/discard", tag = "undeliverable", params(("id" = u64, Path),
+    ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
+    (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    RecordNotChanged))]
+async fn discard_undeliverable(
+    State(state): State<ApiState>,
+    Path(id): Path<u64>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    perform(&state, &request, id, RecordAction::Discard).await
+}
+
+/// Say whether a message took effect. Two operators who agree stand for the partner's word. Role: operator.
+#[utoipa::path(post, path = "/v1/undeliverable/{id}/attest", tag = "undeliverable", request_body = NewAttestation,
+    params(("id" = u64, Path), ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
+    (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    (status = 412, description = "It is in another version, which current_version tells.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+async fn attest_undeliverable(
+    State(state): State<ApiState>,
+    Path(id): Path<u64>,
+    request: AuthenticatedRequest,
+) -> HandlerResult {
+    let NewAttestation { claim } = request.json_body(JSON)?;
+    perform(&state, &request, id, RecordAction::Attest(claim)).await
+}
+
+/// Performs an action on a record that the caller may see, and responds with the record after it.
+async fn perform(
+    state: &ApiState,
+    request: &AuthenticatedRequest,
+    id: RecordId,
+    action: RecordAction,
+) -> HandlerResult {
+    request.caller.require_role(Role::Operator)?;
+    let version = request.version_number()?;
+    visible_record(state, &request.caller, id).await?;
+    let action_request = UndeliverableRequest::RecordAction {
+        id,
+        action,
+        who: request.caller.name.clone(),
+        version,
+    };
+    let response = state.relay.request_undeliverable(action_request).await?;
+    let UndeliverableResponse::Found(view) = response else {
+        return Err(Problem::unexpected_response());
+    };
+    Ok(record_response(&view, success_status(action)))
+}
+
+/// The status of the response if the action succeeds: 202 where its effect comes only after the response.
+fn success_status(action: RecordAction) -> StatusCode {
+    match action {
+        RecordAction::Resend | RecordAction::QueryPartner => StatusCode::ACCEPTED,
+        RecordAction::Claim
+        | RecordAction::Release
+        | RecordAction::Attest(_)
+        | RecordAction::Discard => StatusCode::OK,
+    }
+}
+
+/// The routes of actions on records.
+pub fn routes() -> OpenApiRouter<ApiState> {
+    OpenApiRouter::new()
+        .routes(routes!(claim_undeliverable))
+        .routes(routes!(release_undeliverable))
+        .routes(routes!(resend_undeliverable))
+        .routes(routes!(ask_undeliverable))
+        .routes(routes!(discard_undeliverable))
+        .routes(routes!(attest_undeliverable))
+}
--- /dev/null
+++ b/crates/admin/src/undeliverable/records/model.rs
@@ -0,0 +1,205 @@
+//! Bodies of requests and responses about records.
+
+use relay_events::undeliverable::RecordView;
+use serde::{Deserialize, Serialize};
+use undeliverable::record::{Attestation, Attester, ExecutionClaim, Idempotency};
+use undeliverable::{Attempt, Micros, Reason, Record, RecordId, RecordState, ResendBlocked};
+use utoipa::ToSchema;
+
+use crate::undeliverable::timestamp;
+
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// An attempt on a message.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableAttempt {
+    /// When it was sent.
+    #[schema(format = DateTime)]
+    pub at: String,
+    /// The host; null where it is not known.
+    pub host: Option<String>,
+    /// How it ended.
+    #[schema(value_type = String, example = "timed-out")]
+    pub outcome: undeliverable::Outcome,
+    /// False once it is known not to have run.
+    pub may_have_run: bool,
+    /// 0 for those before the message was given up, else the number of the resend.
+    pub resend: u32,
+}
+
+impl From<&Attempt> for UndeliverableAttempt {
+    fn from(attempt: &Attempt) -> Self {
+        UndeliverableAttempt {
+            at: timestamp::format(attempt.sent),
+            host: (!attempt.host.is_empty()).then(|| attempt.host.clone()),
+            outcome: attempt.outcome,
+            may_have_run: attempt.may_have_run,
+            resend: attempt.resend,
+        }
+    }
+}
+
+/// What was said of whether a message took effect.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableStatement {
+    /// The operator's name; null for the partner.
+    pub operator: Option<String>,
+    /// What.
+    #[schema(value_type = String, example = "not-applied")]
+    #[serde(rename = "says")]
+    pub claim: ExecutionClaim,
+    /// When: what happened after is not covered.
+    #[schema(format = DateTime)]
+    pub at: String,
+    /// Resends that there had been by then.
+    pub resends: u32,
+}
+
+impl From<&Attestation> for UndeliverableStatement {
+    fn from(attestation: &Attestation) -> Self {
+        let operator = match &attestation.attester {
+            Attester::Operator(name) => Some(name.clone()),
+            Attester::Partner => None,
+        };
+        UndeliverableStatement {
+            operator,
+            claim: attestation.claim,
+            at: timestamp::format(attestation.at),
+            resends: attestation.resends,
+        }
+    }
+}
+
+/// A message that was given up, with its story.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableRecord {
+    /// Its number in the store.
+    pub id: u64,
+    /// Grows with every change; the ETag is this in quotes.
+    pub version: u32,
+    /// Where it stands: open, claimed, sending, delivered, applied-before or discarded.
+    pub state: &'static str,
+    /// Who has claimed it or sends it; null for nobody.
+    pub holder: Option<String>,
+    /// Until when it is claimed, since when it is sent or closed; null for open ones.
+    #[schema(format = DateTime)]
+    pub state_at: Option<String>,
+    /// The message's name as it was handed in.
+    pub message: String,
+    /// Its tenant.
+    pub tenant: String,
+    /// Its class.
+    pub class: String,
+    /// Its destination.
+    pub destination: u16,
+    /// Its idempotency key.
+    pub key: Option<String>,
+    /// Whether it may run more than once: safe, keyed or unsafe.
+    pub effect: &'static str,
+    /// For how long its key is remembered, in seconds.
+    pub key_window_s: Option<f64>,
+    /// Bytes of its body.
+    pub size: u32,
+    /// When it was given up first.
+    #[schema(format = DateTime)]
+    pub ended_at: String,
+    /// When its time was up.
+    #[schema(format = DateTime)]
+    pub due_at: String,
+    /// Why it was given up, at the last time.
+    #[schema(value_type = String, example = "out-of-time")]
+    pub reason: Reason,
+    /// Whether one of its attempts may have run.
+    pub may_have_run: bool,
+    /// How often it was sent again.
+    pub resends: u32,
+    /// Every attempt, in order.
+    pub attempts: Vec<UndeliverableAttempt>,
+    /// What was said of it, in order.
+    pub statements: Vec<UndeliverableStatement>,
+    /// What it needs before it can be sent again; null if it could be sent now. Absent in lists.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    #[schema(value_type = Option<String>, example = "needs-word")]
+    pub needs: Option<Option<&'static str>>,
+}
+
+impl UndeliverableRecord {
+    /// A record as lists show it: whether it could be resent now is not computed for them.
+    pub fn in_list(id: RecordId, record: &Record) -> Self {
+        let (holder, state_at) = holder_and_time(&record.state);
+        let (effect, key_window) = effect_and_window(record.idempotency);
+        UndeliverableRecord {
+            id,
+            version: record.version,
+            state: record.state.word(),
+            holder,
+            state_at,
+            message: record.origin.name.clone(),
+            tenant: record.origin.tenant_name().into(),
+            class: record.origin.class.clone(),
+            destination: record.origin.destination,
+            key: record.origin.idempotency_key.clone(),
+            effect,
+            key_window_s: key_window.map(|window| window as f64 / MICROS_PER_SECOND),
+            size: record.size,
+            ended_at: timestamp::format(record.given_up_at),
+            due_at: timestamp::format(record.origin.deadline),
+            reason: record.reason,
+            may_have_run: record.may_have_run(),
+            resends: record.resends,
+            attempts: record.attempts.iter().map(Into::into).collect(),
+            statements: record.attestations.iter().map(Into::into).collect(),
+            needs: None,
+        }
+    }
+}
+
+impl From<&RecordView> for UndeliverableRecord {
+    fn from(view: &RecordView) -> Self {
+        UndeliverableRecord {
+            needs: Some(view.blocked.map(ResendBlocked::word)),
+            ..UndeliverableRecord::in_list(view.id, &view.record)
+        }
+    }
+}
+
+/// Who holds a record in this state, and the time that belongs to the state.
+fn holder_and_time(state: &RecordState) -> (Option<String>, Option<String>) {
+    let (holder, time) = match state {
+        RecordState::Open => (None, None),
+        RecordState::Claimed { by, until } => (Some(by), Some(until)),
+        RecordState::Sending { by, since } => (Some(by), Some(since)),
+        RecordState::Closed(_, since) => (None, Some(since)),
+    };
+    (holder.cloned(), time.copied().map(timestamp::format))
+}
+
+/// The API's word for whether a message may run more than once, and for how long its key is remembered.
+fn effect_and_window(idempotency: Idempotency) -> (&'static str, Option<Micros>) {
+    match idempotency {
+        Idempotency::Idempotent => ("safe", None),
+        Idempotency::Keyed { window } => ("keyed", Some(window)),
+        Idempotency::NonIdempotent => ("unsafe", None),
+    }
+}
+
+/// Some of the records.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverablePage {
+    /// They, newest first. There may be fewer than asked for, even none, while there are more.
+    pub items: Vec<UndeliverableRecord>,
+    /// The cursor of the next page; null on the last. Records that come later do not move it.
+    pub next: Option<String>,
+}
+
+/// What somebody says of whether a message took effect.
+#[derive(Debug, Deserialize, Serialize, ToSchema)]
+#[serde(deny_unknown_fields)]
+#[schema(as = Attestation)]
+#[serde(rename = "Attestation")]
+pub struct NewAttestation {
+    /// It did (applied), it did not and will not (not-applied), or that can't be told (unknown).
+    #[schema(value_type = String, pattern = "^(applied|not-applied|unknown)$")]
+    #[serde(rename = "says")]
+    pub claim: ExecutionClaim,
+}
--- /dev/null
+++ b/crates/admin/src/undeliverable/status.rs
@@ -0,0 +1,93 @@
+//! The state of the store: `/v1/undeliverable/status`.
+
+use axum::extract::State;
+use axum::response::IntoResponse;
+use axum::Json;
+use relay_events::undeliverable::{StoreReport, UndeliverableRequest, UndeliverableResponse};
+use serde::Serialize;
+use utoipa::ToSchema;
+use utoipa_axum::router::OpenApiRouter;
+use utoipa_axum::routes;
+
+use crate::auth::Caller;
+use crate::problem::{Problem, ProblemBody};
+use crate::settings::Role;
+use crate::state::{ApiState, HandlerResult};
+
+/// Records that were dropped.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableDropped {
+    /// Whose.
+    pub tenant: String,
+    /// Why: age, bytes, tenant-bytes or records.
+    pub cause: String,
+    /// How many, since the store was made.
+    pub records: u64,
+}
+
+/// How the store of undeliverable messages does.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableStatus {
+    /// Records it holds.
+    pub records: u64,
+    /// Their bytes, as the caps count them.
+    pub bytes: u64,
+    /// Records that can't be read.
+    pub unreadable: u64,
+    /// Messages that were given up and could not be kept, since the relay's start.
+    #[serde(rename = "lost")]
+    pub unstored: u64,
+    /// Messages that are being sent again now.
+    pub sending: usize,
+    /// Why nothing is kept now; null if all is well.
+    #[serde(rename = "trouble")]
+    pub error: Option<String>,
+    /// Records that were dropped.
+    pub dropped: Vec<UndeliverableDropped>,
+}
+
+impl From<StoreReport> for UndeliverableStatus {
+    fn from(report: StoreReport) -> Self {
+        let dropped = report.totals.dropped.into_iter();
+        let dropped = dropped.map(|(tenant, cause, records)| UndeliverableDropped {
+            tenant,
+            cause,
+            records,
+        });
+        UndeliverableStatus {
+            records: report.totals.records,
+            bytes: report.totals.bytes,
+            unreadable: report.totals.unreadable_values,
+            unstored: report.unstored_messages,
+            sending: report.resends_in_flight,
+            error: report.error,
+            dropped: dropped.collect(),
+        }
+    }
+}
+
+/// Show how the store does. Role: viewer of all tenants.
+#[utoipa::path(get, path = "/v1/undeliverable/status", tag = "undeliverable", responses(
+    (status = 200, description = "Its figures.", body = UndeliverableStatus),
+    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Such messages are not kept.", body = ProblemBody, content_type = "application/problem+json")))]
+async fn undeliverable_status(State(state): State<ApiState>, caller: Caller) -> HandlerResult {
+    caller.require_role(Role::Viewer)?;
+    if !caller.scope.covers_all() {
+        return Err(Problem::forbidden(
+            "the store is that of all tenants, the token is not",
+        ));
+    }
+    let request = UndeliverableRequest::StoreReport;
+    let UndeliverableResponse::StoreReport(report) =
+        state.relay.request_undeliverable(request).await?
+    else {
+        return Err(Problem::unexpected_response());
+    };
+    Ok(Json(UndeliverableStatus::from(report)).into_response())
+}
+
+/// The routes of the store's state.
+pub fn routes() -> OpenApiRouter<ApiState> {
+    OpenApiRouter::new().routes(routes!(undeliverable_status))
+}
--- a/crates/relay/src/operator_config/error.rs
+++ b/crates/relay/src/operator_config/error.rs
@@ -62,8 +62,8 @@
     #[error("{0}")]
     Undeliverable(String),
     /// A value of the administration API's section.
-    #[error("{0}")]
-    Administration(String),
+    #[error(transparent)]
+    Administration(admin::SettingsError),
     /// The administration API has nothing to administrate.
     #[error("admin needs tenants or undeliverable: there is nothing else to administrate")]
     NothingToAdministrate,
