--- a/crates/admin/src/audit.rs
+++ b/crates/admin/src/audit.rs
@@ -10,7 +10,7 @@
 use utoipa_axum::router::OpenApiRouter;
 use utoipa_axum::routes;
 
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::paging::{decode_numeric_cursor, encode_cursor, page_size};
 use crate::problem::{Problem, ProblemBody};
 use crate::query::QueryParameters;
@@ -46,15 +46,15 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn audit(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     parameters: QueryParameters<AuditParameters>,
 ) -> HandlerResult {
-    caller.require_role(Role::Operator)?;
+    principal.require_role(Role::Operator)?;
     let parameters = parameters.parsed()?;
     let request = TenantRequest::Audit {
         before: decode_numeric_cursor(parameters.cursor)?,
         most: page_size(parameters.limit)?,
-        scope: caller.scope,
+        scope: principal.scope,
         tenant: parameters.tenant,
     };
     let TenantResponse::Audit(items, has_more) = state.relay.request_tenants(request).await? else {
--- a/crates/admin/src/auth.rs
+++ b/crates/admin/src/auth.rs
@@ -25,7 +25,7 @@
     /// # Errors
     ///
     /// A [`Problem`] with status 401 if the header is missing or malformed, or its token is unknown.
-    pub fn authenticate(&self, header: Option<&str>) -> Result<Caller, Problem> {
+    pub fn authenticate(&self, header: Option<&str>) -> Result<Principal, Problem> {
         let header = header.ok_or_else(|| Problem::unauthorized("a bearer token is needed"))?;
         let (scheme, token) = header.split_once(' ').unwrap_or((header, ""));
         let token = token.trim();
@@ -43,7 +43,7 @@
             .iter()
             .find(|known| known.sha256.constant_time_eq(&digest));
         let found = found.ok_or_else(|| Problem::unauthorized("the token is not known"))?;
-        Ok(Caller {
+        Ok(Principal {
             name: found.name.clone(),
             role: found.role,
             scope: found.scope(),
@@ -53,8 +53,8 @@
 
 /// The authenticated sender of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Caller {
-    /// Name of the caller's token.
+pub struct Principal {
+    /// Name of the principal's token.
     pub name: String,
     /// Role of the token.
     pub role: Role,
@@ -62,8 +62,8 @@
     pub scope: Scope,
 }
 
-impl Caller {
-    /// Checks that the caller has this role or a higher one.
+impl Principal {
+    /// Checks that the principal has this role or a higher one.
     ///
     /// # Errors
     ///
@@ -79,7 +79,7 @@
         )))
     }
 
-    /// Checks that the caller has this role or a higher one, and that the tenant is in its scope.
+    /// Checks that the principal has this role or a higher one, and that the tenant is in its scope.
     ///
     /// # Errors
     ///
@@ -92,7 +92,7 @@
         Err(Problem::forbidden("the tenant is not in the token's scope"))
     }
 
-    /// The caller as the audit log records it.
+    /// The principal as the audit log records it.
     pub fn actor(&self) -> Actor {
         Actor {
             name: self.name.clone(),
--- a/crates/admin/src/auth/tests.rs
+++ b/crates/admin/src/auth/tests.rs
@@ -21,7 +21,11 @@
 #[test]
 fn token_is_found_by_the_digest_of_its_secret_only() {
     let tokens = tokens();
-    let name_for = |header: &str| tokens.authenticate(Some(header)).map(|caller| caller.name);
+    let name_for = |header: &str| {
+        tokens
+            .authenticate(Some(header))
+            .map(|principal| principal.name)
+    };
     assert_eq!(name_for("Bearer see").as_deref(), Ok("vi"));
     assert_eq!(name_for("bearer  turn ").as_deref(), Ok("op"));
     let digest = Digest::of(b"all").to_string();
@@ -44,13 +48,13 @@
 #[test]
 fn role_includes_lower_roles_and_scope_limits_every_role() {
     let tokens = tokens();
-    let caller = |secret: &str| {
+    let principal = |secret: &str| {
         tokens
             .authenticate(Some(&format!("Bearer {secret}")))
             .expect("known")
     };
     let is_allowed =
-        |secret: &str, role, tenant: &str| caller(secret).require_role_for(role, tenant).is_ok();
+        |secret: &str, role, tenant: &str| principal(secret).require_role_for(role, tenant).is_ok();
     for role in [Role::Viewer, Role::Operator, Role::Admin] {
         assert!(is_allowed("all", role, "anything"));
         assert_eq!(is_allowed("turn", role, "team-a"), role <= Role::Operator);
--- a/crates/admin/src/query.rs
+++ b/crates/admin/src/query.rs
@@ -11,7 +11,7 @@
 
 /// The query parameters of a request, or why they cannot be parsed.
 ///
-/// A handler authorizes the caller before it reports that, as an extractor of its own would report it first.
+/// A handler authorizes the principal before it reports that, as an extractor of its own would report it first.
 pub struct QueryParameters<T>(Result<Query<T>, QueryRejection>);
 
 impl<T> QueryParameters<T> {
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests for a change: the caller, the precondition, the idempotency key and the body.
+//! Requests for a change: the principal, the precondition, the idempotency key and the body.
 
 use axum::body::Bytes;
 use axum::extract::{FromRequest, FromRequestParts, OriginalUri, Request};
@@ -8,7 +8,7 @@
 use tenancy::registry::{Change, Command, Precondition};
 use tenancy::secret::Digest;
 
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::headers;
 use crate::precondition;
 use crate::problem::Problem;
@@ -25,7 +25,7 @@
 /// An authenticated request for a change, with its whole body.
 pub struct AuthenticatedRequest {
     /// The sender of the request.
-    pub caller: Caller,
+    pub principal: Principal,
     headers: HeaderMap,
     /// Digest of method, target, preconditions and body: two requests with one idempotency key have to agree in it.
     digest: Digest,
@@ -38,7 +38,7 @@
 
     async fn from_request(request: Request, state: &ApiState) -> Result<Self, Problem> {
         let (mut parts, body) = request.into_parts();
-        let caller = Caller::from_request_parts(&mut parts, state).await?;
+        let principal = Principal::from_request_parts(&mut parts, state).await?;
         let uri = OriginalUri::from_request_parts(&mut parts, state).await;
         let OriginalUri(uri) = uri.unwrap_or_else(|never| match never {});
         let method = parts.method.clone();
@@ -61,7 +61,7 @@
         let id = headers::identifier(&headers, &REQUEST_ID)?
             .map_or_else(|| state.generate_request_id(), String::from);
         Ok(AuthenticatedRequest {
-            caller,
+            principal,
             headers,
             digest,
             id,
@@ -134,7 +134,7 @@
     ) -> Result<Command, Problem> {
         let key = headers::identifier(&self.headers, &IDEMPOTENCY_KEY)?;
         Ok(Command {
-            actor: self.caller.actor(),
+            actor: self.principal.actor(),
             request: self.id.clone(),
             key: key.map(|key| (key.to_string(), self.digest.clone())),
             name: tenant.into(),
--- a/crates/admin/src/secrets.rs
+++ b/crates/admin/src/secrets.rs
@@ -38,7 +38,7 @@
     Path(name): Path<String>,
     request: AuthenticatedRequest,
 ) -> HandlerResult {
-    request.caller.require_role_for(Role::Admin, &name)?;
+    request.principal.require_role_for(Role::Admin, &name)?;
     let NewSecret { id, sha256 } = request.json_body(JSON)?;
     let sha256 = sha256
         .parse()
@@ -60,7 +60,7 @@
     Path((name, id)): Path<(String, String)>,
     request: AuthenticatedRequest,
 ) -> HandlerResult {
-    request.caller.require_role_for(Role::Admin, &name)?;
+    request.principal.require_role_for(Role::Admin, &name)?;
     let change = Change::DropSecret(id);
     apply_conditional_change(&state, &request, &name, change, StatusCode::OK).await
 }
--- a/crates/admin/src/state.rs
+++ b/crates/admin/src/state.rs
@@ -10,7 +10,7 @@
 use relay_events::RelayEvent;
 use tokio::sync::{mpsc, watch};
 
-use crate::auth::{Caller, Tokens};
+use crate::auth::{Principal, Tokens};
 use crate::problem::Problem;
 use crate::relay_client::RelayClient;
 
@@ -51,7 +51,7 @@
     }
 }
 
-impl FromRequestParts<ApiState> for Caller {
+impl FromRequestParts<ApiState> for Principal {
     type Rejection = Problem;
 
     async fn from_request_parts(parts: &mut Parts, state: &ApiState) -> Result<Self, Problem> {
--- a/crates/admin/src/status.rs
+++ b/crates/admin/src/status.rs
@@ -10,7 +10,7 @@
 use utoipa_axum::router::OpenApiRouter;
 use utoipa_axum::routes;
 
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::problem::{Problem, ProblemBody};
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
@@ -47,8 +47,8 @@
 #[utoipa::path(get, path = "/v1/status", tag = "status", responses(
     (status = 200, description = "Its figures.", body = RegistryStatus),
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
-async fn status(State(state): State<ApiState>, caller: Caller) -> HandlerResult {
-    caller.require_role(Role::Viewer)?;
+async fn status(State(state): State<ApiState>, principal: Principal) -> HandlerResult {
+    principal.require_role(Role::Viewer)?;
     let request = TenantRequest::RegistryReport;
     let TenantResponse::RegistryReport(report) = state.relay.request_tenants(request).await? else {
         return Err(Problem::unexpected_response());
--- a/crates/admin/src/tenants/handlers.rs
+++ b/crates/admin/src/tenants/handlers.rs
@@ -15,7 +15,7 @@
 
 use super::change::{apply_change, apply_conditional_change, tenant_response};
 use super::model::{NewTenant, Patch, Replacement, Tenant, TenantPage, TenantUsage};
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::entity_tag::entity_tag_value;
 use crate::paging::{decode_cursor, encode_cursor, page_size};
 use crate::precondition;
@@ -52,15 +52,15 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn list(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     parameters: QueryParameters<PageParameters>,
 ) -> HandlerResult {
-    caller.require_role(Role::Viewer)?;
+    principal.require_role(Role::Viewer)?;
     let parameters = parameters.parsed()?;
     let request = TenantRequest::Page {
         after: decode_cursor(parameters.cursor)?,
         most: page_size(parameters.limit)?,
-        scope: caller.scope,
+        scope: principal.scope,
     };
     let TenantResponse::Page(tenants, has_more) = state.relay.request_tenants(request).await?
     else {
@@ -82,9 +82,9 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
     (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn create(State(state): State<ApiState>, request: AuthenticatedRequest) -> HandlerResult {
-    request.caller.require_role(Role::Admin)?;
+    request.principal.require_role(Role::Admin)?;
     let NewTenant { name, spec } = request.json_body(JSON)?;
-    request.caller.require_role_for(Role::Admin, &name)?;
+    request.principal.require_role_for(Role::Admin, &name)?;
     let command = request.command(&name, Precondition::Any, Change::Create(spec))?;
     apply_change(&state, command, StatusCode::CREATED).await
 }
@@ -99,11 +99,11 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn show(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     Path(name): Path<String>,
     headers: HeaderMap,
 ) -> HandlerResult {
-    caller.require_role_for(Role::Viewer, &name)?;
+    principal.require_role_for(Role::Viewer, &name)?;
     let known_versions = precondition::if_none_match(&headers)?;
     let request = TenantRequest::Find(name);
     let TenantResponse::Found(view) = state.relay.request_tenants(request).await? else {
@@ -136,7 +136,7 @@
 ) -> HandlerResult {
     let creates = request.is_create_only()?;
     let role = if creates { Role::Admin } else { Role::Operator };
-    request.caller.require_role_for(role, &name)?;
+    request.principal.require_role_for(role, &name)?;
     let Replacement { spec } = request.json_body(JSON)?;
     if creates {
         let command = request.command(&name, Precondition::Any, Change::Create(spec))?;
@@ -161,7 +161,7 @@
     Path(name): Path<String>,
     request: AuthenticatedRequest,
 ) -> HandlerResult {
-    request.caller.require_role_for(Role::Operator, &name)?;
+    request.principal.require_role_for(Role::Operator, &name)?;
     let Patch { spec } = request.json_body(MERGE_PATCH)?;
     let change = Change::Merge(spec);
     apply_conditional_change(&state, &request, &name, change, StatusCode::OK).await
@@ -183,7 +183,7 @@
     parameters: QueryParameters<RemovalParameters>,
     request: AuthenticatedRequest,
 ) -> HandlerResult {
-    request.caller.require_role_for(Role::Admin, &name)?;
+    request.principal.require_role_for(Role::Admin, &name)?;
     let change = Change::Remove(parameters.parsed()?.on_removal);
     apply_conditional_change(&state, &request, &name, change, StatusCode::ACCEPTED).await
 }
@@ -200,7 +200,7 @@
     Path(name): Path<String>,
     request: AuthenticatedRequest,
 ) -> HandlerResult {
-    request.caller.require_role_for(Role::Operator, &name)?;
+    request.principal.require_role_for(Role::Operator, &name)?;
     apply_conditional_change(&state, &request, &name, Change::Pause, StatusCode::OK).await
 }
 
@@ -216,7 +216,7 @@
     Path(name): Path<String>,
     request: AuthenticatedRequest,
 ) -> HandlerResult {
-    request.caller.require_role_for(Role::Operator, &name)?;
+    request.principal.require_role_for(Role::Operator, &name)?;
     apply_conditional_change(&state, &request, &name, Change::Resume, StatusCode::OK).await
 }
 
@@ -226,10 +226,10 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn usage(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     Path(name): Path<String>,
 ) -> HandlerResult {
-    caller.require_role_for(Role::Viewer, &name)?;
+    principal.require_role_for(Role::Viewer, &name)?;
     let request = TenantRequest::UsageReport(name);
     let TenantResponse::UsageReport(reports, since_ms) =
         state.relay.request_tenants(request).await?
--- a/crates/admin/src/undeliverable/batches/handlers.rs
+++ b/crates/admin/src/undeliverable/batches/handlers.rs
@@ -11,7 +11,7 @@
 use utoipa_axum::routes;
 
 use super::model::{BatchList, NewBatch, ResendBatch};
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::entity_tag::entity_tag_value;
 use crate::problem::{Problem, ProblemBody};
 use crate::request::{AuthenticatedRequest, JSON};
@@ -57,9 +57,9 @@
 #[utoipa::path(get, path = "/v1/undeliverable-batches", tag = "undeliverable", responses(
     (status = 200, description = "Batches of the token's tenants.", body = BatchList),
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
-async fn list_batches(State(state): State<ApiState>, caller: Caller) -> HandlerResult {
-    caller.require_role(Role::Viewer)?;
-    let batches = visible_batches(&state, &caller).await?;
+async fn list_batches(State(state): State<ApiState>, principal: Principal) -> HandlerResult {
+    principal.require_role(Role::Viewer)?;
+    let batches = visible_batches(&state, &principal).await?;
     let items = batches.into_iter().map(ResendBatch::from).collect();
     Ok(Json(BatchList { items }).into_response())
 }
@@ -72,17 +72,17 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
     (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn plan_batch(State(state): State<ApiState>, request: AuthenticatedRequest) -> HandlerResult {
-    request.caller.require_role(Role::Operator)?;
+    request.principal.require_role(Role::Operator)?;
     let new: NewBatch = request.json_body(JSON)?;
     let spec = BatchSpec {
         name: new.name,
-        filter: new.filter.for_caller(&request.caller, None)?,
+        filter: new.filter.for_principal(&request.principal, None)?,
         per_second: new.per_second.unwrap_or(DEFAULT_LIMITS.per_second),
         at_once: new.at_once.unwrap_or(DEFAULT_LIMITS.at_once),
         stop_after: new.stop_after.unwrap_or(DEFAULT_LIMITS.stop_after),
     };
     let location = format!("/v1/undeliverable-batches/{}", spec.name);
-    let who = request.caller.name.clone();
+    let who = request.principal.name.clone();
     let plan = UndeliverableRequest::Plan { spec, who };
     let UndeliverableResponse::Batch(batch) = state.relay.request_undeliverable(plan).await? else {
         return Err(Problem::unexpected_response());
@@ -100,11 +100,11 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn show_batch(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     Path(name): Path<String>,
 ) -> HandlerResult {
-    caller.require_role(Role::Viewer)?;
-    let batch = visible_batch(&state, &caller, &name).await?;
+    principal.require_role(Role::Viewer)?;
+    let batch = visible_batch(&state, &principal, &name).await?;
     Ok(batch_response(batch, StatusCode::OK))
 }
 
@@ -147,16 +147,16 @@
     execute(&state, &request, name, BatchCommand::Cancel).await
 }
 
-/// Executes a command on a batch that the caller may see, and responds with the batch after it.
+/// Executes a command on a batch that the principal may see, and responds with the batch after it.
 async fn execute(
     state: &ApiState,
     request: &AuthenticatedRequest,
     name: String,
     command: BatchCommand,
 ) -> HandlerResult {
-    request.caller.require_role(Role::Operator)?;
+    request.principal.require_role(Role::Operator)?;
     let version = request.version_number()?;
-    visible_batch(state, &request.caller, &name).await?;
+    visible_batch(state, &request.principal, &name).await?;
     let command_request = UndeliverableRequest::BatchCommand {
         name,
         command,
@@ -169,25 +169,29 @@
     Ok(batch_response(*batch, StatusCode::OK))
 }
 
-/// The batch of this name, if the caller may see it; status 404 otherwise.
-async fn visible_batch(state: &ApiState, caller: &Caller, name: &str) -> Result<Batch, Problem> {
-    let batches = visible_batches(state, caller).await?;
+/// The batch of this name, if the principal may see it; status 404 otherwise.
+async fn visible_batch(
+    state: &ApiState,
+    principal: &Principal,
+    name: &str,
+) -> Result<Batch, Problem> {
+    let batches = visible_batches(state, principal).await?;
     batches
         .into_iter()
         .find(|batch| batch.spec.name == name)
         .ok_or_else(|| BatchError::None.into())
 }
 
-/// The batches that the caller may see: all, or those that were planned with exactly the scope of the caller's token.
-async fn visible_batches(state: &ApiState, caller: &Caller) -> Result<Vec<Batch>, Problem> {
+/// The batches that the principal may see: all, or those that were planned with exactly the scope of the principal's token.
+async fn visible_batches(state: &ApiState, principal: &Principal) -> Result<Vec<Batch>, Problem> {
     let request = UndeliverableRequest::Batches;
     let UndeliverableResponse::Batches(mut batches) =
         state.relay.request_undeliverable(request).await?
     else {
         return Err(Problem::unexpected_response());
     };
-    if !caller.scope.covers_all() {
-        batches.retain(|batch| batch.spec.filter.scope.as_ref() == Some(&caller.scope));
+    if !principal.scope.covers_all() {
+        batches.retain(|batch| batch.spec.filter.scope.as_ref() == Some(&principal.scope));
     }
     Ok(batches)
 }
--- a/crates/admin/src/undeliverable/counts.rs
+++ b/crates/admin/src/undeliverable/counts.rs
@@ -10,7 +10,7 @@
 use utoipa_axum::router::OpenApiRouter;
 use utoipa_axum::routes;
 
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::problem::{Problem, ProblemBody};
 use crate::query::QueryParameters;
 use crate::settings::Role;
@@ -48,12 +48,12 @@
     (status = 503, description = "They can't be read now, or are not kept.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn count_undeliverable(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     parameters: QueryParameters<CountParameters>,
 ) -> HandlerResult {
-    caller.require_role(Role::Viewer)?;
+    principal.require_role(Role::Viewer)?;
     let group_by = parse_group_by(&parameters.parsed()?.by)?;
-    if group_by != GroupBy::Tenant && !caller.scope.covers_all() {
+    if group_by != GroupBy::Tenant && !principal.scope.covers_all() {
         return Err(Problem::forbidden(
             "these counts are of all tenants, the token is not",
         ));
@@ -65,7 +65,7 @@
     };
     let items = counts
         .into_iter()
-        .filter(|(value, _)| group_by != GroupBy::Tenant || caller.scope.covers(value))
+        .filter(|(value, _)| group_by != GroupBy::Tenant || principal.scope.covers(value))
         .map(|(value, records)| UndeliverableCount {
             value: displayed_value(group_by, value),
             records,
--- a/crates/admin/src/undeliverable/filter.rs
+++ b/crates/admin/src/undeliverable/filter.rs
@@ -6,7 +6,7 @@
 use utoipa::ToSchema;
 
 use super::timestamp;
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::problem::Problem;
 
 /// Which records.
@@ -32,12 +32,16 @@
 }
 
 impl RecordFilter {
-    /// The store's filter: these records, as far as the caller may see them, and of this state if there is one.
+    /// The store's filter: these records, as far as the principal may see them, and of this state if there is one.
     ///
     /// # Errors
     ///
     /// A [`Problem`] with status 400 if the reason is unknown or a time is malformed.
-    pub fn for_caller(self, caller: &Caller, state: Option<String>) -> Result<Filter, Problem> {
+    pub fn for_principal(
+        self,
+        principal: &Principal,
+        state: Option<String>,
+    ) -> Result<Filter, Problem> {
         let time = |parameter, text: Option<String>| {
             text.map(|text| timestamp::parse(parameter, &text))
                 .transpose()
@@ -47,7 +51,7 @@
             class: self.class,
             reason: self.reason.as_deref().map(parse_reason).transpose()?,
             tenant: self.tenant,
-            scope: scope_limit(caller),
+            scope: scope_limit(principal),
             since: time("since", self.since)?,
             until: time("until", self.until)?,
             may_have_run: self.may_have_run,
@@ -63,9 +67,9 @@
     })
 }
 
-/// The scope that limits which records the caller sees; none if the caller sees all.
-fn scope_limit(caller: &Caller) -> Option<Scope> {
-    (!caller.scope.covers_all()).then(|| caller.scope.clone())
+/// The scope that limits which records the principal sees; none if the principal sees all.
+fn scope_limit(principal: &Principal) -> Option<Scope> {
+    (!principal.scope.covers_all()).then(|| principal.scope.clone())
 }
 
 impl From<Filter> for RecordFilter {
--- a/crates/admin/src/undeliverable/records/actions.rs
+++ b/crates/admin/src/undeliverable/records/actions.rs
@@ -117,20 +117,20 @@
     perform(&state, &request, id, RecordAction::Attest(claim)).await
 }
 
-/// Performs an action on a record that the caller may see, and responds with the record after it.
+/// Performs an action on a record that the principal may see, and responds with the record after it.
 async fn perform(
     state: &ApiState,
     request: &AuthenticatedRequest,
     id: RecordId,
     action: RecordAction,
 ) -> HandlerResult {
-    request.caller.require_role(Role::Operator)?;
+    request.principal.require_role(Role::Operator)?;
     let version = request.version_number()?;
-    visible_record(state, &request.caller, id).await?;
+    visible_record(state, &request.principal, id).await?;
     let action_request = UndeliverableRequest::RecordAction {
         id,
         action,
-        who: request.caller.name.clone(),
+        who: request.principal.name.clone(),
         version,
     };
     let response = state.relay.request_undeliverable(action_request).await?;
--- a/crates/admin/src/undeliverable/records/read.rs
+++ b/crates/admin/src/undeliverable/records/read.rs
@@ -13,7 +13,7 @@
 
 use super::model::{UndeliverablePage, UndeliverableRecord};
 use super::view::{record_response, visible_record};
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::paging::{decode_numeric_cursor, encode_cursor, page_size};
 use crate::problem::{Problem, ProblemBody};
 use crate::query::QueryParameters;
@@ -56,10 +56,10 @@
     (status = 503, description = "They can't be read now, or are not kept.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn list_undeliverable(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     parameters: QueryParameters<RecordListParameters>,
 ) -> HandlerResult {
-    caller.require_role(Role::Viewer)?;
+    principal.require_role(Role::Viewer)?;
     let RecordListParameters {
         limit,
         cursor,
@@ -83,7 +83,7 @@
         may_have_run,
     };
     let request = UndeliverableRequest::Page {
-        filter: filter.for_caller(&caller, record_state)?,
+        filter: filter.for_principal(&principal, record_state)?,
         before,
         most: page_size(limit)?,
     };
@@ -107,11 +107,11 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn show_undeliverable(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     Path(id): Path<u64>,
 ) -> HandlerResult {
-    caller.require_role(Role::Viewer)?;
-    let view = visible_record(&state, &caller, id).await?;
+    principal.require_role(Role::Viewer)?;
+    let view = visible_record(&state, &principal, id).await?;
     Ok(record_response(&view, StatusCode::OK))
 }
 
@@ -121,11 +121,11 @@
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn undeliverable_body(
     State(state): State<ApiState>,
-    caller: Caller,
+    principal: Principal,
     Path(id): Path<u64>,
 ) -> HandlerResult {
-    caller.require_role(Role::Operator)?;
-    visible_record(&state, &caller, id).await?;
+    principal.require_role(Role::Operator)?;
+    visible_record(&state, &principal, id).await?;
     let request = UndeliverableRequest::Body(id);
     let UndeliverableResponse::Body(body) = state.relay.request_undeliverable(request).await?
     else {
--- a/crates/admin/src/undeliverable/records/view.rs
+++ b/crates/admin/src/undeliverable/records/view.rs
@@ -9,19 +9,19 @@
 use undeliverable::RecordId;
 
 use super::model::UndeliverableRecord;
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::entity_tag::entity_tag_value;
 use crate::problem::Problem;
 use crate::state::ApiState;
 
-/// A record that the caller may see.
+/// A record that the principal may see.
 ///
 /// # Errors
 ///
 /// A [`Problem`] with status 404 if there is none, or if it is out of the token's scope.
 pub async fn visible_record(
     state: &ApiState,
-    caller: &Caller,
+    principal: &Principal,
     id: RecordId,
 ) -> Result<RecordView, Problem> {
     let request = UndeliverableRequest::Find(id);
@@ -29,7 +29,7 @@
     else {
         return Err(Problem::unexpected_response());
     };
-    if caller.scope.covers(view.record.origin.tenant_name()) {
+    if principal.scope.covers(view.record.origin.tenant_name()) {
         Ok(*view)
     } else {
         Err(RecordError::NoRecord.into())
--- a/crates/admin/src/undeliverable/status.rs
+++ b/crates/admin/src/undeliverable/status.rs
@@ -9,7 +9,7 @@
 use utoipa_axum::router::OpenApiRouter;
 use utoipa_axum::routes;
 
-use crate::auth::Caller;
+use crate::auth::Principal;
 use crate::problem::{Problem, ProblemBody};
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
@@ -71,9 +71,12 @@
     (status = 200, description = "Its figures.", body = UndeliverableStatus),
     (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
     (status = 503, description = "Such messages are not kept.", body = ProblemBody, content_type = "application/problem+json")))]
-async fn undeliverable_status(State(state): State<ApiState>, caller: Caller) -> HandlerResult {
-    caller.require_role(Role::Viewer)?;
-    if !caller.scope.covers_all() {
+async fn undeliverable_status(
+    State(state): State<ApiState>,
+    principal: Principal,
+) -> HandlerResult {
+    principal.require_role(Role::Viewer)?;
+    if !principal.scope.covers_all() {
         return Err(Problem::forbidden(
             "the store is that of all tenants, the token is not",
         ));
