--- a/crates/admin/src/audit.rs
+++ b/crates/admin/src/audit.rs
@@ -17,12 +17,12 @@
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
 
-/// Some of the audit log.
+/// A page of the audit log.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct AuditPage {
     /// Entries, the newest first.
     pub items: Vec<Entry>,
-    /// The cursor of older ones; null where none are at hand. Older ones still stand in the log's files.
+    /// The cursor of the next page; null on the last page. Older entries may still be in the log's files.
     pub next: Option<String>,
 }
 
@@ -31,19 +31,19 @@
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
 struct AuditParameters {
-    /// Entries at most; 50 if absent.
+    /// Page size; 50 if absent.
     #[param(minimum = 1, maximum = 200)]
     limit: Option<usize>,
-    /// The `next` of the page before.
+    /// The `next` of the previous page.
     cursor: Option<String>,
-    /// Changes of this tenant alone.
+    /// Only changes of this tenant.
     tenant: Option<String>,
 }
 
-/// Show the newest changes, each with who made it, from what and to what. Role: operator.
+/// List changes of tenants, the newest first, with actor, state before and state after. Role: operator.
 #[utoipa::path(get, path = "/v1/audit", tag = "audit", params(AuditParameters), responses(
     (status = 200, description = "Changes of tenants in the token's scope.", body = AuditPage),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn audit(
     State(state): State<ApiState>,
     principal: Principal,
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -7,11 +7,11 @@
 
 use crate::entity_tag::entity_tag_value;
 
-/// What went wrong, as RFC 9457 has it.
+/// Problem details (RFC 9457).
 #[derive(Debug, Serialize, utoipa::ToSchema)]
 #[schema(as = Problem)]
 pub struct ProblemBody {
-    /// What kind of problem it is; stays the same over versions.
+    /// The kind of problem; does not change between releases.
     #[serde(rename = "type")]
     #[schema(example = "urn:madderpitch:problem:stale-version")]
     kind: String,
@@ -19,12 +19,12 @@
     title: String,
     /// The HTTP status.
     status: u16,
-    /// What is wrong this time.
+    /// What is wrong with this request.
     detail: String,
-    /// The version as it is now, where another was meant.
+    /// The current version, if the request named another.
     #[serde(skip_serializing_if = "Option::is_none")]
     current_version: Option<String>,
-    /// The field that is wrong.
+    /// The invalid field.
     #[serde(skip_serializing_if = "Option::is_none")]
     field: Option<&'static str>,
 }
--- a/crates/admin/src/router.rs
+++ b/crates/admin/src/router.rs
@@ -20,9 +20,9 @@
 #[derive(utoipa::OpenApi)]
 #[openapi(
     info(title = "madderpitch administration",
-        description = "Tenants of a relay: made, changed, paused and removed while traffic flows. Undeliverable messages: \
-            looked through, claimed and sent again. A change names the state that it is meant for by If-Match; of two \
-            who change the same state, one wins. What was answered with 2xx holds over any end of the process.",
+        description = "Tenants of a relay: created, changed, paused and removed while traffic flows. Undeliverable \
+            messages: listed, claimed and resent. A change names the version that it applies to by If-Match; of two \
+            changes of one version, one succeeds. A change that was answered with 2xx survives any end of the process.",
         license(name = "MIT", identifier = "MIT")),
     components(schemas(TenantSpec)),
     security(("bearer" = [])),
--- a/crates/admin/src/status.rs
+++ b/crates/admin/src/status.rs
@@ -15,16 +15,16 @@
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
 
-/// How the registry does.
+/// The state of the tenant registry.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct RegistryStatus {
-    /// Tenants there are, those that drain among them.
+    /// Number of tenants, including draining ones.
     pub tenants: usize,
-    /// Number of the last change.
+    /// Sequence number of the last change.
     pub changes: u64,
-    /// Changes that were lost to damage of the registry's files; a tenant may stand as it did before one.
+    /// Changes that were lost to damage of the registry's files; a tenant may be in the state before such a change.
     pub lost_changes: u64,
-    /// Changes that could not be written to the audit log yet.
+    /// Changes that are not in the audit log yet.
     pub unwritten_audit_entries: usize,
     /// When the relay started.
     #[schema(format = DateTime)]
@@ -43,10 +43,10 @@
     }
 }
 
-/// Show how the registry does. Role: viewer.
+/// Show the state of the tenant registry. Role: viewer.
 #[utoipa::path(get, path = "/v1/status", tag = "status", responses(
-    (status = 200, description = "Its figures.", body = RegistryStatus),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 200, description = "The state.", body = RegistryStatus),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn status(State(state): State<ApiState>, principal: Principal) -> HandlerResult {
     principal.require_role(Role::Viewer)?;
     let request = TenantRequest::RegistryReport;
--- a/crates/admin/src/tenants/handlers.rs
+++ b/crates/admin/src/tenants/handlers.rs
@@ -30,10 +30,10 @@
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
 struct PageParameters {
-    /// Items at most; 50 if absent.
+    /// Page size; 50 if absent.
     #[param(minimum = 1, maximum = 200)]
     limit: Option<usize>,
-    /// The `next` of the page before.
+    /// The `next` of the previous page.
     cursor: Option<String>,
 }
 
@@ -42,14 +42,14 @@
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
 struct RemovalParameters {
-    /// What becomes of its messages, in place of what its specification says.
+    /// What happens to its messages, in place of what its specification says.
     on_removal: Option<OnRemoval>,
 }
 
 /// List tenants by name. Role: viewer.
 #[utoipa::path(get, path = "/v1/tenants", tag = "tenants", params(PageParameters), responses(
     (status = 200, description = "Some of the tenants in the token's scope.", body = TenantPage),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn list(
     State(state): State<ApiState>,
     principal: Principal,
@@ -72,15 +72,15 @@
     Ok(Json(TenantPage { items, next }).into_response())
 }
 
-/// Make a tenant. Role: admin.
+/// Create a tenant. Role: admin.
 #[utoipa::path(post, path = "/v1/tenants", tag = "tenants", request_body = NewTenant,
-    params(("Idempotency-Key" = Option<String>, Header, description = "The same request with the same key is done once.")),
+    params(("Idempotency-Key" = Option<String>, Header, description = "A repeated request with the same key is performed once.")),
     responses(
-    (status = 201, description = "Made.", body = Tenant,
-        headers(("ETag" = String, description = "Its version."), ("Location" = String, description = "Where it is."))),
-    (status = 409, description = "There is one of this name, or there are as many as may be.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 201, description = "Created.", body = Tenant,
+        headers(("ETag" = String, description = "The version."), ("Location" = String, description = "The path of what was created."))),
+    (status = 409, description = "The name is taken, or the maximum number exists already.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn create(State(state): State<ApiState>, request: AuthenticatedRequest) -> HandlerResult {
     request.principal.require_role(Role::Admin)?;
     let NewTenant { name, spec } = request.json_body(JSON)?;
@@ -91,12 +91,12 @@
 
 /// Show a tenant. Role: viewer.
 #[utoipa::path(get, path = "/v1/tenants/{name}", tag = "tenants", params(("name" = String, Path),
-    ("If-None-Match" = Option<String>, Header, description = "Answered 304 if the tenant is still in this state.")), responses(
-    (status = 200, description = "The tenant.", body = Tenant, headers(("ETag" = String, description = "Its version."))),
-    (status = 304, description = "It is in the state that was named."),
-    (status = 404, description = "There is none, and was none that is remembered.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 410, description = "It was removed and has drained.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    ("If-None-Match" = Option<String>, Header, description = "The response is 304 if the tenant still has this version.")), responses(
+    (status = 200, description = "The tenant.", body = Tenant, headers(("ETag" = String, description = "The version."))),
+    (status = 304, description = "The tenant still has that version."),
+    (status = 404, description = "There is no tenant of this name, and none is known to have been removed.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 410, description = "The tenant was removed and has drained.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn show(
     State(state): State<ApiState>,
     principal: Principal,
@@ -117,18 +117,18 @@
     Ok(tenant_response(*view, StatusCode::OK))
 }
 
-/// Put another specification in place of a tenant's, or make the tenant with `If-None-Match: *`. Role: operator,
-/// admin to make one.
+/// Replace a tenant's specification, or create the tenant with `If-None-Match: *`. Role: operator,
+/// admin to create one.
 #[utoipa::path(put, path = "/v1/tenants/{name}", tag = "tenants", request_body = Replacement, params(("name" = String, Path),
-    ("If-Match" = Option<String>, Header, description = "The tenant's ETag, or * for any state. Needed unless it is to be made."),
-    ("If-None-Match" = Option<String>, Header, description = "*: make it; there must be none of this name."),
-    ("Idempotency-Key" = Option<String>, Header, description = "The same request with the same key is done once.")), responses(
-    (status = 200, description = "The tenant after.", body = Tenant, headers(("ETag" = String, description = "Its version."))),
-    (status = 201, description = "Made.", body = Tenant, headers(("ETag" = String, description = "Its version."))),
-    (status = 412, description = "It is in another state, which current_version tells.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 428, description = "No state is named.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+    ("If-Match" = Option<String>, Header, description = "The tenant's ETag, or * for any version. Required unless the tenant is to be created."),
+    ("If-None-Match" = Option<String>, Header, description = "*: create the tenant; no tenant of this name may exist."),
+    ("Idempotency-Key" = Option<String>, Header, description = "A repeated request with the same key is performed once.")), responses(
+    (status = 200, description = "The tenant after the change.", body = Tenant, headers(("ETag" = String, description = "The version."))),
+    (status = 201, description = "Created.", body = Tenant, headers(("ETag" = String, description = "The version."))),
+    (status = 412, description = "The tenant has another version, given by current_version.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 428, description = "If-Match is missing.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn replace(
     State(state): State<ApiState>,
     Path(name): Path<String>,
@@ -149,13 +149,13 @@
 /// Change parts of a tenant's specification. Role: operator.
 #[utoipa::path(patch, path = "/v1/tenants/{name}", tag = "tenants",
     request_body(content = Patch, content_type = "application/merge-patch+json"), params(("name" = String, Path),
-    ("If-Match" = String, Header, description = "The tenant's ETag, or * for any state."),
-    ("Idempotency-Key" = Option<String>, Header, description = "The same request with the same key is done once.")), responses(
-    (status = 200, description = "The tenant after.", body = Tenant, headers(("ETag" = String, description = "Its version."))),
-    (status = 412, description = "It is in another state, which current_version tells.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 428, description = "No state is named.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+    ("If-Match" = String, Header, description = "The tenant's ETag, or * for any version."),
+    ("Idempotency-Key" = Option<String>, Header, description = "A repeated request with the same key is performed once.")), responses(
+    (status = 200, description = "The tenant after the change.", body = Tenant, headers(("ETag" = String, description = "The version."))),
+    (status = 412, description = "The tenant has another version, given by current_version.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 428, description = "If-Match is missing.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn merge(
     State(state): State<ApiState>,
     Path(name): Path<String>,
@@ -167,16 +167,16 @@
     apply_conditional_change(&state, &request, &name, change, StatusCode::OK).await
 }
 
-/// Remove a tenant: nothing more is taken on, what is held ends as its specification says, then it is gone.
+/// Remove a tenant: its messages are not accepted any more, those in the relay end as its specification says.
 /// Role: admin.
 #[utoipa::path(delete, path = "/v1/tenants/{name}", tag = "tenants", params(("name" = String, Path), RemovalParameters,
-    ("If-Match" = String, Header, description = "The tenant's ETag, or * for any state."),
-    ("Idempotency-Key" = Option<String>, Header, description = "The same request with the same key is done once.")), responses(
-    (status = 202, description = "It drains.", body = Tenant, headers(("ETag" = String, description = "Its version."))),
-    (status = 412, description = "It is in another state, which current_version tells.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 428, description = "No state is named.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+    ("If-Match" = String, Header, description = "The tenant's ETag, or * for any version."),
+    ("Idempotency-Key" = Option<String>, Header, description = "A repeated request with the same key is performed once.")), responses(
+    (status = 202, description = "The tenant is draining.", body = Tenant, headers(("ETag" = String, description = "The version."))),
+    (status = 412, description = "The tenant has another version, given by current_version.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 428, description = "If-Match is missing.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn remove(
     State(state): State<ApiState>,
     Path(name): Path<String>,
@@ -188,13 +188,13 @@
     apply_conditional_change(&state, &request, &name, change, StatusCode::ACCEPTED).await
 }
 
-/// Pause a tenant: nothing is taken on and nothing new is sent. Role: operator.
+/// Pause a tenant: new messages are not accepted, and no attempt is started. Role: operator.
 #[utoipa::path(post, path = "/v1/tenants/{name}/pause", tag = "tenants", params(("name" = String, Path),
-    ("If-Match" = String, Header, description = "The tenant's ETag, or * for any state."),
-    ("Idempotency-Key" = Option<String>, Header, description = "The same request with the same key is done once.")), responses(
-    (status = 200, description = "The tenant after.", body = Tenant, headers(("ETag" = String, description = "Its version."))),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+    ("If-Match" = String, Header, description = "The tenant's ETag, or * for any version."),
+    ("Idempotency-Key" = Option<String>, Header, description = "A repeated request with the same key is performed once.")), responses(
+    (status = 200, description = "The tenant after the change.", body = Tenant, headers(("ETag" = String, description = "The version."))),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn pause(
     State(state): State<ApiState>,
     Path(name): Path<String>,
@@ -204,13 +204,13 @@
     apply_conditional_change(&state, &request, &name, Change::Pause, StatusCode::OK).await
 }
 
-/// Let a paused tenant go on. Role: operator.
+/// Resume a paused tenant. Role: operator.
 #[utoipa::path(post, path = "/v1/tenants/{name}/resume", tag = "tenants", params(("name" = String, Path),
-    ("If-Match" = String, Header, description = "The tenant's ETag, or * for any state."),
-    ("Idempotency-Key" = Option<String>, Header, description = "The same request with the same key is done once.")), responses(
-    (status = 200, description = "The tenant after.", body = Tenant, headers(("ETag" = String, description = "Its version."))),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+    ("If-Match" = String, Header, description = "The tenant's ETag, or * for any version."),
+    ("Idempotency-Key" = Option<String>, Header, description = "A repeated request with the same key is performed once.")), responses(
+    (status = 200, description = "The tenant after the change.", body = Tenant, headers(("ETag" = String, description = "The version."))),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn resume(
     State(state): State<ApiState>,
     Path(name): Path<String>,
@@ -220,10 +220,10 @@
     apply_conditional_change(&state, &request, &name, Change::Resume, StatusCode::OK).await
 }
 
-/// Show what a tenant has in the relay, and what passed since the relay's start. Role: viewer.
+/// Show a tenant's current load, and its counters since the relay's start. Role: viewer.
 #[utoipa::path(get, path = "/v1/tenants/{name}/usage", tag = "tenants", params(("name" = String, Path)), responses(
-    (status = 200, description = "Its usage.", body = TenantUsage),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 200, description = "The tenant's usage.", body = TenantUsage),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn usage(
     State(state): State<ApiState>,
     principal: Principal,
--- a/crates/admin/src/tenants/model.rs
+++ b/crates/admin/src/tenants/model.rs
@@ -16,26 +16,26 @@
     /// Its generation and revision; the ETag is this in quotes.
     #[schema(example = "1.7")]
     pub version: String,
-    /// Where it stands.
+    /// Its state.
     pub state: State,
-    /// What is set of it.
+    /// Its specification.
     pub spec: TenantSpec,
     /// Its secrets, by name.
     pub secrets: Vec<Secret>,
-    /// When it was made.
+    /// When it was created.
     #[schema(format = DateTime)]
     pub created_at: String,
     /// When it was last changed.
     #[schema(format = DateTime)]
     pub changed_at: String,
-    /// Versions of older tenants of this name that still drain.
+    /// Versions of earlier tenants of this name that are still draining.
     pub draining: Vec<String>,
 }
 
-/// A secret; what it is can't be read back.
+/// A secret. Its value cannot be read back.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct Secret {
-    /// Its name among the tenant's.
+    /// Its name, unique within the tenant.
     pub id: String,
     /// When it was added.
     #[schema(format = DateTime)]
@@ -61,75 +61,74 @@
     }
 }
 
-/// A tenant to be made.
+/// A tenant to create.
 #[derive(Debug, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NewTenant {
     /// Its name.
     #[schema(max_length = 64, pattern = "^[A-Za-z0-9][A-Za-z0-9._-]*$")]
     pub name: String,
-    /// What is set of it.
+    /// Its specification.
     #[serde(default)]
     pub spec: TenantSpec,
 }
 
-/// Another specification in place of what there is.
+/// A specification that replaces the current one.
 #[derive(Debug, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Replacement {
-    /// The whole of it: what is absent has its default.
+    /// The complete specification; an absent field gets its default.
     pub spec: TenantSpec,
 }
 
-/// Parts of the specification that are to change (RFC 7396): what is absent stays, what is null goes back to its
-/// default.
+/// A merge patch of the specification (RFC 7396): an absent field is unchanged, a null one gets its default.
 #[derive(Debug, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// The parts.
+    /// The patch.
     #[schema(value_type = Object)]
     pub spec: serde_json::Value,
 }
 
-/// Some of the tenants.
+/// A page of tenants.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct TenantPage {
-    /// They, by name.
+    /// In the order of their names.
     pub items: Vec<Tenant>,
-    /// The cursor of the next page; null on the last.
+    /// The cursor of the next page; null on the last page.
     pub next: Option<String>,
 }
 
-/// What a tenant has in the relay, and what passed since the relay's start.
+/// A tenant's current load, and its counters since the relay's start.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct TenantUsage {
     /// Its name.
     pub name: String,
     /// Its generation and revision.
     pub version: String,
-    /// When counting began: the relay's start.
+    /// Since when it is counted: the relay's start.
     #[schema(format = DateTime)]
     pub since: String,
-    /// Messages taken on.
+    /// Messages accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
     /// Messages delivered.
     pub delivered: u64,
-    /// Messages refused, at the door or by a notice; their clients may come again.
+    /// Messages refused, on admission or later by a notification; their clients may retry.
     pub refused: u64,
-    /// Messages that were taken on and failed.
+    /// Accepted messages that failed.
     pub failed: u64,
-    /// Requests that were not the tenant's to make.
+    /// Requests that the tenant may not make.
     pub rejected: u64,
-    /// Messages held now, those out in calls among them.
+    /// Messages queued or in flight now.
     #[serde(rename = "held")]
     pub queued: usize,
-    /// Messages out in calls now.
+    /// Messages in flight now.
     pub in_flight: usize,
-    /// Messages taken on that are still owed something, if only that the platform takes their notice.
+    /// Accepted messages in the journal, including those that only wait for the platform to accept their notification.
     #[serde(rename = "owed")]
     pub unacknowledged: usize,
-    /// The same for older tenants of this name that still drain.
+    /// The same for earlier tenants of this name that are still draining.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     #[schema(no_recursion)]
     pub draining: Vec<TenantUsage>,
--- a/crates/admin/src/undeliverable/batches/handlers.rs
+++ b/crates/admin/src/undeliverable/batches/handlers.rs
@@ -39,16 +39,16 @@
 #[derive(utoipa::IntoResponses)]
 #[allow(dead_code, reason = "only the OpenAPI document is made from it")]
 enum BatchNotChanged {
-    /// It is over.
+    /// The batch has ended.
     #[response(status = 409, content_type = "application/problem+json")]
     Over(ProblemBody),
-    /// It is in another version, which current_version tells.
+    /// The version is another, given by current_version.
     #[response(status = 412, content_type = "application/problem+json")]
     Stale(ProblemBody),
-    /// Not as asked.
+    /// The request was rejected; see type and detail.
     #[response(status = "4XX", content_type = "application/problem+json")]
     Rejected(ProblemBody),
-    /// Not kept; harmless to ask again.
+    /// Nothing was changed; the request may be retried.
     #[response(status = 503, content_type = "application/problem+json")]
     NotPersisted(ProblemBody),
 }
@@ -56,7 +56,7 @@
 /// List batches of resends. Role: viewer.
 #[utoipa::path(get, path = "/v1/undeliverable-batches", tag = "undeliverable", responses(
     (status = 200, description = "Batches of the token's tenants.", body = BatchList),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn list_batches(State(state): State<ApiState>, principal: Principal) -> HandlerResult {
     principal.require_role(Role::Viewer)?;
     let batches = visible_batches(&state, &principal).await?;
@@ -64,13 +64,13 @@
     Ok(Json(BatchList { items }).into_response())
 }
 
-/// Plan a batch: a dry run that counts what it would find. Nothing is sent before it is run. Role: operator.
+/// Plan a batch: a dry run that counts the matching records. Nothing is sent before it is run. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable-batches", tag = "undeliverable", request_body = NewBatch, responses(
-    (status = 201, description = "Planned.", body = ResendBatch,
-        headers(("ETag" = String, description = "Its version."), ("Location" = String, description = "Where it is."))),
-    (status = 409, description = "There is one of this name, or there are as many as may be.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 201, description = "The batch was planned.", body = ResendBatch,
+        headers(("ETag" = String, description = "The version."), ("Location" = String, description = "The path of what was created."))),
+    (status = 409, description = "The name is taken, or the maximum number exists already.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn plan_batch(State(state): State<ApiState>, request: AuthenticatedRequest) -> HandlerResult {
     request.principal.require_role(Role::Operator)?;
     let new: NewBatch = request.json_body(JSON)?;
@@ -96,8 +96,8 @@
 
 /// Show a batch. Role: viewer.
 #[utoipa::path(get, path = "/v1/undeliverable-batches/{name}", tag = "undeliverable", params(("name" = String, Path)), responses(
-    (status = 200, description = "The batch.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 200, description = "The batch.", body = ResendBatch, headers(("ETag" = String, description = "The version."))),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn show_batch(
     State(state): State<ApiState>,
     principal: Principal,
@@ -108,10 +108,10 @@
     Ok(batch_response(batch, StatusCode::OK))
 }
 
-/// Run a batch, or let one go on. Role: operator.
+/// Run a batch, or resume a paused one. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable-batches/{name}/run", tag = "undeliverable", params(("name" = String, Path),
     ("If-Match" = String, Header, description = "The batch's ETag, or * for any version.")), responses(
-    (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
+    (status = 200, description = "The batch after the command.", body = ResendBatch, headers(("ETag" = String, description = "The version."))),
     BatchNotChanged))]
 async fn run_batch(
     State(state): State<ApiState>,
@@ -121,10 +121,10 @@
     execute(&state, &request, name, BatchCommand::Run).await
 }
 
-/// Send nothing new of a batch for now. Role: operator.
+/// Pause a batch: no resend is started until it is run again. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable-batches/{name}/pause", tag = "undeliverable", params(("name" = String, Path),
     ("If-Match" = String, Header, description = "The batch's ETag, or * for any version.")), responses(
-    (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
+    (status = 200, description = "The batch after the command.", body = ResendBatch, headers(("ETag" = String, description = "The version."))),
     BatchNotChanged))]
 async fn pause_batch(
     State(state): State<ApiState>,
@@ -134,10 +134,10 @@
     execute(&state, &request, name, BatchCommand::Pause).await
 }
 
-/// Send nothing more of a batch, for good. Role: operator.
+/// Cancel a batch: no resend is started any more. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable-batches/{name}/cancel", tag = "undeliverable", params(("name" = String, Path),
     ("If-Match" = String, Header, description = "The batch's ETag, or * for any version.")), responses(
-    (status = 200, description = "The batch after.", body = ResendBatch, headers(("ETag" = String, description = "Its version."))),
+    (status = 200, description = "The batch after the command.", body = ResendBatch, headers(("ETag" = String, description = "The version."))),
     BatchNotChanged))]
 async fn cancel_batch(
     State(state): State<ApiState>,
--- a/crates/admin/src/undeliverable/batches/model.rs
+++ b/crates/admin/src/undeliverable/batches/model.rs
@@ -9,21 +9,21 @@
 use crate::undeliverable::filter::RecordFilter;
 use crate::undeliverable::timestamp;
 
-/// A batch to be planned.
+/// A batch to plan.
 #[derive(Debug, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields)]
 pub struct NewBatch {
     /// Its name.
     #[schema(max_length = 64, pattern = "^[A-Za-z0-9._-]+$")]
     pub name: String,
-    /// Which of the records that are open now.
+    /// Which of the records that are open at the planning.
     #[serde(default)]
     pub filter: RecordFilter,
-    /// Records a second at most, 0.01 to 1000; 1 if absent.
+    /// Maximum resends per second, 0.01 to 1000; 1 if absent.
     pub per_second: Option<f64>,
-    /// Records out at once at most, 1 to 64; 1 if absent.
+    /// Maximum resends in flight, 1 to 64; 1 if absent.
     pub at_once: Option<u32>,
-    /// It stops by itself once so many of the last twice as many failed, 1 to 1000; 5 if absent.
+    /// The batch stops after this many failures among the last twice as many resends, 1 to 1000; 5 if absent.
     pub stop_after: Option<u32>,
 }
 
@@ -32,36 +32,36 @@
 pub struct ResendBatch {
     /// Its name.
     pub name: String,
-    /// Grows with every order; the ETag is this in quotes.
+    /// Grows with every command; the ETag is this in quotes.
     pub version: u32,
-    /// Where it stands: planned, running, paused, stopped (too many failed), done or cancelled.
+    /// Its state: planned, running, paused, stopped (too many failures), done or cancelled.
     pub state: &'static str,
     /// Who planned it.
     pub by: String,
-    /// When.
+    /// When it was planned.
     #[schema(format = DateTime)]
     pub made_at: String,
-    /// Which records.
+    /// A filter of records; all fields that are present have to match.
     pub filter: RecordFilter,
-    /// Records a second at most.
+    /// Maximum resends per second.
     pub per_second: f64,
-    /// Records out at once at most.
+    /// Maximum resends in flight.
     pub at_once: u32,
-    /// Failures that stop it.
+    /// Number of failures that stop it.
     pub stop_after: u32,
-    /// Records that the dry run found.
+    /// Number of records that the dry run found.
     pub found: u64,
-    /// Of those, the ones that could go then.
+    /// How many of those could be resent then.
     pub may_go: u64,
-    /// Of those, the ones that could not, by what they need.
+    /// How many of those could not, by what is missing.
     pub needs: BTreeMap<String, u64>,
-    /// Sent so far.
+    /// Number of records resent so far.
     pub sent: u64,
-    /// Delivered.
+    /// Number of those that were delivered.
     pub delivered: u64,
-    /// Ended without delivery.
+    /// Number of those that failed.
     pub failed: u64,
-    /// Passed over.
+    /// Number of records skipped.
     pub skipped: u64,
 }
 
@@ -91,6 +91,6 @@
 /// All batches.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct BatchList {
-    /// They, by name.
+    /// In the order of their names.
     pub items: Vec<ResendBatch>,
 }
--- a/crates/admin/src/undeliverable/counts.rs
+++ b/crates/admin/src/undeliverable/counts.rs
@@ -16,16 +16,16 @@
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
 
-/// How many records there are of a value.
+/// The number of records with a value.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableCount {
     /// The value.
     pub value: String,
-    /// Records.
+    /// Number of records.
     pub records: u64,
 }
 
-/// How many records there are, by one of their fields.
+/// The numbers of records by the values of a field.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableCounts {
     /// A count for each value.
@@ -44,8 +44,8 @@
 /// Count undeliverable messages by a field. Role: viewer; by another field than tenant only for all tenants.
 #[utoipa::path(get, path = "/v1/undeliverable/counts", tag = "undeliverable", params(CountParameters), responses(
     (status = 200, description = "The counts.", body = UndeliverableCounts),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "They can't be read now, or are not kept.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "The store cannot be read now, or the relay has none.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn count_undeliverable(
     State(state): State<ApiState>,
     principal: Principal,
--- a/crates/admin/src/undeliverable/filter.rs
+++ b/crates/admin/src/undeliverable/filter.rs
@@ -9,25 +9,25 @@
 use crate::auth::Principal;
 use crate::problem::Problem;
 
-/// Which records.
+/// A filter of records; all fields that are present have to match.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct RecordFilter {
-    /// Of this partner.
+    /// Only records of this destination.
     pub destination: Option<u16>,
-    /// Of this class.
+    /// Only records of this class.
     pub class: Option<String>,
-    /// Given up for this reason.
+    /// Only records of messages that were given up for this reason.
     pub reason: Option<String>,
-    /// Of this tenant.
+    /// Only records of this tenant.
     pub tenant: Option<String>,
-    /// Given up at this moment or later.
+    /// Only messages given up at this time or later.
     #[schema(format = DateTime)]
     pub since: Option<String>,
-    /// Given up before this moment.
+    /// Only messages given up before this time.
     #[schema(format = DateTime)]
     pub until: Option<String>,
-    /// Of which an attempt may have run, or none may.
+    /// Only messages of which an attempt may have executed, or only those of which none may.
     pub may_have_run: Option<bool>,
 }
 
--- a/crates/admin/src/undeliverable/records/actions.rs
+++ b/crates/admin/src/undeliverable/records/actions.rs
@@ -18,27 +18,27 @@
 #[derive(utoipa::IntoResponses)]
 #[allow(dead_code, reason = "only the OpenAPI document is made from it")]
 enum RecordNotChanged {
-    /// It is being sent, closed, or may not be sent again; the type says which.
+    /// The record is being resent, is closed, or may not be resent; see type.
     #[response(status = 409, content_type = "application/problem+json")]
     Conflict(ProblemBody),
-    /// It is in another version, which current_version tells.
+    /// The version is another, given by current_version.
     #[response(status = 412, content_type = "application/problem+json")]
     Stale(ProblemBody),
-    /// Somebody else has claimed it.
+    /// Another operator has claimed the record.
     #[response(status = 423, content_type = "application/problem+json")]
     Claimed(ProblemBody),
-    /// Not as asked.
+    /// The request was rejected; see type and detail.
     #[response(status = "4XX", content_type = "application/problem+json")]
     Rejected(ProblemBody),
-    /// Not kept; harmless to ask again.
+    /// Nothing was changed; the request may be retried.
     #[response(status = 503, content_type = "application/problem+json")]
     NotPersisted(ProblemBody),
 }
 
-/// Set a record aside for the one who asks: until the claim is over nobody else may change it. Role: operator.
+/// Claim a record: until the claim expires or is released, nobody else may change it. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable/{id}/claim", tag = "undeliverable", params(("id" = u64, Path),
     ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
-    (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    (status = 200, description = "The record after the action.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
     RecordNotChanged))]
 async fn claim_undeliverable(
     State(state): State<ApiState>,
@@ -48,10 +48,10 @@
     perform(&state, &request, id, RecordAction::Claim).await
 }
 
-/// Give a claim up. Role: operator.
+/// Release a claim. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable/{id}/release", tag = "undeliverable", params(("id" = u64, Path),
     ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
-    (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    (status = 200, description = "The record after the action.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
     RecordNotChanged))]
 async fn release_undeliverable(
     State(state): State<ApiState>,
@@ -61,11 +61,11 @@
     perform(&state, &request, id, RecordAction::Release).await
 }
 
-/// Send a message again, if its rules allow that now. Role: operator.
+/// Resend a message, if the resend policy permits it now. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable/{id}/resend", tag = "undeliverable", params(("id" = u64, Path),
     ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
-    (status = 202, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
-    (status = 429, description = "Too much is sent again already, or live messages need the room; nothing was done.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 202, description = "The record after the action.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
+    (status = 429, description = "Too many resends are in progress, or live messages need the capacity; nothing was done.", body = ProblemBody, content_type = "application/problem+json"),
     RecordNotChanged))]
 async fn resend_undeliverable(
     State(state): State<ApiState>,
@@ -75,10 +75,10 @@
     perform(&state, &request, id, RecordAction::Resend).await
 }
 
-/// Ask the partner whether a message took effect. What it says stands among the statements. Role: operator.
+/// Ask the partner whether a message took effect. Its answer is added to the statements. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable/{id}/ask", tag = "undeliverable", params(("id" = u64, Path),
     ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
-    (status = 202, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    (status = 202, description = "The record after the action.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
     RecordNotChanged))]
 async fn ask_undeliverable(
     State(state): State<ApiState>,
@@ -88,10 +88,10 @@
     perform(&state, &request, id, RecordAction::QueryPartner).await
 }
 
-/// Close a record without more. Role: operator.
+/// Close a record without another attempt. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable/{id}/discard", tag = "undeliverable", params(("id" = u64, Path),
     ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
-    (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
+    (status = 200, description = "The record after the action.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
     RecordNotChanged))]
 async fn discard_undeliverable(
     State(state): State<ApiState>,
@@ -101,13 +101,13 @@
     perform(&state, &request, id, RecordAction::Discard).await
 }
 
-/// Say whether a message took effect. Two operators who agree stand for the partner's word. Role: operator.
+/// Attest whether a message took effect. Two operators who agree count as the partner's answer. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable/{id}/attest", tag = "undeliverable", request_body = NewAttestation,
     params(("id" = u64, Path), ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
-    (status = 200, description = "The record after.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
-    (status = 412, description = "It is in another version, which current_version tells.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Not kept; harmless to ask again.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 200, description = "The record after the action.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
+    (status = 412, description = "The version is another, given by current_version.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn attest_undeliverable(
     State(state): State<ApiState>,
     Path(id): Path<u64>,
--- a/crates/admin/src/undeliverable/records/model.rs
+++ b/crates/admin/src/undeliverable/records/model.rs
@@ -10,20 +10,20 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// An attempt on a message.
+/// An attempt to deliver a message.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableAttempt {
     /// When it was sent.
     #[schema(format = DateTime)]
     pub at: String,
-    /// The host; null where it is not known.
+    /// The host; null if it is not known.
     pub host: Option<String>,
-    /// How it ended.
+    /// Its outcome.
     #[schema(value_type = String, example = "timed-out")]
     pub outcome: undeliverable::Outcome,
-    /// False once it is known not to have run.
+    /// False once it is known not to have been executed.
     pub may_have_run: bool,
-    /// 0 for those before the message was given up, else the number of the resend.
+    /// 0 for attempts before the message was given up, otherwise the number of the resend.
     pub resend: u32,
 }
 
@@ -39,19 +39,19 @@
     }
 }
 
-/// What was said of whether a message took effect.
+/// A statement of whether a message took effect.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableStatement {
     /// The operator's name; null for the partner.
     pub operator: Option<String>,
-    /// What.
+    /// What was stated.
     #[schema(value_type = String, example = "not-applied")]
     #[serde(rename = "says")]
     pub claim: ExecutionClaim,
-    /// When: what happened after is not covered.
+    /// When it was stated; it does not cover later attempts.
     #[schema(format = DateTime)]
     pub at: String,
-    /// Resends that there had been by then.
+    /// Number of resends before it.
     pub resends: u32,
 }
 
@@ -70,21 +70,21 @@
     }
 }
 
-/// A message that was given up, with its story.
+/// A message that was given up, with its attempts and statements.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableRecord {
     /// Its number in the store.
     pub id: u64,
     /// Grows with every change; the ETag is this in quotes.
     pub version: u32,
-    /// Where it stands: open, claimed, sending, delivered, applied-before or discarded.
+    /// Its state: open, claimed, sending, delivered, applied-before or discarded.
     pub state: &'static str,
-    /// Who has claimed it or sends it; null for nobody.
+    /// Who has claimed it or resends it; null for nobody.
     pub holder: Option<String>,
-    /// Until when it is claimed, since when it is sent or closed; null for open ones.
+    /// Until when it is claimed, or since when it is being resent or closed; null for an open record.
     #[schema(format = DateTime)]
     pub state_at: Option<String>,
-    /// The message's name as it was handed in.
+    /// The message's name as it was submitted.
     pub message: String,
     /// Its tenant.
     pub tenant: String,
@@ -94,30 +94,30 @@
     pub destination: u16,
     /// Its idempotency key.
     pub key: Option<String>,
-    /// Whether it may run more than once: safe, keyed or unsafe.
+    /// Whether it may be executed more than once: safe, keyed or unsafe.
     pub effect: &'static str,
     /// For how long its key is remembered, in seconds.
     pub key_window_s: Option<f64>,
-    /// Bytes of its body.
+    /// Size of its body, in bytes.
     pub size: u32,
     /// When it was given up first.
     #[schema(format = DateTime)]
     pub ended_at: String,
-    /// When its time was up.
+    /// Its deadline.
     #[schema(format = DateTime)]
     pub due_at: String,
-    /// Why it was given up, at the last time.
+    /// Why it was last given up.
     #[schema(value_type = String, example = "out-of-time")]
     pub reason: Reason,
-    /// Whether one of its attempts may have run.
+    /// Whether one of its attempts may have been executed.
     pub may_have_run: bool,
-    /// How often it was sent again.
+    /// Number of resends.
     pub resends: u32,
     /// Every attempt, in order.
     pub attempts: Vec<UndeliverableAttempt>,
-    /// What was said of it, in order.
+    /// Statements of whether it took effect, in order.
     pub statements: Vec<UndeliverableStatement>,
-    /// What it needs before it can be sent again; null if it could be sent now. Absent in lists.
+    /// What is missing before it can be resent; null if it could be resent now. Absent in lists.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schema(value_type = Option<String>, example = "needs-word")]
     pub needs: Option<Option<&'static str>>,
@@ -183,22 +183,22 @@
     }
 }
 
-/// Some of the records.
+/// A page of records.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverablePage {
-    /// They, newest first. There may be fewer than asked for, even none, while there are more.
+    /// Records, the newest first. A page may have fewer than requested, even none, while more follow.
     pub items: Vec<UndeliverableRecord>,
-    /// The cursor of the next page; null on the last. Records that come later do not move it.
+    /// The cursor of the next page; null on the last page. New records do not shift it.
     pub next: Option<String>,
 }
 
-/// What somebody says of whether a message took effect.
+/// An operator's statement of whether a message took effect.
 #[derive(Debug, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields)]
 #[schema(as = Attestation)]
 #[serde(rename = "Attestation")]
 pub struct NewAttestation {
-    /// It did (applied), it did not and will not (not-applied), or that can't be told (unknown).
+    /// It did (applied), it did not and will not (not-applied), or it is not known (unknown).
     #[schema(value_type = String, pattern = "^(applied|not-applied|unknown)$")]
     #[serde(rename = "says")]
     pub claim: ExecutionClaim,
--- a/crates/admin/src/undeliverable/records/read.rs
+++ b/crates/admin/src/undeliverable/records/read.rs
@@ -26,34 +26,34 @@
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
 struct RecordListParameters {
-    /// Records at most; 50 if absent.
+    /// Page size; 50 if absent.
     #[param(minimum = 1, maximum = 200)]
     limit: Option<usize>,
-    /// The `next` of the page before.
+    /// The `next` of the previous page.
     cursor: Option<String>,
-    /// Of this partner.
+    /// Only records of this destination.
     destination: Option<u16>,
-    /// Of this class.
+    /// Only records of this class.
     class: Option<String>,
-    /// Given up for this reason.
+    /// Only records of messages that were given up for this reason.
     reason: Option<String>,
-    /// Of this tenant.
+    /// Only records of this tenant.
     tenant: Option<String>,
-    /// Given up at this moment or later, such as 2026-12-01T08:00:00Z.
+    /// Only messages given up at this time or later, such as 2026-12-01T08:00:00Z.
     since: Option<String>,
-    /// Given up before this moment.
+    /// Only messages given up before this time.
     until: Option<String>,
-    /// Of which an attempt may have run, or none may.
+    /// Only messages of which an attempt may have executed, or only those of which none may.
     may_have_run: Option<bool>,
-    /// In this state.
+    /// Only records in this state.
     state: Option<String>,
 }
 
-/// List undeliverable messages, newest first. Role: viewer.
+/// List undeliverable messages, the newest first. Role: viewer.
 #[utoipa::path(get, path = "/v1/undeliverable", tag = "undeliverable", params(RecordListParameters), responses(
     (status = 200, description = "Records of tenants in the token's scope.", body = UndeliverablePage),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "They can't be read now, or are not kept.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "The store cannot be read now, or the relay has none.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn list_undeliverable(
     State(state): State<ApiState>,
     principal: Principal,
@@ -100,11 +100,11 @@
     Ok(Json(UndeliverablePage { items, next }).into_response())
 }
 
-/// Show a record with its whole story. Role: viewer.
+/// Show a record with its attempts and attestations. Role: viewer.
 #[utoipa::path(get, path = "/v1/undeliverable/{id}", tag = "undeliverable", params(("id" = u64, Path)), responses(
-    (status = 200, description = "The record.", body = UndeliverableRecord, headers(("ETag" = String, description = "Its version."))),
-    (status = 404, description = "There is none, or it was dropped.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 200, description = "The record.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
+    (status = 404, description = "There is no such record; it may have been evicted.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn show_undeliverable(
     State(state): State<ApiState>,
     principal: Principal,
@@ -117,8 +117,8 @@
 
 /// Show the body of a record's message. Role: operator.
 #[utoipa::path(get, path = "/v1/undeliverable/{id}/body", tag = "undeliverable", params(("id" = u64, Path)), responses(
-    (status = 200, description = "The body, as it was handed in.", body = Vec<u8>, content_type = "application/octet-stream"),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 200, description = "The body, as it was submitted.", body = Vec<u8>, content_type = "application/octet-stream"),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn undeliverable_body(
     State(state): State<ApiState>,
     principal: Principal,
--- a/crates/admin/src/undeliverable/status.rs
+++ b/crates/admin/src/undeliverable/status.rs
@@ -14,35 +14,35 @@
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
 
-/// Records that were dropped.
+/// Records that were evicted.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableDropped {
-    /// Whose.
+    /// Their tenant.
     pub tenant: String,
-    /// Why: age, bytes, tenant-bytes or records.
+    /// The cause: age, bytes, tenant-bytes or records.
     pub cause: String,
-    /// How many, since the store was made.
+    /// Their number, since the store was created.
     pub records: u64,
 }
 
-/// How the store of undeliverable messages does.
+/// The state of the store of undeliverable messages.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableStatus {
-    /// Records it holds.
+    /// Number of records.
     pub records: u64,
-    /// Their bytes, as the caps count them.
+    /// Their size in bytes, as it counts towards the limits.
     pub bytes: u64,
-    /// Records that can't be read.
+    /// Records that cannot be read.
     pub unreadable: u64,
-    /// Messages that were given up and could not be kept, since the relay's start.
+    /// Undeliverable messages that could not be stored, since the relay's start.
     #[serde(rename = "lost")]
     pub unstored: u64,
-    /// Messages that are being sent again now.
+    /// Messages that are being resent now.
     pub sending: usize,
-    /// Why nothing is kept now; null if all is well.
+    /// Why the store cannot be written now; null if it can.
     #[serde(rename = "trouble")]
     pub error: Option<String>,
-    /// Records that were dropped.
+    /// Records that were evicted.
     pub dropped: Vec<UndeliverableDropped>,
 }
 
@@ -66,11 +66,11 @@
     }
 }
 
-/// Show how the store does. Role: viewer of all tenants.
+/// Show the state of the store. Role: viewer of all tenants.
 #[utoipa::path(get, path = "/v1/undeliverable/status", tag = "undeliverable", responses(
-    (status = 200, description = "Its figures.", body = UndeliverableStatus),
-    (status = "4XX", description = "Not as asked.", body = ProblemBody, content_type = "application/problem+json"),
-    (status = 503, description = "Such messages are not kept.", body = ProblemBody, content_type = "application/problem+json")))]
+    (status = 200, description = "The state.", body = UndeliverableStatus),
+    (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 503, description = "The relay has no store of undeliverable messages.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn undeliverable_status(
     State(state): State<ApiState>,
     principal: Principal,
