--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -82,7 +82,7 @@
         let stream = match listener.accept().await {
             Ok(stream) => stream,
             Err(error) => {
-                log!(runtime, "admin: cannot accept: {error}");
+                log!(runtime, "admin: accept_failed error={error}");
                 runtime.sleep(ACCEPT_DELAY).await;
                 continue;
             }
--- a/crates/policy/src/tables.rs
+++ b/crates/policy/src/tables.rs
@@ -1,20 +1,26 @@
-//! The tables of queued messages and calls in flight: insertion, removal and sums. Nothing here decides what is sent.
+//! The tables of queued messages and calls in flight: insertion, removal and sums. Nothing here decides what is
+//! sent.
 
+use crate::call::Call;
 use crate::queued_message::{Attempt, AttemptState, QueuedMessage};
-use crate::route::Call;
 use crate::scheduler::Capacity;
 use crate::state::DeliveryPolicy;
-use crate::types::{HostId, Message, MessageId, Micros, PastAttempt};
+use crate::types::{HostId, Message, MessageId, Micros, PastAttempt, RouteKey};
 
 impl DeliveryPolicy {
     /// Messages without a final answer.
     pub(crate) fn open_messages(&self) -> impl Iterator<Item = &QueuedMessage> {
-        self.queue.values().filter(|queued| !queued.is_settled && !queued.response_started)
+        self.queue
+            .values()
+            .filter(|queued| !queued.is_settled && !queued.response_started)
     }
 
     /// Messages and bytes of those in the queue that meet a condition.
     pub(crate) fn total_size(&self, condition: impl Fn(&QueuedMessage) -> bool) -> Capacity {
-        let mut total = Capacity { messages: 0, bytes: 0 };
+        let mut total = Capacity {
+            messages: 0,
+            bytes: 0,
+        };
         for queued in self.queue.values().filter(|queued| condition(queued)) {
             total.messages += 1;
             total.bytes += queued.message.size;
@@ -25,7 +31,10 @@
     /// What the queue has room for.
     pub(crate) fn queue_capacity(&self) -> Capacity {
         let bytes = self.settings.max_queued_bytes;
-        Capacity { messages: self.settings.max_queued, bytes: if bytes == 0 { usize::MAX } else { bytes } }
+        Capacity {
+            messages: self.settings.max_queued,
+            bytes: if bytes == 0 { usize::MAX } else { bytes },
+        }
     }
 
     /// Adds a message to the queue, and to the order of its key if it has one.
@@ -33,7 +42,11 @@
         let Message { id, size, .. } = queued.message;
         self.queued_bytes += size;
         if let Some(key) = ordered_by {
-            self.ordered_keys.entry(key).or_default().queue.push_back(id);
+            self.ordered_keys
+                .entry(key)
+                .or_default()
+                .queue
+                .push_back(id);
         }
         self.queue.insert(id, queued);
     }
@@ -42,7 +55,9 @@
     pub(crate) fn enqueue_with_attempts(&mut self, message: Message, attempts: &[PastAttempt]) {
         self.enqueue(message);
         if let Some(queued) = self.queue.get_mut(&message.id) {
-            queued.attempts.extend(attempts.iter().map(Attempt::from_past));
+            queued
+                .attempts
+                .extend(attempts.iter().map(Attempt::from_past));
         }
     }
 
@@ -55,7 +70,9 @@
 
     /// The message needs no final answer any more; it stays only while attempts are in flight.
     pub(crate) fn settle(&mut self, id: MessageId) {
-        let Some(queued) = self.queue.get_mut(&id) else { return };
+        let Some(queued) = self.queue.get_mut(&id) else {
+            return;
+        };
         queued.is_settled = true;
         if queued.is_in_flight() {
             return;
@@ -73,7 +90,8 @@
             order.queue.retain(|other| *other != id);
             if self.ordered_keys.len() > 2 * self.queue.len() + self.settings.max_queued {
                 let now = self.now;
-                self.ordered_keys.retain(|_, order| !order.queue.is_empty() || order.blocked_until > now);
+                self.ordered_keys
+                    .retain(|_, order| !order.queue.is_empty() || order.blocked_until > now);
             }
         }
         let message = self.queue.remove(&id)?.message;
@@ -83,9 +101,12 @@
 
     /// Records an attempt of the message in the latest call.
     pub(crate) fn add_attempt(
-        &mut self, id: MessageId, host: HostId, expected_duration: Micros,
+        &mut self,
+        id: MessageId,
+        host: HostId,
+        expected_duration: Micros,
     ) -> Option<Message> {
-        if let Some(call) = self.calls.get_mut(&self.next_call) {
+        if let Some(call) = self.calls.get_mut(&self.latest_call) {
             call.pending_messages += 1;
         }
         let zone = self.hosts.get(&host)?.entry.zone;
@@ -93,7 +114,7 @@
         queued.attempts.push(Attempt {
             sent_at: self.now,
             zone,
-            call: self.next_call,
+            call: self.latest_call,
             state: AttemptState::InFlight,
             is_cancelled: false,
             expected_duration,
@@ -109,12 +130,15 @@
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.in_flight += 1;
         }
-        self.calls.insert(self.next_call, call);
+        self.calls.insert(self.latest_call, call);
     }
 
     /// Takes out a call that has ended.
-    pub(crate) fn remove_call(&mut self, id: u64, host: HostId) {
+    pub(crate) fn remove_call(&mut self, id: u64, route: RouteKey, host: HostId) {
         self.calls.remove(&id);
+        if let Some(route) = self.routes.get_mut(&route) {
+            route.in_flight -= 1;
+        }
         if let Some(host) = self.hosts.get_mut(&host) {
             host.in_flight = host.in_flight.saturating_sub(1);
         }
--- a/crates/policy/src/types/event.rs
+++ b/crates/policy/src/types/event.rs
@@ -65,7 +65,10 @@
     /// Whether anything was written to the host.
     #[must_use]
     pub fn reached_host(self) -> bool {
-        !matches!(self, AttemptOutcome::ConnectFailed | AttemptOutcome::Obsolete | AttemptOutcome::NotStarted)
+        !matches!(
+            self,
+            AttemptOutcome::ConnectFailed | AttemptOutcome::Obsolete | AttemptOutcome::NotStarted
+        )
     }
 
     /// Whether the outcome says nothing of the host: it comes of a reused connection or of the relay itself.
@@ -139,7 +142,7 @@
         /// Its attempts so far, in order.
         attempts: Vec<PastAttempt>,
         /// The host where the last of them is still in flight, if it is.
-        out: Option<HostId>,
+        in_flight_at: Option<HostId>,
     },
     /// An outage that this replica saw before a restart.
     OutageRestored(Outage),
--- a/crates/relay/src/event_loop/host_list.rs
+++ b/crates/relay/src/event_loop/host_list.rs
@@ -22,11 +22,11 @@
     /// Discovery has sent a list or a change of it.
     pub(super) fn host_list_received(&mut self, list: HostList) {
         self.apply_host_list(list, HostListSource::Discovery);
-        self.discovery_answered();
+        self.discovery_contacted();
     }
 
     /// Discovery is in contact, so the list in force is the latest.
-    pub(super) fn discovery_answered(&mut self) {
+    pub(super) fn discovery_contacted(&mut self) {
         self.confirm_host_list();
         self.record_discovery_contact();
     }
@@ -44,11 +44,11 @@
         self.membership.borrow().confirmation_deadline()
     }
 
-    /// Discovery is silent: the cached list has to serve.
+    /// Discovery has not answered in time: the cached list has to serve.
     pub fn use_unconfirmed_host_list(&mut self) {
         log!(
             self.runtime,
-            "discovery: silent since the start; calls go by the remembered list"
+            "discovery: no_contact_since_start host_list=cached"
         );
         self.confirm_host_list();
     }
@@ -63,8 +63,10 @@
         };
         let changes = self.host_directory.apply_list(list, &names);
         for (host, is_ready) in changes.ready {
-            self.membership.borrow_mut().set_listed(host, is_ready);
-            if !is_ready {
+            if is_ready {
+                self.membership.borrow_mut().set_ready(host);
+            } else {
+                self.membership.borrow_mut().set_unavailable(host);
                 self.host_connections.close_idle(host);
             }
         }
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -48,7 +48,7 @@
 use crate::host_directory::HostDirectory;
 use crate::in_flight::InFlightMessages;
 use crate::journal::Journal;
-use crate::state_directory::{Calls, DirectoryOwner};
+use crate::state_directory::{DirectoryOwner, RunningCalls};
 use crate::tenant_service::Tenants;
 use crate::undeliverable_service::UndeliverableService;
 
@@ -103,7 +103,7 @@
     last_round_at: Instant,
     in_flight: InFlightMessages,
     /// Calls to hosts that have not ended.
-    open_calls: Calls,
+    open_calls: RunningCalls,
     host_directory: HostDirectory,
     /// The policy's numbers of classes.
     classes: Classes,
@@ -189,10 +189,10 @@
             self.pending_events.push(Event::ShuttingDown { at });
         }
         let messages = self.in_flight.len();
-        let calls = self.open_calls.len();
+        let open_calls = self.open_calls.len();
         log!(
             self.runtime,
-            "told to stop; {messages} messages in hand, {calls} calls out"
+            "relay: shutdown_started messages={messages} open_calls={open_calls}"
         );
     }
 
@@ -205,7 +205,7 @@
                 self.attempt_ended(call);
             }
             RelayEvent::HostListReceived(list) => self.host_list_received(list),
-            RelayEvent::HostListConfirmed => self.discovery_answered(),
+            RelayEvent::HostListConfirmed => self.discovery_contacted(),
             RelayEvent::NotificationsAccepted(ids) => self.notifications_accepted(ids),
             RelayEvent::Tenants(call) => self.answer_tenant_call(call),
             RelayEvent::Undeliverable(event) => self.handle_undeliverable_event(event),
--- a/crates/relay/src/host_connections/tests.rs
+++ b/crates/relay/src/host_connections/tests.rs
@@ -1,7 +1,5 @@
 use super::*;
 
-use std::future::Future;
-
 use membership::{DiscoveryMode, DiscoverySettings};
 use policy::types::AttemptOutcome;
 use runtime::OsRuntime;
@@ -10,6 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
+use crate::test_support::run_local;
+
 const HOST_ID: HostId = 1;
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -20,7 +20,10 @@
         id: 1,
         attempt: 0,
         host: HOST_ID,
-        route: (1, None),
+        route: RouteKey {
+            destination: 1,
+            host: None,
+        },
         address,
         name: "9b1f03aa5c7e2d41".into(),
         key: key.map(String::from),
@@ -41,7 +44,7 @@
         },
         None,
     );
-    members.set_listed(HOST_ID, true);
+    members.set_ready(HOST_ID);
     members.confirm();
     let timeout = Duration::from_secs(5);
     HostConnections::new(
@@ -54,14 +57,6 @@
     )
 }
 
-fn run_local(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .expect("a runtime");
-    tokio::task::LocalSet::new().block_on(&runtime, test);
-}
-
 async fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
@@ -155,7 +150,7 @@
                 hosts.keep(HOST_ID, connection);
             }
             // What the event loop does at a drain, except for closing idle connections.
-            hosts.members.borrow_mut().set_listed(HOST_ID, false);
+            hosts.members.borrow_mut().set_unavailable(HOST_ID);
             let completed = make_call(&hosts, call_to(address, Some("k"), b"x")).await;
             assert_eq!(
                 (completed.outcome, completed.opened_connection),
@@ -182,7 +177,7 @@
     });
 }
 
-/// When a second copy of a response arrives.
+/// When a duplicate response arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DuplicateTiming {
     WithTheResponse,
--- a/crates/relay/src/process/serving.rs
+++ b/crates/relay/src/process/serving.rs
@@ -30,7 +30,7 @@
     /// The process ends.
     Ended,
     /// Another process has the state directory; the open calls are still this one's.
-    HandedOver {
+    Departing {
         departing: DepartingProcess<R>,
         clients: Rc<ClientConnections<R>>,
     },
@@ -83,12 +83,12 @@
                 self.answer_last_requests(&mut event_loop).await?;
                 return Ok(Served::Ended);
             }
-            if !self.control.should_hand_over(servers.clients.count()) {
+            if !self.control.should_start_handover(servers.clients.count()) {
                 continue;
             }
             self.handle_waiting_events(&mut event_loop);
             event_loop.run_round()?;
-            match event_loop.hand_over() {
+            match event_loop.start_handover() {
                 Ok(departing) => return Ok(retire(event_loop, departing, servers)),
                 Err(error) => self.resume_serving(&servers, &error)?,
             }
@@ -196,7 +196,7 @@
 
     fn started_event(&self) -> LifecycleEvent {
         if self.control.state() == LifecycleState::HandingOver {
-            LifecycleEvent::TakenBack
+            LifecycleEvent::Reclaimed
         } else {
             LifecycleEvent::Started
         }
@@ -218,11 +218,8 @@
 
     /// Accepts clients again after a hand-over that failed.
     fn resume_serving(&self, servers: &Servers<R>, error: &io::Error) -> Result<(), RelayError> {
-        log!(
-            self.runtime,
-            "upgrade: cannot hand over, and serves on: {error}"
-        );
-        if !self.control.handle_event(LifecycleEvent::TakenBack) {
+        log!(self.runtime, "upgrade: handover_failed error={error}");
+        if !self.control.handle_event(LifecycleEvent::Reclaimed) {
             return Ok(());
         }
         let descriptor = self.inherited_listener.unwrap_or(NO_DESCRIPTOR);
@@ -319,7 +316,11 @@
     /// costs them no attempt.
     fn should_exit(&self, event_loop: &EventLoop<R>, clients: &ClientConnections<R>) -> bool {
         let is_idle = || event_loop.is_idle() && clients.count() == 0 && self.events.is_empty();
-        self.control.should_exit(clients.is_accepting(), is_idle)
+        if clients.is_accepting() {
+            self.control.should_exit_listening(is_idle)
+        } else {
+            self.control.should_exit(is_idle)
+        }
     }
 
     /// Waits for a signal, an event, a change of the lifecycle or the given moment.
@@ -336,7 +337,7 @@
             },
             Some(event) = self.events.recv() => {
                 event_loop.handle_event(event);
-                // Events that came together go into one round, which must not be put off for ever.
+                // Events that came together go into one round, which must not be delayed indefinitely.
                 for _ in 0..EVENT_QUEUE_CAPACITY {
                     let Ok(event) = self.events.try_recv() else { break };
                     event_loop.handle_event(event);
@@ -358,7 +359,7 @@
     servers.tasks.iter().for_each(Task::abort);
     event_loop.retire(&mut departing);
     departing.release_directory();
-    Served::HandedOver {
+    Served::Departing {
         departing,
         clients: servers.clients,
     }
