--- a/crates/admin/src/refusals.rs
+++ b/crates/admin/src/refusals.rs
@@ -20,7 +20,9 @@
             RegistryError::Exists(_) => (StatusCode::CONFLICT, "tenant-exists"),
             RegistryError::Draining(_) => (StatusCode::CONFLICT, "tenant-draining"),
             RegistryError::TooMany { .. } => (StatusCode::CONFLICT, "too-many"),
-            RegistryError::Secret(_) => (StatusCode::CONFLICT, "secret"),
+            RegistryError::SecretExists(_) | RegistryError::UnknownSecret(_) => {
+                (StatusCode::CONFLICT, "secret")
+            }
             RegistryError::KeyReused => {
                 (StatusCode::UNPROCESSABLE_ENTITY, "idempotency-key-reused")
             }
@@ -39,7 +41,7 @@
             RecordError::Claimed(_) => (StatusCode::LOCKED, "record-claimed"),
             RecordError::Sending => (StatusCode::CONFLICT, "record-sending"),
             RecordError::Closed(_) => (StatusCode::CONFLICT, "record-closed"),
-            RecordError::ResendBlocked(reason) => (StatusCode::CONFLICT, reason.word()),
+            RecordError::ResendBlocked(reason) => (StatusCode::CONFLICT, reason.as_str()),
             RecordError::Settling => (StatusCode::TOO_MANY_REQUESTS, "record-resting"),
             RecordError::NotAccepted => (StatusCode::CONFLICT, "not-handed-over"),
         };
--- a/crates/admin/src/undeliverable/batches/model.rs
+++ b/crates/admin/src/undeliverable/batches/model.rs
@@ -70,7 +70,7 @@
         ResendBatch {
             name: batch.spec.name,
             version: batch.version,
-            state: batch.state.word(),
+            state: batch.state.as_str(),
             by: batch.by,
             made_at: timestamp::format(batch.created_at),
             filter: batch.spec.filter.into(),
--- a/crates/admin/src/undeliverable/filter.rs
+++ b/crates/admin/src/undeliverable/filter.rs
@@ -61,8 +61,8 @@
 }
 
 fn parse_reason(word: &str) -> Result<Reason, Problem> {
-    Reason::of(word).ok_or_else(|| {
-        let words: Vec<&str> = Reason::ALL.iter().map(|reason| reason.word()).collect();
+    Reason::parse(word).ok_or_else(|| {
+        let words: Vec<&str> = Reason::ALL.iter().map(|reason| reason.as_str()).collect();
         Problem::malformed(format!("reason is none of {}", words.join(", ")))
     })
 }
@@ -77,7 +77,7 @@
         RecordFilter {
             destination: filter.destination,
             class: filter.class,
-            reason: filter.reason.map(|reason| reason.word().into()),
+            reason: filter.reason.map(|reason| reason.as_str().into()),
             tenant: filter.tenant,
             since: filter.since.map(timestamp::format),
             until: filter.until.map(timestamp::format),
--- a/crates/admin/src/undeliverable/records/model.rs
+++ b/crates/admin/src/undeliverable/records/model.rs
@@ -131,7 +131,7 @@
         UndeliverableRecord {
             id,
             version: record.version,
-            state: record.state.word(),
+            state: record.state.as_str(),
             holder,
             state_at,
             message: record.origin.name.clone(),
@@ -157,7 +157,7 @@
 impl From<&RecordView> for UndeliverableRecord {
     fn from(view: &RecordView) -> Self {
         UndeliverableRecord {
-            needs: Some(view.blocked.map(ResendBlocked::word)),
+            needs: Some(view.blocked.map(ResendBlocked::as_str)),
             ..UndeliverableRecord::in_list(view.id, &view.record)
         }
     }
--- a/crates/admin/src/undeliverable/status.rs
+++ b/crates/admin/src/undeliverable/status.rs
@@ -49,10 +49,10 @@
 impl From<StoreReport> for UndeliverableStatus {
     fn from(report: StoreReport) -> Self {
         let dropped = report.totals.dropped.into_iter();
-        let dropped = dropped.map(|(tenant, cause, records)| UndeliverableDropped {
-            tenant,
-            cause,
-            records,
+        let dropped = dropped.map(|evicted| UndeliverableDropped {
+            tenant: evicted.tenant,
+            cause: evicted.cause,
+            records: evicted.records,
         });
         UndeliverableStatus {
             records: report.totals.records,
