--- /dev/null
+++ b/crates/admin/src/undeliverable/records/model.rs
@@ -0,0 +1,205 @@
+//! Bodies of requests and responses about records.
+
+use relay_events::undeliverable::RecordView;
+use serde::{Deserialize, Serialize};
+use undeliverable::record::{Attestation, Attester, ExecutionClaim, Idempotency};
+use undeliverable::{Attempt, Micros, Reason, Record, RecordId, RecordState, ResendBlocked};
+use utoipa::ToSchema;
+
+use crate::undeliverable::timestamp;
+
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// An attempt to deliver a message.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableAttempt {
+    /// When it was sent.
+    #[schema(format = DateTime)]
+    pub at: String,
+    /// The host; null if it is not known.
+    pub host: Option<String>,
+    /// Its outcome.
+    #[schema(value_type = String, example = "timed-out")]
+    pub outcome: undeliverable::Outcome,
+    /// False once it is known not to have been executed.
+    pub may_have_run: bool,
+    /// 0 for attempts before the message was given up, otherwise the number of the resend.
+    pub resend: u32,
+}
+
+impl From<&Attempt> for UndeliverableAttempt {
+    fn from(attempt: &Attempt) -> Self {
+        UndeliverableAttempt {
+            at: timestamp::format(attempt.sent),
+            host: (!attempt.host.is_empty()).then(|| attempt.host.clone()),
+            outcome: attempt.outcome,
+            may_have_run: attempt.may_have_run,
+            resend: attempt.resend,
+        }
+    }
+}
+
+/// A statement of whether a message took effect.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableStatement {
+    /// The operator's name; null for the partner.
+    pub operator: Option<String>,
+    /// What was stated.
+    #[schema(value_type = String, example = "not-applied")]
+    #[serde(rename = "says")]
+    pub claim: ExecutionClaim,
+    /// When it was stated; it does not cover later attempts.
+    #[schema(format = DateTime)]
+    pub at: String,
+    /// Number of resends before it.
+    pub resends: u32,
+}
+
+impl From<&Attestation> for UndeliverableStatement {
+    fn from(attestation: &Attestation) -> Self {
+        let operator = match &attestation.attester {
+            Attester::Operator(name) => Some(name.clone()),
+            Attester::Partner => None,
+        };
+        UndeliverableStatement {
+            operator,
+            claim: attestation.claim,
+            at: timestamp::format(attestation.at),
+            resends: attestation.resends,
+        }
+    }
+}
+
+/// A message that was given up, with its attempts and statements.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverableRecord {
+    /// Its number in the store.
+    pub id: u64,
+    /// Grows with every change; the ETag is this in quotes.
+    pub version: u32,
+    /// Its state: open, claimed, sending, delivered, applied-before or discarded.
+    pub state: &'static str,
+    /// Who has claimed it or resends it; null for nobody.
+    pub holder: Option<String>,
+    /// Until when it is claimed, or since when it is being resent or closed; null for an open record.
+    #[schema(format = DateTime)]
+    pub state_at: Option<String>,
+    /// The message's name as it was submitted.
+    pub message: String,
+    /// Its tenant.
+    pub tenant: String,
+    /// Its class.
+    pub class: String,
+    /// Its destination.
+    pub destination: u16,
+    /// Its idempotency key.
+    pub key: Option<String>,
+    /// Whether it may be executed more than once: safe, keyed or unsafe.
+    pub effect: &'static str,
+    /// For how long its key is remembered, in seconds.
+    pub key_window_s: Option<f64>,
+    /// Size of its body, in bytes.
+    pub size: u32,
+    /// When it was given up first.
+    #[schema(format = DateTime)]
+    pub ended_at: String,
+    /// Its deadline.
+    #[schema(format = DateTime)]
+    pub due_at: String,
+    /// Why it was last given up.
+    #[schema(value_type = String, example = "out-of-time")]
+    pub reason: Reason,
+    /// Whether one of its attempts may have been executed.
+    pub may_have_run: bool,
+    /// Number of resends.
+    pub resends: u32,
+    /// Every attempt, in order.
+    pub attempts: Vec<UndeliverableAttempt>,
+    /// Statements of whether it took effect, in order.
+    pub statements: Vec<UndeliverableStatement>,
+    /// What is missing before it can be resent; null if it could be resent now. Absent in lists.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    #[schema(value_type = Option<String>, example = "needs-word")]
+    pub needs: Option<Option<&'static str>>,
+}
+
+impl UndeliverableRecord {
+    /// A record as lists show it: whether it could be resent now is not computed for them.
+    pub fn in_list(id: RecordId, record: &Record) -> Self {
+        let (holder, state_at) = holder_and_time(&record.state);
+        let (effect, key_window) = effect_and_window(record.idempotency);
+        UndeliverableRecord {
+            id,
+            version: record.version,
+            state: record.state.as_str(),
+            holder,
+            state_at,
+            message: record.origin.name.clone(),
+            tenant: record.origin.tenant_name().into(),
+            class: record.origin.class.clone(),
+            destination: record.origin.destination,
+            key: record.origin.idempotency_key.clone(),
+            effect,
+            key_window_s: key_window.map(|window| window as f64 / MICROS_PER_SECOND),
+            size: record.size,
+            ended_at: timestamp::format(record.given_up_at),
+            due_at: timestamp::format(record.origin.deadline),
+            reason: record.reason,
+            may_have_run: record.may_have_run(),
+            resends: record.resends,
+            attempts: record.attempts.iter().map(Into::into).collect(),
+            statements: record.attestations.iter().map(Into::into).collect(),
+            needs: None,
+        }
+    }
+}
+
+impl From<&RecordView> for UndeliverableRecord {
+    fn from(view: &RecordView) -> Self {
+        UndeliverableRecord {
+            needs: Some(view.blocked.map(ResendBlocked::as_str)),
+            ..UndeliverableRecord::in_list(view.id, &view.record)
+        }
+    }
+}
+
+/// Who holds a record in this state, and the time that belongs to the state.
+fn holder_and_time(state: &RecordState) -> (Option<String>, Option<String>) {
+    let (holder, time) = match state {
+        RecordState::Open => (None, None),
+        RecordState::Claimed { by, until } => (Some(by), Some(until)),
+        RecordState::Sending { by, since } => (Some(by), Some(since)),
+        RecordState::Closed(_, since) => (None, Some(since)),
+    };
+    (holder.cloned(), time.copied().map(timestamp::format))
+}
+
+/// The API's word for whether a message may run more than once, and for how long its key is remembered.
+fn effect_and_window(idempotency: Idempotency) -> (&'static str, Option<Micros>) {
+    match idempotency {
+        Idempotency::Idempotent => ("safe", None),
+        Idempotency::Keyed { window } => ("keyed", Some(window)),
+        Idempotency::NonIdempotent => ("unsafe", None),
+    }
+}
+
+/// A page of records.
+#[derive(Debug, Serialize, ToSchema)]
+pub struct UndeliverablePage {
+    /// Records, the newest first. A page may have fewer than requested, even none, while more follow.
+    pub items: Vec<UndeliverableRecord>,
+    /// The cursor of the next page; null on the last page. New records do not shift it.
+    pub next: Option<String>,
+}
+
+/// An operator's statement of whether a message took effect.
+#[derive(Debug, Deserialize, Serialize, ToSchema)]
+#[serde(deny_unknown_fields)]
+#[schema(as = Attestation)]
+#[serde(rename = "Attestation")]
+pub struct NewAttestation {
+    /// It did (applied), it did not and will not (not-applied), or it is not known (unknown).
+    #[schema(value_type = String, pattern = "^(applied|not-applied|unknown)$")]
+    #[serde(rename = "says")]
+    pub claim: ExecutionClaim,
+}
