--- a/crates/admin/src/undeliverable/records/actions.rs
+++ b/crates/admin/src/undeliverable/records/actions.rs
@@ -7,7 +7,7 @@
 use utoipa_axum::router::OpenApiRouter;
 use utoipa_axum::routes;
 
-use super::model::{NewAttestation, UndeliverableRecord};
+use super::model::{Attestation, UndeliverableRecord};
 use super::view::{record_response, visible_record};
 use crate::problem::{Problem, ProblemBody};
 use crate::request::{AuthenticatedRequest, JSON};
@@ -102,7 +102,7 @@
 }
 
 /// Attest whether a message took effect. Two operators who agree count as the partner's answer. Role: operator.
-#[utoipa::path(post, path = "/v1/undeliverable/{id}/attest", tag = "undeliverable", request_body = NewAttestation,
+#[utoipa::path(post, path = "/v1/undeliverable/{id}/attest", tag = "undeliverable", request_body = Attestation,
     params(("id" = u64, Path), ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
     (status = 200, description = "The record after the action.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
     (status = 412, description = "The version is another, given by current_version.", body = ProblemBody, content_type = "application/problem+json"),
@@ -113,7 +113,7 @@
     Path(id): Path<u64>,
     request: AuthenticatedRequest,
 ) -> HandlerResult {
-    let NewAttestation { claim } = request.json_body(JSON)?;
+    let Attestation { claim } = request.json_body(JSON)?;
     perform(&state, &request, id, RecordAction::Attest(claim)).await
 }
 
--- a/crates/admin/src/undeliverable/records/mod.rs
+++ b/crates/admin/src/undeliverable/records/mod.rs
@@ -3,6 +3,8 @@
 mod actions;
 mod model;
 mod read;
+#[cfg(test)]
+mod tests;
 mod view;
 
 use utoipa_axum::router::OpenApiRouter;
--- a/crates/admin/src/undeliverable/records/model.rs
+++ b/crates/admin/src/undeliverable/records/model.rs
@@ -2,7 +2,7 @@
 
 use relay_events::undeliverable::RecordView;
 use serde::{Deserialize, Serialize};
-use undeliverable::record::{Attestation, Attester, ExecutionClaim, Idempotency};
+use undeliverable::record::{self, Attester, ExecutionClaim, Idempotency};
 use undeliverable::{Attempt, Micros, Reason, Record, RecordId, RecordState, ResendBlocked};
 use utoipa::ToSchema;
 
@@ -55,8 +55,8 @@
     pub resends: u32,
 }
 
-impl From<&Attestation> for UndeliverableStatement {
-    fn from(attestation: &Attestation) -> Self {
+impl From<&record::Attestation> for UndeliverableStatement {
+    fn from(attestation: &record::Attestation) -> Self {
         let operator = match &attestation.attester {
             Attester::Operator(name) => Some(name.clone()),
             Attester::Partner => None,
@@ -195,9 +195,7 @@
 /// An operator's statement of whether a message took effect.
 #[derive(Debug, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields)]
-#[schema(as = Attestation)]
-#[serde(rename = "Attestation")]
-pub struct NewAttestation {
+pub struct Attestation {
     /// It did (applied), it did not and will not (not-applied), or it is not known (unknown).
     #[schema(value_type = String, pattern = "^(applied|not-applied|unknown)$")]
     #[serde(rename = "says")]
