--- a/crates/experiments/src/sizes.rs
+++ b/crates/experiments/src/sizes.rs
@@ -100,21 +100,21 @@
                     Options::default(),
                 );
                 report
-                    .broken
+                    .violation_text
                     .iter()
                     .for_each(|broken| eprintln!("{relays} relays: {broken}"));
                 let Ok(mut sums) = sums.lock() else { break };
                 let counts = report.counts;
                 sums.messages += report.messages as f64;
                 sums.delivered += counts.delivered as f64;
-                sums.in_aim += counts.in_aim as f64;
-                sums.refused += counts.turned_away as f64;
+                sums.in_aim += counts.within_objective as f64;
+                sums.refused += counts.rejected_calls as f64;
                 sums.calls += counts.calls as f64;
-                sums.opened += counts.opened as f64;
-                sums.most_open = sums.most_open.max(counts.most_open);
-                sums.lists += counts.lists as f64;
+                sums.opened += counts.host_connections as f64;
+                sums.most_open = sums.most_open.max(counts.max_open_connections);
+                sums.lists += counts.discovery_polls as f64;
                 sums.starts += f64::from(relays) + counts.restarts as f64;
-                sums.broken += u64::from(report.broken.is_some());
+                sums.broken += u64::from(report.violation_text.is_some());
             });
         }
     });
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -7,11 +7,11 @@
 use tokio::sync::watch;
 
 use crate::dice::Dice;
+use crate::history::{Idempotency, Observation};
 use crate::loopback::{block_on, configuration, free_address, stage, Process};
 use crate::peers::clients::{until_ready, Client, Habit, Plan};
 use crate::peers::discovery::{Discovery, Line};
 use crate::peers::hosts::{Host, Mood};
-use crate::rules::facts::{Repeat, Seen};
 
 /// Messages are handed in for this long, so many a second.
 const ARRIVALS: (u64, u64) = (10, 30);
@@ -55,26 +55,26 @@
 fn plans(window: Duration) -> Vec<Vec<Plan>> {
     let mut clients = vec![Vec::new(); 4];
     for number in 0..ARRIVALS.0 * ARRIVALS.1 {
-        let (class, repeat) = match number % 3 {
-            0 => ("update", Repeat::Safe),
+        let (class, idempotency) = match number % 3 {
+            0 => ("update", Idempotency::Idempotent),
             1 => (
                 "event",
-                Repeat::Keyed {
+                Idempotency::Keyed {
                     window,
                     zone_only: false,
                 },
             ),
-            _ => ("payout", Repeat::Unsafe),
+            _ => ("payout", Idempotency::NonIdempotent),
         };
         clients[number as usize % 4].push(Plan {
             at: Duration::from_millis(number * 1000 / ARRIVALS.1),
             name: format!("m{number:04}"),
             tenant: "acme".into(),
             class,
-            repeat,
+            idempotency,
             order: 0,
             in_order: false,
-            unsafe_from: None,
+            non_idempotent_from: None,
             destination: 1 + (number / 3 % 3) as u16,
             left: LEFT,
             size: 100,
@@ -120,12 +120,12 @@
         ));
     }
     let discovery = Discovery::new(lines);
-    let (config, rules) = configuration(relay, discovery_at, &state, &discovery.whole(), LEFT);
+    let (config, limits) = configuration(relay, discovery_at, &state, &discovery.whole(), LEFT);
     std::fs::write(&file, config.to_string())
         .map_err(|e| format!("cannot write the configuration: {e}"))?;
 
     let runtime = OsRuntime;
-    let stage = stage(rules);
+    let stage = stage(limits);
     let checker = stage.checker.clone();
     for host in &hosts {
         let served = host.clone().serve(stage.clone());
@@ -143,12 +143,12 @@
         file.display()
     ));
     let mut process = Some(Process::start(&program, &["relay"], &file, &state)?);
-    stage.see(&Seen::Started(1));
+    stage.observe(&Observation::ProcessStarted(1));
     let ready = runtime
         .timeout(Duration::from_secs(20), until_ready(&stage, relay))
         .await;
     ready.map_err(|_| "the relay did not get ready within 20 s")?;
-    stage.see(&Seen::Ready);
+    stage.observe(&Observation::ProcessReady);
     say(format!(
         "the relay is ready at {relay}; {} messages a second come in",
         ARRIVALS.1
@@ -179,7 +179,10 @@
                     ..Mood::default()
                 },
             );
-            stage.see(&Seen::Outage(BROKEN.0, true));
+            stage.observe(&Observation::DestinationOutage {
+                destination: BROKEN.0,
+                is_down: true,
+            });
             say(format!(
                 "partner {} breaks: every call to it ends in an error",
                 BROKEN.0
@@ -187,28 +190,31 @@
         }
         if second == BROKEN.2 {
             mood(BROKEN.0, Mood::default());
-            stage.see(&Seen::Outage(BROKEN.0, false));
+            stage.observe(&Observation::DestinationOutage {
+                destination: BROKEN.0,
+                is_down: false,
+            });
             say(format!("partner {} is mended", BROKEN.0));
         }
         if second == KILLED {
             // Dropped, it is killed.
             drop(process.take());
-            stage.see(&Seen::Gone);
+            stage.observe(&Observation::ProcessTerminated);
             say("the relay is killed with SIGKILL, and starts again on its journal".into());
             process = Some(Process::start(&program, &["relay"], &file, &state)?);
-            stage.see(&Seen::Started(2));
+            stage.observe(&Observation::ProcessStarted(2));
             let ready = runtime
                 .timeout(Duration::from_secs(20), until_ready(&stage, relay))
                 .await;
             ready.map_err(|_| "the relay did not get ready again within 20 s")?;
-            stage.see(&Seen::Ready);
+            stage.observe(&Observation::ProcessReady);
         }
-        stage.see(&Seen::Pass);
-        let (counts, open) = (checker.borrow().counts, checker.borrow().open());
+        stage.observe(&Observation::Tick);
+        let (counts, open) = (checker.borrow().counts, checker.borrow().open_messages());
         let ended = counts.undeliverable + counts.deferred;
         say(format!(
             "{} handed in, {} taken on, {} delivered, {ended} ended undelivered, {open} on their way",
-            counts.handed, counts.taken, counts.delivered
+            counts.submitted, counts.accepted, counts.delivered
         ));
         if open == 0 && second > ARRIVALS.0 {
             break;
@@ -227,22 +233,22 @@
         }
     ));
     let checker = checker.borrow();
-    let (counts, open) = (checker.counts, checker.open());
+    let (counts, open) = (checker.counts, checker.open_messages());
     println!();
     println!(
         "Taken on: {}. Delivered: {}.",
-        counts.taken, counts.delivered
+        counts.accepted, counts.delivered
     );
     println!(
         "Ended by a notice: {} failed, {} refused.",
         counts.undeliverable, counts.deferred
     );
     println!("Without an end: {open}. Calls made: {}.", counts.calls);
-    match checker.breach() {
-        Some(breach) => println!("A rule was broken at {breach}"),
+    match checker.violation() {
+        Some(violation) => println!("A rule was broken at {violation}"),
         None => {
             println!("No rule was broken: nothing lost, no payout twice, one end for each message.")
         }
     }
-    Ok(ended_well && open == 0 && checker.breach().is_none())
+    Ok(ended_well && open == 0 && checker.violation().is_none())
 }
--- a/crates/simulator/src/faults/listing.rs
+++ b/crates/simulator/src/faults/listing.rs
@@ -4,7 +4,7 @@
 
 use super::{Scene, Trouble};
 use crate::dice::Dice;
-use crate::rules::facts::Seen;
+use crate::history::Observation;
 
 /// A host drains, and is removed at the end.
 #[derive(Debug)]
@@ -59,13 +59,13 @@
 impl Trouble for ListSilent {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
         scene.discovery().silent.set(true);
-        scene.see(&Seen::Silent(true));
+        scene.observe(&Observation::DiscoverySilent(true));
         scene.discovery().wake();
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene.discovery().silent.set(false);
-        scene.see(&Seen::Silent(false));
+        scene.observe(&Observation::DiscoverySilent(false));
         scene.discovery().wake();
     }
 }
--- a/crates/simulator/src/faults/mod.rs
+++ b/crates/simulator/src/faults/mod.rs
@@ -17,11 +17,11 @@
 use std::time::Duration;
 
 use crate::dice::Dice;
+use crate::history::Observation;
 use crate::machine::{AddressFault, Machine, ProcId};
 use crate::operated::{Changes, IN_USE};
 use crate::peers::discovery::Discovery;
 use crate::peers::hosts::Mood;
-use crate::rules::facts::Seen;
 
 /// What a fault may touch of the world.
 pub trait Scene {
@@ -30,7 +30,7 @@
     /// Discovery.
     fn discovery(&self) -> &Discovery;
     /// Tells the checker what is true from now on.
-    fn see(&self, seen: &Seen<'_>);
+    fn observe(&self, observation: &Observation<'_>);
     /// Changes how the hosts of a destination do.
     fn mood(&self, block: u16, change: &dyn Fn(&mut Mood));
     /// Makes the hosts of a destination slower by so many milliseconds than they are.
--- a/crates/simulator/src/faults/partners.rs
+++ b/crates/simulator/src/faults/partners.rs
@@ -4,8 +4,8 @@
 
 use super::{Scene, Target, Trouble};
 use crate::dice::Dice;
+use crate::history::Observation;
 use crate::machine::AddressFault;
-use crate::rules::facts::Seen;
 
 /// A partner's calls fail, so many of a hundred.
 #[derive(Debug)]
@@ -20,12 +20,18 @@
 impl Trouble for Fails {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
         scene.mood(self.0, &|mood| mood.fails = self.1);
-        scene.see(&Seen::Outage(self.0, true));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: true,
+        });
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene.mood(self.0, &|mood| mood.fails = 0);
-        scene.see(&Seen::Outage(self.0, false));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: false,
+        });
     }
 }
 
@@ -36,12 +42,18 @@
 impl Trouble for Shut {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
         scene.mood(self.0, &|mood| mood.shut = Some(None));
-        scene.see(&Seen::Outage(self.0, true));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: true,
+        });
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene.mood(self.0, &|mood| mood.shut = None);
-        scene.see(&Seen::Outage(self.0, false));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: false,
+        });
     }
 }
 
@@ -52,7 +64,10 @@
 impl Trouble for ShutTold {
     fn begins(&self, scene: &mut dyn Scene, until: Duration) {
         scene.mood(self.0, &|mood| mood.shut = Some(Some(until)));
-        scene.see(&Seen::Outage(self.0, true));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: true,
+        });
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
@@ -67,12 +82,18 @@
 impl Trouble for Hangs {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
         scene.mood(self.0, &|mood| mood.hangs = true);
-        scene.see(&Seen::Outage(self.0, true));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: true,
+        });
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene.mood(self.0, &|mood| mood.hangs = false);
-        scene.see(&Seen::Outage(self.0, false));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: false,
+        });
     }
 }
 
@@ -115,12 +136,18 @@
                 ..AddressFault::default()
             },
         );
-        scene.see(&Seen::Outage(self.0, true));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: true,
+        });
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene.address(self.0, AddressFault::default());
-        scene.see(&Seen::Outage(self.0, false));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: false,
+        });
     }
 }
 
@@ -145,7 +172,10 @@
                 ..AddressFault::default()
             },
         );
-        scene.see(&Seen::Outage(self.0, true));
+        scene.observe(&Observation::DestinationOutage {
+            destination: self.0,
+            is_down: true,
+        });
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
--- a/crates/simulator/src/faults/process.rs
+++ b/crates/simulator/src/faults/process.rs
@@ -4,7 +4,7 @@
 
 use super::{Scene, Trouble};
 use crate::dice::Dice;
-use crate::rules::facts::Seen;
+use crate::history::Observation;
 
 /// SIGKILL after so many more effects, and a start so many milliseconds later.
 #[derive(Debug)]
@@ -90,12 +90,12 @@
         scene
             .machine()
             .disk(scene.relay(), |disk| disk.room = Some(self.0));
-        scene.see(&Seen::KeepsNothing(true));
+        scene.observe(&Observation::DiskFull(true));
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene.machine().disk(scene.relay(), |disk| disk.room = None);
-        scene.see(&Seen::KeepsNothing(false));
+        scene.observe(&Observation::DiskFull(false));
     }
 }
 
--- a/crates/simulator/src/faults/staff.rs
+++ b/crates/simulator/src/faults/staff.rs
@@ -4,8 +4,8 @@
 
 use super::{Scene, Trouble};
 use crate::dice::Dice;
+use crate::history::Observation;
 use crate::operated;
-use crate::rules::facts::Seen;
 
 /// The relay is drained, and put back to work.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.see(&Seen::Attempts(self.0));
+        scene.observe(&Observation::MaxAttemptsChanged(self.0));
     }
 }
 
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -11,8 +11,8 @@
 use tenancy::{record, Registry};
 
 use crate::dice::Dice;
+use crate::history::Idempotency;
 use crate::peers::clients::{Habit, Plan};
-use crate::rules::facts::Repeat;
 
 /// Where the administration API listens.
 pub const ADMIN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8700);
@@ -162,19 +162,19 @@
                     .filter(|c| c % self.tenants.len() == tenant)
                     .collect();
                 let client = *dice.pick(&senders);
-                let (class, repeat, left) = match kind {
-                    0 => ("payout", Repeat::Unsafe, 10_000),
-                    _ => ("update", Repeat::Safe, 6_000),
+                let (class, idempotency, left) = match kind {
+                    0 => ("payout", Idempotency::NonIdempotent, 10_000),
+                    _ => ("update", Idempotency::Idempotent, 6_000),
                 };
                 clients[client].push(Plan {
                     at: Duration::from_millis(dice.between(from, until)),
                     name: format!("f{number:04}"),
                     tenant: self.tenants[tenant].name.clone(),
                     class,
-                    repeat,
+                    idempotency,
                     order: 0,
                     in_order: false,
-                    unsafe_from: None,
+                    non_idempotent_from: None,
                     destination: block,
                     left,
                     size: dice.below(300) as usize,
--- /dev/null
+++ b/crates/simulator/src/invariants/accounted_for.rs
@@ -0,0 +1,68 @@
+//! `accounted for`: each undeliverable message has one record, and its state is true.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::invariant::Invariant;
+use super::violation::Violations;
+use crate::history::{History, Notice, NoticeStatus, Observation};
+
+const NAME: &str = "accounted for";
+
+#[derive(Default)]
+pub struct AccountedFor {
+    /// Messages that took effect.
+    executed: BTreeSet<String>,
+    /// The state of each record, by its message.
+    records: BTreeMap<String, String>,
+}
+
+impl Invariant for AccountedFor {
+    fn observe(
+        &mut self,
+        history: &History,
+        observation: &Observation<'_>,
+        violations: &mut Violations,
+    ) {
+        match observation {
+            Observation::EffectApplied { id, .. } => {
+                self.executed.insert((*id).into());
+            }
+            Observation::UndeliverableRecordRead { id, state } => {
+                let earlier = self.records.insert((*id).into(), (*state).into());
+                if earlier.is_some() {
+                    violations.report(NAME, format!("{id} has two records"));
+                }
+            }
+            Observation::AllUndeliverableRecordsRead => self.check_records(history, violations),
+            _ => {}
+        }
+    }
+}
+
+impl AccountedFor {
+    fn check_records(&self, history: &History, violations: &mut Violations) {
+        for (id, message) in &history.messages {
+            let is_undeliverable = matches!(
+                message.notice,
+                Some(Notice {
+                    status: NoticeStatus::Undeliverable,
+                    ..
+                })
+            );
+            if !is_undeliverable {
+                continue;
+            }
+            match self.records.get(id).map(String::as_str) {
+                None if history.limits.undeliverable_store_is_damaged => {}
+                None => violations.report(NAME, format!("{id} was given up and has no record")),
+                Some("delivered" | "applied-before") if !self.executed.contains(id) => {
+                    violations.report(
+                        NAME,
+                        format!("{id} is closed as done and never took effect"),
+                    );
+                }
+                Some(_) => {}
+            }
+        }
+    }
+}
--- a/crates/simulator/src/kept.rs
+++ b/crates/simulator/src/kept.rs
@@ -11,8 +11,8 @@
 
 use crate::dice::Dice;
 use crate::faults;
+use crate::history::Idempotency;
 use crate::hosted::ADMIN;
-use crate::rules::facts::Repeat;
 use crate::script::Script;
 
 /// The folder of the store.
@@ -104,7 +104,7 @@
             .for_each(|plan| plan.in_order = false);
         for plan in script.clients.iter_mut().flatten() {
             if dice.percent(50) {
-                (plan.class, plan.repeat) = ("payout", Repeat::Unsafe);
+                (plan.class, plan.idempotency) = ("payout", Idempotency::NonIdempotent);
             }
         }
         let struck = faults::of_kept(&mut dice);
@@ -113,7 +113,8 @@
             .faults
             .extend(struck.into_iter().map(|(fault, _)| fault));
         script.faults.sort_by_key(|fault| fault.from);
-        (script.rules.kept, script.rules.store_spoilt) = (true, spoilt);
+        script.limits.undeliverable_are_resent = true;
+        script.limits.undeliverable_store_is_damaged = spoilt;
         script.kept = Some(Kept {
             spoilt,
             rule: dice.percent(40),
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,21 +1,22 @@
-//! The whole relay on a virtual clock, against faults scripted from a seed, with a checker of the rules.
+//! The whole relay on a virtual clock, against faults scripted from a seed, with a checker of the invariants.
 //!
 //! [`script::Script::draw`] makes a day from a seed, [`world::play`] plays it round the relay as it is, and the
-//! report says whether a rule was broken, when and how. The same seed gives the same day, step by step.
+//! report says whether an invariant was violated, when and how. The same seed gives the same day, step by step.
 
 pub mod checker;
 pub mod cost;
 pub mod demo;
 pub mod dice;
 pub mod faults;
+pub mod history;
 pub mod hosted;
+pub mod invariants;
 pub mod kept;
 mod loopback;
 pub mod machine;
 pub mod operated;
 pub mod peers;
 pub mod rolling;
-pub mod rules;
 pub mod script;
 pub mod shrink;
 pub mod upgrades;
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -18,10 +18,10 @@
 use tokio::sync::watch;
 
 use crate::checker::Checker;
+use crate::history::Limits;
 use crate::peers::clients::frame;
 use crate::peers::discovery::{Discovery, Line};
 use crate::peers::{read_request, Stage};
-use crate::rules::facts::Rules;
 use crate::script::Script;
 
 /// A relay's process, which does not outlive this.
@@ -118,7 +118,7 @@
     state: &Path,
     known: &Value,
     left: u64,
-) -> (Value, Rules) {
+) -> (Value, Limits) {
     let script = Script::draw(0);
     let mut config = script.config(0, &script.settings, known, discovery);
     config["listen"] = relay.to_string().into();
@@ -138,21 +138,21 @@
     let capacity: BTreeMap<u16, f64> = (1..=3).map(|block| (block, 60.0)).collect();
     (
         config,
-        Rules {
-            disk: 3_000_000,
+        Limits {
+            max_disk_bytes: 3_000_000,
             capacity,
-            ..script.rules
+            ..script.limits
         },
     )
 }
 
 /// A stage on real sockets, where it is not known when the relay closes one, only when a host hears of it.
-pub(crate) fn stage(rules: Rules) -> Stage<OsRuntime> {
+pub(crate) fn stage(limits: Limits) -> Stage<OsRuntime> {
     Stage {
         runtime: OsRuntime,
         start: OsRuntime.now(),
         relay: 0,
-        checker: Rc::new(RefCell::new(Checker::new(rules, 1))),
+        checker: Rc::new(RefCell::new(Checker::new(limits, 1))),
         holds: Rc::new(|_| false),
         hears: Rc::new(|_| true),
         news: Rc::new(|_| {}),
@@ -195,9 +195,9 @@
         });
     }
     let discovery = Discovery::new(lines);
-    let (config, rules) = configuration(listen, discovery_at, &state, &discovery.whole(), left);
+    let (config, limits) = configuration(listen, discovery_at, &state, &discovery.whole(), left);
     std::fs::write(&file, config.to_string()).map_err(|e| format!("cannot write: {e}"))?;
-    let stage = stage(rules);
+    let stage = stage(limits);
     for address in addresses {
         let own = stage.clone();
         stage
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -211,7 +211,7 @@
                     break;
                 }
                 let report = play(&script(seed), Options::default());
-                if let Some(broken) = &report.broken {
+                if let Some(broken) = &report.violation_text {
                     bar.suspend(|| println!("{broken}"));
                 }
                 if let Ok(mut reports) = reports.lock() {
@@ -231,13 +231,18 @@
         }
     }
     summary(&reports, began.elapsed(), jobs);
-    Ok(reports.values().all(|report| report.broken.is_none()))
+    Ok(reports
+        .values()
+        .all(|report| report.violation_text.is_none()))
 }
 
 fn summary(reports: &BTreeMap<u64, Report>, took: Duration, jobs: u16) {
     let mut rules: BTreeMap<&str, u64> = BTreeMap::new();
-    for breach in reports.values().filter_map(|report| report.breach.as_ref()) {
-        *rules.entry(breach.rule).or_default() += 1;
+    for violation in reports
+        .values()
+        .filter_map(|report| report.violation.as_ref())
+    {
+        *rules.entry(violation.invariant).or_default() += 1;
     }
     let sum = |of: fn(&Report) -> u64| reports.values().map(of).sum::<u64>();
     let virtual_s = sum(|report| report.virtual_ms) / 1000;
@@ -249,8 +254,8 @@
     );
     println!(
         "{} handed in, {} taken on, {} calls, {} delivered, {} undeliverable, {} deferred, {} restarts",
-        sum(|r| r.counts.handed),
-        sum(|r| r.counts.taken),
+        sum(|r| r.counts.submitted),
+        sum(|r| r.counts.accepted),
         sum(|r| r.counts.calls),
         sum(|r| r.counts.delivered),
         sum(|r| r.counts.undeliverable),
@@ -320,8 +325,11 @@
     );
     println!("digest {}", report.digest);
     println!("digest of effects {}", report.effects_digest);
-    println!("{}", report.broken.as_deref().unwrap_or("no rule broken"));
-    Ok(report.broken.is_none())
+    println!(
+        "{}",
+        report.violation_text.as_deref().unwrap_or("no rule broken")
+    );
+    Ok(report.violation_text.is_none())
 }
 
 fn cut_down(seed: u64, days: Days) -> Result<bool, String> {
--- a/crates/simulator/src/operated.rs
+++ b/crates/simulator/src/operated.rs
@@ -7,8 +7,8 @@
 
 use crate::dice::Dice;
 use crate::faults;
+use crate::history::Idempotency;
 use crate::peers::clients::{Habit, Plan};
-use crate::rules::facts::Repeat;
 use crate::script::Script;
 
 /// The class that comes and goes.
@@ -106,7 +106,7 @@
     #[must_use]
     pub fn draw_operated(seed: u64) -> Self {
         let (mut script, mut dice) = (Script::draw(seed), Dice::new(seed, 13));
-        let changes = Changes::draw(&mut dice, script.rules.attempts);
+        let changes = Changes::draw(&mut dice, script.limits.max_attempts);
         if seed.is_multiple_of(2) {
             script.faults.extend(faults::of_upgrades(&mut dice));
         }
@@ -115,18 +115,18 @@
         let garbled = script.faults.iter().filter_map(|fault| {
             Some((fault.trouble.garbles()?, Duration::from_millis(fault.from)))
         });
-        script.rules.garbled = garbled.collect();
-        script.rules.eaten = script.faults.iter().any(|fault| fault.trouble.eats());
-        script.rules.passing = Some(RUSH);
+        script.limits.corrupted_responses = garbled.collect();
+        script.limits.requests_may_vanish = script.faults.iter().any(|fault| fault.trouble.eats());
+        script.limits.transient_class = Some(RUSH);
         (script.upgrades, script.operated) = (true, true);
         if let Some(at) = changes.hardened {
             let from = Duration::from_millis(at + IN_USE);
             let plans = script.clients.iter_mut().flatten();
             plans
                 .filter(|plan| plan.class == HARDENED.0)
-                .for_each(|plan| plan.unsafe_from = Some(from));
+                .for_each(|plan| plan.non_idempotent_from = Some(from));
         }
-        let blocks: Vec<u16> = script.rules.capacity.keys().copied().collect();
+        let blocks: Vec<u16> = script.limits.capacity.keys().copied().collect();
         let many = script.clients.len() as u64;
         for number in 0..RUSHES.0 {
             let plan = Plan {
@@ -136,10 +136,10 @@
                 name: format!("r{number:04}"),
                 tenant: "acme".into(),
                 class: RUSH,
-                repeat: Repeat::Unsafe,
+                idempotency: Idempotency::NonIdempotent,
                 order: 0,
                 in_order: false,
-                unsafe_from: None,
+                non_idempotent_from: None,
                 destination: *dice.pick(&blocks),
                 left: RUSHES.1,
                 size: dice.below(200) as usize,
--- a/crates/simulator/src/peers/admins.rs
+++ b/crates/simulator/src/peers/admins.rs
@@ -9,8 +9,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::Stage;
+use crate::history::{Observation, TenantChange, TenantSnapshot, TenantVersion};
 use crate::hosted::{Deed, Errand, TenantPlan, ADMIN};
-use crate::rules::facts::{Asking, Seen, Standing};
 
 /// An administrator waits so long for an answer.
 const PATIENCE: Duration = Duration::from_secs(2);
@@ -109,7 +109,7 @@
         let before = self.seen[errand.tenant].replace(tag.clone());
         let tag = before.filter(|_| errand.stale).unwrap_or(tag);
         let merge = "application/merge-patch+json";
-        let (method, path, body, asking) = match &errand.deed {
+        let (method, path, body, change) = match &errand.deed {
             Deed::Look | Deed::Rubbish(_) => return,
             Deed::Set(spec) => {
                 let told = match self.rogue {
@@ -120,11 +120,11 @@
                     "PATCH",
                     path,
                     Some((merge, format!("{{\"spec\":{told}}}"))),
-                    Asking::Set,
+                    TenantChange::Update,
                 )
             }
-            Deed::Pause => ("POST", path + "/pause", None, Asking::Pause),
-            Deed::Resume => ("POST", path + "/resume", None, Asking::Resume),
+            Deed::Pause => ("POST", path + "/pause", None, TenantChange::Pause),
+            Deed::Resume => ("POST", path + "/resume", None, TenantChange::Resume),
             Deed::Remove { refuse } => {
                 let refuses = *refuse && self.rogue != Some(Rogue::Finishes);
                 let how = if refuses { "refuse" } else { "finish" };
@@ -132,15 +132,17 @@
                     "DELETE",
                     format!("{path}?on_removal={how}"),
                     None,
-                    Asking::Remove { refuse: *refuse },
+                    TenantChange::Remove {
+                        reject_queued: *refuse,
+                    },
                 )
             }
             Deed::Create(weight) => return self.create(errand, &name, *weight).await,
         };
         let headers = format!("If-Match: {tag}\r\n");
-        self.change(errand, &name, method, &path, &headers, body, asking)
+        self.change(errand, &name, method, &path, &headers, body, change)
             .await;
-        if self.rogue == Some(Rogue::Resumes) && asking == Asking::Pause {
+        if self.rogue == Some(Rogue::Resumes) && change == TenantChange::Pause {
             drop(
                 self.ask(
                     "POST",
@@ -163,7 +165,7 @@
                 "/v1/tenants",
                 "",
                 Some(("application/json", body)),
-                Asking::Create,
+                TenantChange::Create,
             )
             .await;
         if made {
@@ -181,7 +183,7 @@
                 &path,
                 "If-Match: *\r\n",
                 body,
-                Asking::Set,
+                TenantChange::Update,
             )
             .await;
         }
@@ -197,7 +199,7 @@
         path: &str,
         headers: &str,
         body: Option<(&str, String)>,
-        asking: Asking,
+        change: TenantChange,
     ) -> bool {
         self.asked += 1;
         let number = self.number * 1_000_000 + self.asked;
@@ -207,24 +209,24 @@
             headers.into()
         };
         (self.strikes)();
-        self.stage.see(&Seen::TenantAsked {
-            number,
+        self.stage.observe(&Observation::TenantChangeRequested {
+            change_id: number,
             tenant: name,
-            asking,
+            change,
         });
         for _ in 0..if errand.insists { TRIES.0 } else { 1 } {
             match self.ask(method, path, &headers, body.as_ref()).await {
                 Ok(answer) => {
                     let done = (200..300).contains(&answer.status);
-                    let standing = standing(&answer, self.rogue);
-                    let seen = Seen::TenantTold {
-                        number,
+                    let snapshot = snapshot(&answer, self.rogue);
+                    let observation = Observation::TenantChangeResponse {
+                        change_id: number,
                         tenant: name,
                         status: answer.status,
-                        standing: standing.as_ref(),
-                        replayed: answer.replayed,
+                        snapshot: snapshot.as_ref(),
+                        is_replayed: answer.replayed,
                     };
-                    self.stage.see(&seen);
+                    self.stage.observe(&observation);
                     (self.stage.news)(format_args!(
                         "{method} {path} is answered {}",
                         answer.status
@@ -239,8 +241,8 @@
             }
             self.stage.runtime.sleep(TRIES.1).await;
         }
-        self.stage.see(&Seen::TenantUnanswered {
-            number,
+        self.stage.observe(&Observation::TenantChangeTimedOut {
+            change_id: number,
             tenant: name,
         });
         false
@@ -254,15 +256,15 @@
             .ask("GET", &format!("/v1/tenants/{name}"), "", None)
             .await
             .ok()?;
-        let standing = standing(&answer, self.rogue);
+        let snapshot = snapshot(&answer, self.rogue);
         match answer.status {
             200 | 404 | 410 => {
-                self.stage.see(&Seen::TenantShown {
+                self.stage.observe(&Observation::TenantRead {
                     tenant: &name,
-                    asked,
-                    standing: standing.as_ref(),
+                    requested_at: asked,
+                    snapshot: snapshot.as_ref(),
                 });
-                (self.stage.news)(format_args!("{name} is shown as {standing:?}"));
+                (self.stage.news)(format_args!("{name} is shown as {snapshot:?}"));
                 answer.etag.filter(|_| answer.status == 200)
             }
             _ => None,
@@ -332,16 +334,19 @@
 }
 
 /// A tenant as an answer shows it.
-fn standing(answer: &Answer, rogue: Option<Rogue>) -> Option<Standing> {
+fn snapshot(answer: &Answer, rogue: Option<Rogue>) -> Option<TenantSnapshot> {
     let version = answer.body.get("version")?.as_str()?;
     let (generation, revision) = version.split_once('.')?;
     let spec = answer.body.get("spec")?;
     let weight = spec.get("weight")?.as_u64()?;
-    let capped = ["max_held", "max_in_flight", "rate"]
+    let has_caps = ["max_held", "max_in_flight", "rate"]
         .iter()
         .any(|field| spec.get(*field).is_some());
-    Some(Standing {
-        version: (generation.parse().ok()?, revision.parse().ok()?),
+    Some(TenantSnapshot {
+        version: TenantVersion {
+            generation: generation.parse().ok()?,
+            revision: revision.parse().ok()?,
+        },
         state: answer.body.get("state")?.as_str()?.into(),
         // The rogue says that a tenant has the weight that it asked for, of which it has set another.
         weight: if rogue == Some(Rogue::Weights) {
@@ -349,7 +354,7 @@
         } else {
             weight
         },
-        capped,
+        has_caps,
         spec: spec.to_string(),
     })
 }
--- a/crates/simulator/src/peers/clients.rs
+++ b/crates/simulator/src/peers/clients.rs
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::Stage;
-use crate::rules::facts::{Handed, Repeat, Seen};
+use crate::history::{Idempotency, Observation, SubmittedRequest};
 
 /// A client waits so long for an answer.
 const PATIENCE: Duration = Duration::from_millis(400);
@@ -48,13 +48,13 @@
     /// Name of its class.
     pub class: &'static str,
     /// Its class's repeat rule.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Key of its order, 0 for none.
     pub order: u64,
     /// Its class keeps that order.
     pub in_order: bool,
     /// From then on its class may not be repeated.
-    pub unsafe_from: Option<Duration>,
+    pub non_idempotent_from: Option<Duration>,
     /// Its destination.
     pub destination: u16,
     /// Milliseconds until its time is up.
@@ -273,7 +273,7 @@
             self.report(plan, id, due);
             if plan.habit == Habit::Vanishes {
                 self.open = None;
-                self.stage.see(&Seen::Abandoned(id));
+                self.stage.observe(&Observation::RequestAbandoned(id));
                 return None;
             }
             if plan.habit == Habit::Resends {
@@ -297,7 +297,8 @@
             };
             match heard {
                 Heard::Line(line) => {
-                    self.stage.see(&Seen::Answered(id, &line));
+                    self.stage
+                        .observe(&Observation::ReplyReceived { id, reply: &line });
                     (self.stage.news)(format_args!("{id} is answered {line}"));
                     let busy = line.strip_prefix("-BUSY")?;
                     let after = busy.trim().parse().unwrap_or(200);
@@ -305,13 +306,13 @@
                 }
                 Heard::Ended if used => self.open = None,
                 Heard::Ended | Heard::Nothing => {
-                    self.stage.see(&Seen::Abandoned(id));
+                    self.stage.observe(&Observation::RequestAbandoned(id));
                     self.fail_over();
                     return Some(soon);
                 }
             }
         }
-        self.stage.see(&Seen::Abandoned(id));
+        self.stage.observe(&Observation::RequestAbandoned(id));
         Some(soon)
     }
 
@@ -345,28 +346,30 @@
     }
 
     fn key(&self, plan: &Plan) -> Option<String> {
-        matches!(plan.repeat, Repeat::Keyed { .. }).then(|| format!("k-{}", plan.name))
+        matches!(plan.idempotency, Idempotency::Keyed { .. }).then(|| format!("k-{}", plan.name))
     }
 
     fn report(&self, plan: &Plan, id: &str, due: Duration) {
-        let hardened = plan.unsafe_from.is_some_and(|from| self.stage.at() >= from);
-        let handed = Handed {
+        let hardened = plan
+            .non_idempotent_from
+            .is_some_and(|from| self.stage.at() >= from);
+        let request = SubmittedRequest {
             id: id.into(),
             class: plan.class.into(),
             tenant: self.tenant(plan),
-            impostor: plan.habit == Habit::Impostor,
-            repeat: if hardened {
-                Repeat::Unsafe
+            is_impersonated: plan.habit == Habit::Impostor,
+            idempotency: if hardened {
+                Idempotency::NonIdempotent
             } else {
-                plan.repeat
+                plan.idempotency
             },
-            order: Some(plan.order).filter(|order| plan.in_order && *order > 0),
+            ordering_key: Some(plan.order).filter(|order| plan.in_order && *order > 0),
             destination: plan.destination,
-            key: self.key(plan),
+            idempotency_key: self.key(plan),
             body: body(plan),
-            due,
+            deadline: due,
         };
-        self.stage.see(&Seen::HandedIn(&handed));
+        self.stage.observe(&Observation::RequestSent(&request));
     }
 
     /// Sends what can't be read and waits for an error and a close.
@@ -394,7 +397,10 @@
             Ok(_) => true,
             Err(_) => false,
         };
-        self.stage.see(&Seen::Garbled(since, good));
+        self.stage.observe(&Observation::MalformedInputChecked {
+            sent_at: since,
+            was_rejected: good,
+        });
     }
 
     /// Sends half a request and says no more.
@@ -430,7 +436,10 @@
     };
     open.stream.write_all(&text).await?;
     if let Some(line) = stage.runtime.timeout(PATIENCE, open.line()).await?? {
-        stage.see(&Seen::Answered(&id, &line));
+        stage.observe(&Observation::ReplyReceived {
+            id: &id,
+            reply: &line,
+        });
     }
     Ok(())
 }
--- a/crates/simulator/src/peers/discovery.rs
+++ b/crates/simulator/src/peers/discovery.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 use super::{read_request, until_closed, Stage};
-use crate::rules::facts::Seen;
+use crate::history::Observation;
 
 /// An empty line comes so often.
 const BEAT: Duration = Duration::from_secs(2);
@@ -189,12 +189,12 @@
                 continue;
             }
             if self.silent.get() {
-                stage.see(&Seen::ListWaits(true));
+                stage.observe(&Observation::DiscoveryPollPending(true));
                 until_closed(&mut stream).await;
-                stage.see(&Seen::ListWaits(false));
+                stage.observe(&Observation::DiscoveryPollPending(false));
                 return Ok(());
             }
-            stage.see(&Seen::ListAsked);
+            stage.observe(&Observation::DiscoveryPolled);
             let gate = self.gate.borrow().clone();
             if let Some(gate) = gate {
                 let Some(wait) = gate.take(stage.at()) else {
@@ -230,14 +230,20 @@
         let Ok(lines) = lines else { return false };
         for line in lines {
             let text = |name: &str| line.get(name).and_then(Value::as_str).unwrap_or("");
-            stage.see(&Seen::Noticed(text("id"), text("status")));
+            stage.observe(&Observation::NoticeReceived {
+                id: text("id"),
+                status: text("status"),
+            });
             (stage.news)(format_args!("notice: {} {}", text("id"), text("status")));
         }
         true
     }
 
     fn tell<R: Runtime>(&self, stage: &Stage<R>, line: &Line) {
-        stage.see(&Seen::Told(&line.host, line.health == "up"));
+        stage.observe(&Observation::HostStatusSent {
+            host: &line.host,
+            is_up: line.health == "up",
+        });
     }
 
     fn tell_whole<R: Runtime>(&self, stage: &Stage<R>) {
@@ -248,7 +254,12 @@
         let gone = changes
             .iter()
             .filter(|(_, _, line)| !self.lines.borrow().contains_key(&line.host));
-        gone.for_each(|(_, _, line)| stage.see(&Seen::Told(&line.host, false)));
+        gone.for_each(|(_, _, line)| {
+            stage.observe(&Observation::HostStatusSent {
+                host: &line.host,
+                is_up: false,
+            })
+        });
     }
 
     async fn watch<R: Runtime>(
--- a/crates/simulator/src/peers/hosts.rs
+++ b/crates/simulator/src/peers/hosts.rs
@@ -14,7 +14,7 @@
 use super::ledger::Ledger;
 use super::{read_request, until_closed, Numbered, Request, Stage};
 use crate::dice::Dice;
-use crate::rules::facts::{CallName, Called, Seen, Verdict};
+use crate::history::{CallId, CallOutcome, HostIdentity, Observation, ReceivedCall};
 
 /// A host's report on its allowance is as old as this at most.
 const REPORTED: Duration = Duration::from_millis(300);
@@ -129,7 +129,7 @@
             let (host, own) = (self.clone(), stage.clone());
             stage.runtime.spawn(async move {
                 host.open.set(host.open.get() + 1);
-                own.see(&Seen::Opened(host.open.get()));
+                own.observe(&Observation::HostConnectionAccepted(host.open.get()));
                 // A connection that breaks is the relay's to make good.
                 let _ = host.connection(&own, stream).await;
                 host.open.set(host.open.get() - 1);
@@ -157,7 +157,7 @@
             let name = stage
                 .checker
                 .borrow_mut()
-                .called(stage.at(), &called, &|conn| (stage.holds)(conn));
+                .observe_call(stage.at(), &called, &|conn| (stage.holds)(conn));
             let Some(name) = name else {
                 stream
                     .write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
@@ -166,7 +166,7 @@
             };
             if self.mood.borrow().down {
                 self.book(stage, &called, false);
-                stage.see(&Seen::Closed(&name));
+                stage.observe(&Observation::CallConnectionClosed(&name));
                 return Ok(());
             }
             if crowded {
@@ -177,14 +177,16 @@
                         stage,
                         &mut stream,
                         &name,
-                        Verdict::NeverRan(Duration::ZERO),
+                        CallOutcome::Rejected {
+                            retry_after: Duration::ZERO,
+                        },
                         text,
                     )
                     .await;
             }
             let kept = self.answer(stage, &mut stream, &name, &called).await;
             if !matches!(kept, Ok(true)) {
-                stage.see(&Seen::Closed(&name));
+                stage.observe(&Observation::CallConnectionClosed(&name));
                 kept?;
                 return Ok(());
             }
@@ -192,19 +194,23 @@
         Ok(())
     }
 
-    fn called<R: Runtime>(&self, stage: &Stage<R>, request: &Request, conn: u64) -> Called {
+    fn called<R: Runtime>(&self, stage: &Stage<R>, request: &Request, conn: u64) -> ReceivedCall {
         let text = |name: &str| request.header(name).map(String::from);
         let id = text("x-trace-id").unwrap_or_default();
-        let host = (self.name.borrow().clone(), self.block, self.zone.clone());
-        (stage.news)(format_args!("{} gets {id}", host.0));
-        Called {
-            conn,
+        let host = HostIdentity {
+            name: self.name.borrow().clone(),
+            destination: self.block,
+            zone: self.zone.clone(),
+        };
+        (stage.news)(format_args!("{} gets {id}", host.name));
+        ReceivedCall {
+            connection: conn,
             host,
-            begun: request.begun,
-            line: request.line.clone(),
-            id,
-            key: text("idempotency-key"),
-            expires: text("x-expires-in-ms").and_then(|text| text.parse().ok()),
+            first_byte_at: request.begun,
+            request_line: request.line.clone(),
+            message_id: id,
+            idempotency_key: text("idempotency-key"),
+            expires_in_ms: text("x-expires-in-ms").and_then(|text| text.parse().ok()),
             body: request.body.clone(),
         }
     }
@@ -257,7 +263,7 @@
     }
 
     /// A call that was not turned away takes effect, or may.
-    fn book<R: Runtime>(&self, stage: &Stage<R>, called: &Called, well: bool) {
+    fn book<R: Runtime>(&self, stage: &Stage<R>, called: &ReceivedCall, well: bool) {
         if let Some(ledger) = &*self.ledger.borrow() {
             ledger.arrives(stage, called, well);
         }
@@ -268,8 +274,8 @@
         &self,
         stage: &Stage<R>,
         stream: &mut R::Stream,
-        name: &CallName,
-        called: &Called,
+        name: &CallId,
+        called: &ReceivedCall,
     ) -> io::Result<bool>
     where
         R::Stream: Numbered,
@@ -303,8 +309,14 @@
                 String::new()
             };
             let text = format!("{head}{report}Content-Length: 0\r\n\r\n");
-            self.write(stage, stream, name, Verdict::NeverRan(wait), &text)
-                .await?;
+            self.write(
+                stage,
+                stream,
+                name,
+                CallOutcome::Rejected { retry_after: wait },
+                &text,
+            )
+            .await?;
             return Ok(true);
         }
         let (takes, fails, spoils) = self.draw(|dice| {
@@ -328,7 +340,7 @@
         }
         if fails {
             let text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-            self.write(stage, stream, name, Verdict::MayHaveRun, text)
+            self.write(stage, stream, name, CallOutcome::MayHaveExecuted, text)
                 .await?;
             return Ok(true);
         }
@@ -339,13 +351,16 @@
             for (count, byte) in good.bytes().enumerate() {
                 stage.runtime.sleep(Duration::from_millis(40)).await;
                 if count + 1 == line {
-                    stage.see(&Seen::Answers(name, Verdict::Delivered));
+                    stage.observe(&Observation::ResponseStarted {
+                        call: name,
+                        outcome: CallOutcome::Delivered,
+                    });
                 }
                 stream.write_all(&[byte]).await?;
             }
             return Ok(true);
         }
-        self.write(stage, stream, name, Verdict::Delivered, &good)
+        self.write(stage, stream, name, CallOutcome::Delivered, &good)
             .await?;
         if mood.closes && self.draw(|dice| dice.percent(60)) {
             let after = self.draw(|dice| dice.below(250));
@@ -360,26 +375,29 @@
         &self,
         stage: &Stage<R>,
         stream: &mut R::Stream,
-        name: &CallName,
-        verdict: Verdict,
+        name: &CallId,
+        outcome: CallOutcome,
         text: &str,
     ) -> io::Result<()>
     where
         R::Stream: Numbered,
     {
-        stage.see(&Seen::Answers(name, verdict));
+        stage.observe(&Observation::ResponseStarted {
+            call: name,
+            outcome,
+        });
         stream.write_all(text.as_bytes()).await?;
         self.tell_read(stage, stream.number(), name);
         Ok(())
     }
 
     /// Tells the checker once the relay has surely read the answer: it still holds the connection then.
-    fn tell_read<R: Runtime>(&self, stage: &Stage<R>, conn: u64, name: &CallName) {
+    fn tell_read<R: Runtime>(&self, stage: &Stage<R>, conn: u64, name: &CallId) {
         let (own, name) = (stage.clone(), name.clone());
         stage.runtime.spawn(async move {
             own.runtime.sleep(Duration::from_millis(20)).await;
             if (own.hears)(conn) {
-                own.see(&Seen::Read(&name));
+                own.observe(&Observation::ResponseRead(&name));
             }
         });
     }
@@ -389,37 +407,40 @@
         &self,
         stage: &Stage<R>,
         stream: &mut R::Stream,
-        name: &CallName,
-        called: &Called,
+        name: &CallId,
+        called: &ReceivedCall,
     ) -> io::Result<bool>
     where
         R::Stream: Numbered,
     {
         let kind = self.draw(|dice| dice.below(9));
-        let (verdict, text): (_, &[u8]) = match kind {
-            0 => (Verdict::MayHaveRun, b"\x01\x02\xff\r\n\r\nnoise"),
-            1 => (Verdict::Delivered, b"HTTP/1.1 200 OK\r\n\x01: \xff\r\n\r\n"),
-            2 => (Verdict::MayHaveRun, b"HTTP/1.1 500 Oh\r\nContent-Length: x\r\n\r\n"),
-            3 => (Verdict::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more"),
+        let (outcome, text): (_, &[u8]) = match kind {
+            0 => (CallOutcome::MayHaveExecuted, b"\x01\x02\xff\r\n\r\nnoise"),
+            1 => (CallOutcome::Delivered, b"HTTP/1.1 200 OK\r\n\x01: \xff\r\n\r\n"),
+            2 => (CallOutcome::MayHaveExecuted, b"HTTP/1.1 500 Oh\r\nContent-Length: x\r\n\r\n"),
+            3 => (CallOutcome::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more"),
             4 => (
-                Verdict::Delivered,
+                CallOutcome::Delivered,
                 b"HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
             ),
             5 => (
-                Verdict::Delivered,
+                CallOutcome::Delivered,
                 b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
             ),
             6 => (
-                Verdict::Delivered,
+                CallOutcome::Delivered,
                 b"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=-1,x1=nan\r\nContent-Length: 0\r\n\r\n",
             ),
-            7 => (Verdict::MayHaveRun, b"HTTP/1.1 500 Oh\r\nA: and no end"),
+            7 => (CallOutcome::MayHaveExecuted, b"HTTP/1.1 500 Oh\r\nA: and no end"),
             _ => {
-                (Verdict::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabc")
+                (CallOutcome::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabc")
             }
         };
-        self.book(stage, called, verdict == Verdict::Delivered);
-        stage.see(&Seen::Answers(name, verdict));
+        self.book(stage, called, outcome == CallOutcome::Delivered);
+        stage.observe(&Observation::ResponseStarted {
+            call: name,
+            outcome,
+        });
         stream.write_all(text).await?;
         if matches!(kind, 4 | 6) {
             self.tell_read(stage, stream.number(), name);
--- a/crates/simulator/src/peers/ledger.rs
+++ b/crates/simulator/src/peers/ledger.rs
@@ -13,7 +13,7 @@
 
 use super::{read_request, Stage};
 use crate::dice::Dice;
-use crate::rules::facts::{Called, Repeat, Seen};
+use crate::history::{Idempotency, Observation, ReceivedCall};
 
 /// A call that is not answered well has taken effect so often, of a hundred.
 const SILENTLY: u64 = 50;
@@ -44,21 +44,23 @@
     }
 
     /// A call has come that was not turned away. One that is answered well takes effect, another may.
-    pub fn arrives<R: Runtime>(&self, stage: &Stage<R>, call: &Called, well: bool) {
-        let Some(repeat) = stage.checker.borrow().repeat_of(&call.id) else {
+    pub fn arrives<R: Runtime>(&self, stage: &Stage<R>, call: &ReceivedCall, well: bool) {
+        let Some(idempotency) = stage.checker.borrow().idempotency_of(&call.message_id) else {
             return;
         };
         let mut book = self.0.borrow_mut();
         if !well && !book.dice.percent(SILENTLY) {
             return;
         }
-        if let (Repeat::Keyed { window, zone_only }, Some(key)) = (repeat, &call.key) {
+        if let (Idempotency::Keyed { window, zone_only }, Some(key)) =
+            (idempotency, &call.idempotency_key)
+        {
             let zone = if zone_only {
-                call.host.2.clone()
+                call.host.zone.clone()
             } else {
                 String::new()
             };
-            let at = (call.host.1, zone, key.clone());
+            let at = (call.host.destination, zone, key.clone());
             if book
                 .keys
                 .get(&at)
@@ -68,12 +70,18 @@
             }
             book.keys.insert(at, stage.at());
         }
-        let times = book.effects.entry(call.id.clone()).or_default();
+        let times = book.effects.entry(call.message_id.clone()).or_default();
         *times += 1;
         let times = *times;
         drop(book);
-        (stage.news)(format_args!("{} takes effect, time {times}", call.id));
-        stage.see(&Seen::Applied(&call.id, times));
+        (stage.news)(format_args!(
+            "{} takes effect, time {times}",
+            call.message_id
+        ));
+        stage.observe(&Observation::EffectApplied {
+            id: &call.message_id,
+            times,
+        });
     }
 
     /// Whether a message took effect.
--- a/crates/simulator/src/peers/mod.rs
+++ b/crates/simulator/src/peers/mod.rs
@@ -19,8 +19,8 @@
 use tokio::io::AsyncReadExt;
 
 use crate::checker::Checker;
+use crate::history::Observation;
 use crate::machine::SimulatedStream;
-use crate::rules::facts::Seen;
 
 /// A connection whose number no other has.
 pub trait Numbered {
@@ -70,8 +70,10 @@
     }
 
     /// Tells the checker what passes.
-    pub fn see(&self, seen: &Seen<'_>) {
-        self.checker.borrow_mut().see(self.at(), self.relay, seen);
+    pub fn observe(&self, observation: &Observation<'_>) {
+        self.checker
+            .borrow_mut()
+            .observe(self.at(), self.relay, observation);
     }
 
     /// The moment of a span since the start.
--- a/crates/simulator/src/peers/operators.rs
+++ b/crates/simulator/src/peers/operators.rs
@@ -12,8 +12,8 @@
 use super::ledger::Ledger;
 use super::Stage;
 use crate::dice::Dice;
+use crate::history::Observation;
 use crate::kept;
-use crate::rules::facts::Seen;
 
 /// Records that an operator looks at in one go.
 const PAGE: usize = 20;
@@ -181,9 +181,12 @@
         if self.rogue == Some(Rogue::Forgets) {
             all.pop();
         }
-        all.iter()
-            .for_each(|(id, state)| self.stage.see(&Seen::RecordShown(id, state)));
-        self.stage.see(&Seen::AllRecordsShown);
+        all.iter().for_each(|(id, state)| {
+            self.stage
+                .observe(&Observation::UndeliverableRecordRead { id, state })
+        });
+        self.stage
+            .observe(&Observation::AllUndeliverableRecordsRead);
         self.done.set(true);
         Some(())
     }
--- a/crates/simulator/src/peers/staff.rs
+++ b/crates/simulator/src/peers/staff.rs
@@ -11,8 +11,8 @@
 
 use super::clients::{frame, Connection};
 use super::Stage;
+use crate::history::Observation;
 use crate::machine::ProcId;
-use crate::rules::facts::Seen;
 
 /// A caller at the door waits so long.
 const PATIENCE: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
         // One that says nothing may have died, which the front notices only much later.
         if let Ok(Ok(Some(line))) = stage.runtime.timeout(ASKS.1, asked).await {
             let yes = line == "+PONG";
-            stage.see(&Seen::Front(yes));
+            stage.observe(&Observation::ReadinessProbed(yes));
             no = (!yes).then(|| no.unwrap_or(stage.at()));
         }
         shut.set(no.is_some_and(|no| stage.at() >= no + SHUT));
@@ -95,10 +95,14 @@
             .await
         {
             Ok(Ok(text)) if text.starts_with("ok") && text.ends_with("eof\n") => {
-                stage.see(&Seen::Figures(process, asked, &text));
+                stage.observe(&Observation::MetricsReported {
+                    process,
+                    requested_at: asked,
+                    text: &text,
+                });
             }
             Ok(_) => {}
-            Err(_) if door.get().0 == process => stage.see(&Seen::DoorSilent),
+            Err(_) if door.get().0 == process => stage.observe(&Observation::ControlCallTimedOut),
             Err(_) => {}
         }
         stage.runtime.sleep(FETCHES).await;
@@ -121,7 +125,7 @@
     let until = stage.at() + if drain { Duration::ZERO } else { AGAIN.1 };
     loop {
         if !drain {
-            stage.see(&Seen::Resuming);
+            stage.observe(&Observation::ResumeRequested);
         }
         let (process, at) = door.get();
         let told = stage
@@ -131,7 +135,7 @@
         if matches!(&told, Ok(Ok(text)) if text.starts_with("ok")) {
             // One that was killed with its answer on its way has told the next one nothing.
             if !drain || door.get().0 == process {
-                stage.see(&Seen::Drained(drain));
+                stage.observe(&Observation::DrainingConfirmed(drain));
             }
             return;
         }
--- a/crates/simulator/src/rolling.rs
+++ b/crates/simulator/src/rolling.rs
@@ -31,7 +31,7 @@
         let mut script = Script::draw_vast(seed, relays);
         script.vast = None;
         script.hosts.clear();
-        script.rules.capacity.clear();
+        script.limits.capacity.clear();
         let blocks = hosts.div_ceil(EACH) as u64;
         for number in 0..hosts {
             let (block, place) = (1 + number / EACH, number % EACH);
@@ -49,7 +49,7 @@
                 takes: (20, 90),
             });
             script
-                .rules
+                .limits
                 .capacity
                 .entry(block as u16)
                 .or_insert((ALL.0 / blocks).max(ALL.1) as f64);
@@ -58,11 +58,11 @@
         let pushed = seed.is_multiple_of(2);
         // Those that are played are a part of a large fleet, as far as they are told.
         script.settings["siblings"] = relays.max(FLEET).into();
-        script.rules.pushed = pushed;
+        script.limits.discovery_is_pushed = pushed;
         script.settings["discovery"] = if pushed { "push" } else { "ask" }.into();
         script.clients = vast::messages(
             &mut Dice::new(seed, 13),
-            &script.rules,
+            &script.limits,
             &vast::CLASSES,
             relays,
         );
--- a/crates/simulator/src/script.rs
+++ b/crates/simulator/src/script.rs
@@ -8,10 +8,10 @@
 
 use crate::dice::Dice;
 use crate::faults::{self, Fault};
+use crate::history::{Idempotency, Limits};
 use crate::hosted::Hosted;
 use crate::kept::Kept;
 use crate::peers::clients::{Habit, Plan};
-use crate::rules::facts::{Repeat, Rules};
 use crate::vast::Vast;
 
 /// Clients hand messages in for this long, and at least so many of them.
@@ -27,7 +27,7 @@
 
 /// The part of the disk that messages may take, and what one takes beside its body at most.
 const JOURNAL_PART: f64 = 0.3;
-const BESIDE: usize = 768;
+const MESSAGE_OVERHEAD_BYTES: usize = 768;
 
 /// A partner's host.
 #[derive(Clone, Debug)]
@@ -55,8 +55,8 @@
     pub clients: Vec<Vec<Plan>>,
     /// What goes wrong, in the order of its beginnings.
     pub faults: Vec<Fault>,
-    /// The figures of the rules.
-    pub rules: Rules,
+    /// What relays are held to.
+    pub limits: Limits,
     /// The settings, as the configuration has them.
     pub settings: Value,
     /// Megabytes of disk.
@@ -118,7 +118,7 @@
 
 struct Class {
     name: &'static str,
-    repeat: Repeat,
+    idempotency: Idempotency,
     in_order: bool,
     left: u64,
 }
@@ -152,19 +152,19 @@
         let classes = [
             Class {
                 name: "update",
-                repeat: Repeat::Safe,
+                idempotency: Idempotency::Idempotent,
                 in_order,
                 left: 6_000,
             },
             Class {
                 name: "event",
-                repeat: Repeat::Keyed { window, zone_only },
+                idempotency: Idempotency::Keyed { window, zone_only },
                 in_order: false,
                 left: 8_000,
             },
             Class {
                 name: "payout",
-                repeat: Repeat::Unsafe,
+                idempotency: Idempotency::NonIdempotent,
                 in_order: in_order && dice.percent(50),
                 left: 10_000,
             },
@@ -175,41 +175,41 @@
             .collect();
         let few = Dice::new(seed, 2).between(ATTEMPTS.0, ATTEMPTS.1 / 2);
         let attempts = if seed % 4 == 3 { few } else { ATTEMPTS.1 } as usize;
-        let rules = Rules {
-            attempts,
-            turn_gap: Duration::from_millis(dice.between(100, 800)),
-            cold_from: dice.between(15, 60) as f64 / 100.0,
-            cold: Duration::from_millis(dice.between(2_000, 8_000)),
+        let limits = Limits {
+            max_attempts: attempts,
+            ordering_pause: Duration::from_millis(dice.between(100, 800)),
+            warm_up_initial_share: dice.between(15, 60) as f64 / 100.0,
+            warm_up_time: Duration::from_millis(dice.between(2_000, 8_000)),
             overload_factor: 2.0,
-            overload_for: Duration::from_millis(dice.between(1_000, 2_500)),
+            overload_window: Duration::from_millis(dice.between(1_000, 2_500)),
             // Numbers of their own, so that all else of a seed's day stays as it was.
             drain_grace: Duration::from_millis(*Dice::new(seed, 14).pick(&GRACES)),
-            late_for: Duration::ZERO,
-            disk: 0,
+            time_after_objective: Duration::ZERO,
+            max_disk_bytes: 0,
             capacity,
-            slots: 0,
-            most_held: 0,
-            most_bytes: 0,
-            beside: BESIDE,
+            max_in_flight: 0,
+            max_queued_messages: 0,
+            max_queued_bytes: 0,
+            message_overhead_bytes: MESSAGE_OVERHEAD_BYTES,
             tenants: Vec::new(),
-            kept: false,
-            store_spoilt: false,
-            eaten: false,
-            garbled: Vec::new(),
-            passing: None,
-            pushed: true,
+            undeliverable_are_resent: false,
+            undeliverable_store_is_damaged: false,
+            requests_may_vanish: false,
+            corrupted_responses: Vec::new(),
+            transient_class: None,
+            discovery_is_pushed: true,
         };
         let disk_mb = *dice.pick(&[0.25, 0.4, 1.0, 3.0]);
-        let settings = settings(&rules, &classes, &mut dice);
+        let settings = settings(&limits, &classes, &mut dice);
         let faults = faults::draw(&mut dice, &blocks, hosts.len());
         let number =
             |path: &str| settings.pointer(path).and_then(Value::as_u64).unwrap_or(0) as usize;
-        let rules = Rules {
-            disk: (disk_mb * 1e6) as u64,
-            slots: number("/familyInfo/callsOut"),
-            most_held: number("/limits/mostHeld"),
-            most_bytes: (disk_mb * 1e6 * JOURNAL_PART) as usize,
-            ..rules
+        let limits = Limits {
+            max_disk_bytes: (disk_mb * 1e6) as u64,
+            max_in_flight: number("/familyInfo/callsOut"),
+            max_queued_messages: number("/limits/mostHeld"),
+            max_queued_bytes: (disk_mb * 1e6 * JOURNAL_PART) as usize,
+            ..limits
         };
         let clients = messages(&mut dice, &classes, &blocks, &faults);
         Script {
@@ -217,7 +217,7 @@
             hosts,
             clients,
             faults,
-            rules,
+            limits,
             settings,
             disk_mb,
             relays: 1,
@@ -270,11 +270,11 @@
     pub fn draw_hosted(seed: u64) -> Self {
         let (mut script, mut dice) = (Script::draw(seed), Dice::new(seed, 3));
         let hosted = Hosted::draw(&mut dice);
-        let blocks: Vec<u16> = script.rules.capacity.keys().copied().collect();
+        let blocks: Vec<u16> = script.limits.capacity.keys().copied().collect();
         hosted.fill(&mut dice, &mut script.clients, &blocks);
         script.faults.extend(faults::of_tenants(&mut dice));
         script.faults.sort_by_key(|fault| fault.from);
-        script.rules.tenants = hosted
+        script.limits.tenants = hosted
             .tenants
             .iter()
             .map(|plan| (plan.name.clone(), u64::from(plan.weight)))
@@ -288,7 +288,7 @@
     pub fn draw_fleet(seed: u64) -> Self {
         let (mut script, mut dice) = (Script::draw(seed), Dice::new(seed, 4));
         let relays = dice.between(RELAYS.0, RELAYS.1);
-        let blocks: Vec<u16> = script.rules.capacity.keys().copied().collect();
+        let blocks: Vec<u16> = script.limits.capacity.keys().copied().collect();
         faults::of_fleet(&mut dice, &mut script.faults, relays, &blocks);
         script.settings["siblings"] = relays.into();
         script.relays = relays as usize;
@@ -348,21 +348,21 @@
     }
 }
 
-fn settings(rules: &Rules, classes: &[Class], dice: &mut Dice) -> Value {
+fn settings(limits: &Limits, classes: &[Class], dice: &mut Dice) -> Value {
     let micros = |span: Duration| span.as_micros() as u64;
     let classes: Vec<Value> = classes
         .iter()
         .map(|class| {
             let mut value = json!({"name": class.name, "aim": 300_000, "giveUp": class.left * 1000,
                 "worth": 2.0, "lateWorth": 0.4, "fifoByKey": class.in_order});
-            let (effect, window, scope) = match class.repeat {
-                Repeat::Safe => ("retryable", None, "all"),
-                Repeat::Keyed {
+            let (effect, window, scope) = match class.idempotency {
+                Idempotency::Idempotent => ("retryable", None, "all"),
+                Idempotency::Keyed {
                     window,
                     zone_only: true,
                 } => ("dedup", Some(window), "zone"),
-                Repeat::Keyed { window, .. } => ("dedup", Some(window), "all"),
-                Repeat::Unsafe => ("fragile", None, "all"),
+                Idempotency::Keyed { window, .. } => ("dedup", Some(window), "all"),
+                Idempotency::NonIdempotent => ("fragile", None, "all"),
             };
             value["effect"] = effect.into();
             value["keyScope"] = scope.into();
@@ -378,12 +378,12 @@
             "toll": [0.0, 0.0]},
         "fees": {"crossZone": 0.0},
         "limits": {"cancelling": true, "dialTimeout": 1_000_000, "idleClose": dice.between(1_500, 8_000) * 1000,
-            "maxAttempts": rules.attempts, "maxRetryAfter": 2_000_000, "mostHeld": dice.between(40, 150),
+            "maxAttempts": limits.max_attempts, "maxRetryAfter": 2_000_000, "mostHeld": dice.between(40, 150),
             "probes": false, "retryAfter": true},
         "myZone": 0, "overShareWorth": 0.1, "siblings": 1, "tick": 5000, "weightSource": "nominal",
-        "rules": {"cold": micros(rules.cold), "coldFrom": rules.cold_from,
-            "overloadFactor": rules.overload_factor, "overloadFor": micros(rules.overload_for),
-            "drainGrace": micros(rules.drain_grace), "turnGap": micros(rules.turn_gap)},
+        "rules": {"cold": micros(limits.warm_up_time), "coldFrom": limits.warm_up_initial_share,
+            "overloadFactor": limits.overload_factor, "overloadFor": micros(limits.overload_window),
+            "drainGrace": micros(limits.drain_grace), "turnGap": micros(limits.ordering_pause)},
         "services": classes,
         "stats": {"fields": ["x0", "x1"], "source": "answers"},
         "tenants": [{"name": "acme", "quotaPerS": 1000.0, "share": 1.0}]
@@ -429,10 +429,10 @@
             name: format!("m{number:04}"),
             tenant: "acme".into(),
             class: class.name,
-            repeat: class.repeat,
+            idempotency: class.idempotency,
             order,
             in_order: class.in_order,
-            unsafe_from: None,
+            non_idempotent_from: None,
             destination: block,
             left: if dice.percent(10) {
                 dice.between(200, 2_000)
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -15,8 +15,12 @@
 /// script breaks no rule.
 #[must_use]
 pub fn shrink(script: Script, options: Options) -> Option<Small> {
-    let rule = play(&script, options).breach?.rule;
-    let broken = |script: &Script| play(script, options).breach.is_some_and(|b| b.rule == rule);
+    let rule = play(&script, options).violation?.invariant;
+    let broken = |script: &Script| {
+        play(script, options)
+            .violation
+            .is_some_and(|violation| violation.invariant == rule)
+    };
     let mut script = script;
     let mut at = 0;
     while at < script.faults.len() {
@@ -51,6 +55,6 @@
         }
         group = group.div_ceil(2);
     }
-    let broken = play(&script, options).broken?;
+    let broken = play(&script, options).violation_text?;
     Some(Small { script, broken })
 }
--- a/crates/simulator/src/vast.rs
+++ b/crates/simulator/src/vast.rs
@@ -3,11 +3,12 @@
 
 use std::time::Duration;
 
-use crate::checker::{Breach, Counts};
+use crate::checker::Counts;
 use crate::dice::Dice;
 use crate::faults;
+use crate::history::{Idempotency, Limits};
+use crate::invariants::Violation;
 use crate::peers::clients::{Habit, Plan};
-use crate::rules::facts::{Repeat, Rules};
 use crate::script::{HostPlan, Script};
 
 /// Relays of a day, where no other number is asked for.
@@ -24,16 +25,16 @@
 const ALL_CALLS: u64 = 5_000;
 
 /// The classes of such a day.
-pub(crate) const CLASSES: [(&str, Repeat); 3] = [
-    ("update", Repeat::Safe),
+pub(crate) const CLASSES: [(&str, Idempotency); 3] = [
+    ("update", Idempotency::Idempotent),
     (
         "event",
-        Repeat::Keyed {
+        Idempotency::Keyed {
             window: Duration::from_secs(6),
             zone_only: false,
         },
     ),
-    ("payout", Repeat::Unsafe),
+    ("payout", Idempotency::NonIdempotent),
 ];
 
 /// What is bound on such a day beside the rules: some half above the largest figures of the seeds 0..120.
@@ -67,17 +68,17 @@
         [
             (
                 "few refusals",
-                ratio(counts.turned_away, script.size() as f64),
+                ratio(counts.rejected_calls, script.size() as f64),
                 self.bounds.turned_away,
             ),
             (
                 "few calls for lists",
-                ratio(counts.lists, starts),
+                ratio(counts.discovery_polls, starts),
                 self.bounds.lists,
             ),
             (
                 "few connections",
-                ratio(counts.opened, counts.calls as f64),
+                ratio(counts.host_connections, counts.calls as f64),
                 self.bounds.opened,
             ),
         ]
@@ -85,15 +86,15 @@
 
     /// The bound that was not kept, if one was not.
     #[must_use]
-    pub fn judge(&self, script: &Script, counts: &Counts, at: Duration) -> Option<Breach> {
+    pub fn judge(&self, script: &Script, counts: &Counts, at: Duration) -> Option<Violation> {
         let figures = self.figures(script, counts);
         let (rule, figure, most) = figures
             .into_iter()
             .find(|(_, figure, most)| figure > most)?;
-        Some(Breach {
-            rule,
+        Some(Violation {
+            invariant: rule,
             at,
-            what: format!("{figure:.2} where {most:.2} are the bound"),
+            description: format!("{figure:.2} where {most:.2} are the bound"),
         })
     }
 }
@@ -106,7 +107,7 @@
         let mut dice = Dice::new(seed, 6);
         let blocks: Vec<u16> = (1..=dice.between(3, 5) as u16).collect();
         script.hosts.clear();
-        script.rules.capacity.clear();
+        script.limits.capacity.clear();
         for block in &blocks {
             let zone = "a";
             let address = std::net::SocketAddr::from(([10, 1, *block as u8, 1], 8080));
@@ -119,7 +120,7 @@
                 takes: (20, 90),
             });
             script
-                .rules
+                .limits
                 .capacity
                 .insert(*block, dice.between(25, 90) as f64);
         }
@@ -130,18 +131,18 @@
             (ALL.0 / relays).max(LEAST.0),
             (ALL.1 / relays).clamp(LEAST.1, 60),
         );
-        script.rules = Rules {
-            attempts: 12,
-            cold_from: 0.2,
-            cold: Duration::from_secs(8),
-            overload_for: Duration::from_millis(1_500),
-            slots,
-            most_held: held,
-            disk: 1_000_000,
-            most_bytes: 300_000,
-            late_for: TIMES.1 - TIMES.0,
-            pushed: false,
-            ..script.rules
+        script.limits = Limits {
+            max_attempts: 12,
+            warm_up_initial_share: 0.2,
+            warm_up_time: Duration::from_secs(8),
+            overload_window: Duration::from_millis(1_500),
+            max_in_flight: slots,
+            max_queued_messages: held,
+            max_disk_bytes: 1_000_000,
+            max_queued_bytes: 300_000,
+            time_after_objective: TIMES.1 - TIMES.0,
+            discovery_is_pushed: false,
+            ..script.limits
         };
         let set = &mut script.settings;
         let micros = |span: Duration| span.as_micros() as u64;
@@ -152,21 +153,21 @@
         set["limits"]["mostHeld"] = held.into();
         set["limits"]["maxAttempts"] = 12.into();
         set["limits"]["idleClose"] = 10_000_000.into();
-        set["rules"]["cold"] = micros(script.rules.cold).into();
-        set["rules"]["coldFrom"] = script.rules.cold_from.into();
-        set["rules"]["overloadFor"] = micros(script.rules.overload_for).into();
-        for (number, (name, repeat)) in CLASSES.iter().enumerate() {
+        set["rules"]["cold"] = micros(script.limits.warm_up_time).into();
+        set["rules"]["coldFrom"] = script.limits.warm_up_initial_share.into();
+        set["rules"]["overloadFor"] = micros(script.limits.overload_window).into();
+        for (number, (name, idempotency)) in CLASSES.iter().enumerate() {
             let class = &mut set["services"][number];
             class["name"] = (*name).into();
             class["aim"] = micros(TIMES.0).into();
             class["giveUp"] = micros(TIMES.1).into();
             class["fifoByKey"] = false.into();
             class["keyScope"] = "all".into();
-            if let Repeat::Keyed { window, .. } = repeat {
+            if let Idempotency::Keyed { window, .. } = idempotency {
                 class["window"] = micros(*window).into();
             }
         }
-        script.clients = messages(&mut Dice::new(seed, 7), &script.rules, &CLASSES, relays);
+        script.clients = messages(&mut Dice::new(seed, 7), &script.limits, &CLASSES, relays);
         let bounds = Bounds {
             turned_away: 0.25,
             lists: 2.0,
@@ -184,13 +185,13 @@
 /// At each destination four fifths of what it takes, some of it in clumps; any relay may get any of it.
 pub(crate) fn messages(
     dice: &mut Dice,
-    rules: &Rules,
-    classes: &[(&'static str, Repeat)],
+    limits: &Limits,
+    classes: &[(&'static str, Idempotency)],
     relays: usize,
 ) -> Vec<Vec<Plan>> {
     let mut clients: Vec<Vec<Plan>> = (0..relays).map(|_| Vec::new()).collect();
     let mut number = 0;
-    for (block, capacity) in &rules.capacity {
+    for (block, capacity) in &limits.capacity {
         let part = dice.between(65, 95);
         let count = (*capacity * ARRIVALS as f64 / 1000.0) as u64 * part / 100;
         let clump = dice.between(1_000, ARRIVALS - 2_000);
@@ -201,17 +202,17 @@
             } else {
                 100 + dice.below(ARRIVALS)
             };
-            let (class, repeat) = *dice.pick(classes);
+            let (class, idempotency) = *dice.pick(classes);
             let left = TIMES.1.as_millis() as u64;
             clients[dice.below(relays as u64) as usize].push(Plan {
                 at: Duration::from_millis(at),
                 name: format!("m{number:05}"),
                 tenant: "acme".into(),
                 class,
-                repeat,
+                idempotency,
                 order: 0,
                 in_order: false,
-                unsafe_from: None,
+                non_idempotent_from: None,
                 destination: *block,
                 left,
                 size: 60,
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -12,10 +12,12 @@
 use serde::Serialize;
 use tokio::sync::watch;
 
-use crate::checker::{Breach, Checker, Counts};
+use crate::checker::{Checker, Counts};
 use crate::dice::Dice;
 use crate::faults::{Fault, Scene, Upgrade};
+use crate::history::Observation;
 use crate::hosted::{self, OPERATOR};
+use crate::invariants::Violation;
 use crate::kept;
 use crate::machine::{AddressFault, Lie, Machine, ProcId, SimulatedRuntime, CONFIG};
 use crate::operated;
@@ -27,7 +29,6 @@
 use crate::peers::operators::Operator;
 use crate::peers::staff::{self, Door};
 use crate::peers::Stage;
-use crate::rules::facts::Seen;
 use crate::script::{discovery_address, relay_address, Script};
 
 /// After the last message's time is up the world runs on for so long.
@@ -82,11 +83,12 @@
     pub messages: usize,
     /// What passed.
     pub counts: Counts,
-    /// The rule that was broken, when, and what happened.
+    /// The first violation of an invariant.
     #[serde(skip)]
-    pub breach: Option<Breach>,
+    pub violation: Option<Violation>,
     /// The same as text.
-    pub broken: Option<String>,
+    #[serde(rename = "broken")]
+    pub violation_text: Option<String>,
     /// The trace, if one was asked for.
     #[serde(skip)]
     pub trace: Vec<String>,
@@ -150,18 +152,18 @@
     shown: Rc<Cell<bool>>,
 }
 
-/// Plays a script to its end or its first breach. A panic counts as a crash of the relay.
+/// Plays a script to its end or its first violation. A panic counts as a crash of the relay.
 #[must_use]
 pub fn play(script: &Script, options: Options) -> Report {
     let played = catch_unwind(AssertUnwindSafe(|| World::new(script, options).run()));
     played.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| text.to_string()));
-        let what = format!("a panic: {}", text.unwrap_or_default());
-        let breach = Breach {
-            rule: "crash",
+        let description = format!("a panic: {}", text.unwrap_or_default());
+        let violation = Violation {
+            invariant: "crash",
             at: Duration::ZERO,
-            what,
+            description,
         };
         Report {
             seed: script.seed,
@@ -171,8 +173,8 @@
             virtual_ms: 0,
             messages: script.size(),
             counts: Counts::default(),
-            broken: Some(breach.to_string()),
-            breach: Some(breach),
+            violation_text: Some(violation.to_string()),
+            violation: Some(violation),
             trace: Vec::new(),
         }
     })
@@ -188,7 +190,7 @@
             runtime,
             relay: 0,
             checker: Rc::new(RefCell::new(Checker::new(
-                script.rules.clone(),
+                script.limits.clone(),
                 script.relays,
             ))),
             holds: Rc::new(move |conn| holder.caller_holds(conn)),
@@ -199,7 +201,7 @@
         let mut lines = Vec::new();
         for (number, plan) in script.hosts.iter().enumerate() {
             let capacity = script
-                .rules
+                .limits
                 .capacity
                 .get(&plan.block)
                 .copied()
@@ -319,7 +321,7 @@
         let mut look = LOOK;
         loop {
             let now = self.machine.now();
-            if now >= ends || self.stage.checker.borrow().breach().is_some() {
+            if now >= ends || self.stage.checker.borrow().violation().is_some() {
                 break;
             }
             if let Some((_, begins, number)) = edges.next_if(|(at, _, _)| *at <= now) {
@@ -341,12 +343,12 @@
                     let size = self
                         .machine
                         .disk(relay, |disk| disk.size(Path::new(FOLDER)));
-                    self.of(relay).see(&Seen::Disk(size));
+                    self.of(relay).observe(&Observation::DiskUsage(size));
                     if self.script.operated {
                         self.look_in(now, relay);
                     }
                 }
-                self.stage.see(&Seen::Pass);
+                self.stage.observe(&Observation::Tick);
                 look = now + LOOK;
             }
             let until = edges
@@ -354,10 +356,10 @@
                 .map_or(ends, |(at, _, _)| *at)
                 .min(look)
                 .min(ends);
-            // After every step the breach, if there is one, is known at the top of this loop.
+            // After every step the violation, if there is one, is known at the top of this loop.
             self.machine.step(until);
             if self.machine.steps() > STEPS {
-                self.stage.see(&Seen::Endless);
+                self.stage.observe(&Observation::StepLimitExceeded);
             }
         }
         self.report()
@@ -371,22 +373,22 @@
                 .as_ref()?
                 .judge(self.script, &checker.counts, self.machine.now())
         };
-        let unseen = || Breach {
-            rule: "accounted for",
+        let unseen = || Violation {
+            invariant: "accounted for",
             at: self.machine.now(),
-            what: "not all records were shown by the end".into(),
+            description: "not all records were shown by the end".into(),
         };
         let kept = || (self.script.kept.is_some() && !self.shown.get()).then(unseen);
-        let breach = checker.breach().cloned().or_else(fleet).or_else(kept);
-        let broken = breach.as_ref().map(|breach| {
+        let violation = checker.violation().cloned().or_else(fleet).or_else(kept);
+        let violation_text = violation.as_ref().map(|violation| {
             format!(
-                "seed {} step {} at {breach}",
+                "seed {} step {} at {violation}",
                 self.script.seed,
                 self.machine.steps()
             )
         });
-        if let Some(broken) = &broken {
-            self.machine.note(format_args!("{broken}"));
+        if let Some(text) = &violation_text {
+            self.machine.note(format_args!("{text}"));
         }
         Report {
             seed: self.script.seed,
@@ -396,8 +398,8 @@
             virtual_ms: self.machine.now().as_millis() as u64,
             messages: self.script.size(),
             counts: checker.counts,
-            breach,
-            broken,
+            violation,
+            violation_text,
             trace: self.machine.trace(),
         }
     }
@@ -423,7 +425,7 @@
         self.hosts
             .iter()
             .for_each(|host| *host.ledger.borrow_mut() = Some(ledger.clone()));
-        for block in self.script.rules.capacity.keys() {
+        for block in self.script.limits.capacity.keys() {
             let served = ledger
                 .clone()
                 .serve(self.stage.clone(), kept::status_address(*block));
@@ -506,7 +508,7 @@
             });
         }
         if let Some(kept) = &self.script.kept {
-            let text = kept.operator_file(self.script.rules.capacity.keys().copied());
+            let text = kept.operator_file(self.script.limits.capacity.keys().copied());
             self.machine
                 .disk(relay, |disk| disk.put(OPERATOR, text.into_bytes()));
         }
@@ -546,10 +548,10 @@
         self.seats[relay].door.set((process, door_address(process)));
         self.seats[relay].touched = self.machine.now();
         let stage = self.of(relay);
-        stage.see(&Seen::Started(process));
+        stage.observe(&Observation::ProcessStarted(process));
         self.stage.runtime.spawn(async move {
             until_ready(&stage, relay_address(relay)).await;
-            stage.see(&Seen::Ready);
+            stage.observe(&Observation::ProcessReady);
         });
     }
 
@@ -592,7 +594,8 @@
             .filter(|since| now >= **since + JUST_OPENED)
             .count();
         if many > 0 {
-            self.of(relay).see(&Seen::HeldInDrain(many));
+            self.of(relay)
+                .observe(&Observation::ClientConnectionsHeld(many));
         }
     }
 
@@ -608,7 +611,8 @@
         {
             if self.machine.is_alive(process) {
                 self.machine.signal(process, Signal::Reload);
-                self.of(relay).see(&Seen::Retuned(whole));
+                self.of(relay)
+                    .observe(&Observation::ReloadRequested { is_valid: whole });
             }
         }
     }
@@ -638,11 +642,11 @@
                 self.machine.kill(process);
                 let stage = self.of(relay);
                 if let Some(Err(line)) = &how {
-                    stage.see(&Seen::EndedByItself(&Err(line.clone())));
+                    stage.observe(&Observation::ProcessExited(&Err(line.clone())));
                 }
                 // One that left by itself had nothing out any more.
                 if how.is_none() && alive {
-                    stage.see(&Seen::Gone);
+                    stage.observe(&Observation::ProcessTerminated);
                     self.started(relay, new);
                 }
             }
@@ -657,13 +661,13 @@
                 (seat.old, seat.process) = (None, process);
                 let stage = self.of(relay);
                 if let Some(Err(line)) = &how {
-                    stage.see(&Seen::EndedByItself(&Err(line.clone())));
+                    stage.observe(&Observation::ProcessExited(&Err(line.clone())));
                 }
-                stage.see(&Seen::Gone);
+                stage.observe(&Observation::ProcessTerminated);
                 self.started(relay, process);
                 if stopped {
                     self.seats[relay].life = Life::Stopping(self.seats[relay].down_for);
-                    stage.see(&Seen::ToldToStop);
+                    stage.observe(&Observation::TerminationRequested);
                 }
             }
         }
@@ -679,9 +683,9 @@
             Life::Up | Life::Stopping(_) => {
                 let stage = self.of(relay);
                 if let Some(how) = self.machine.ended(process) {
-                    stage.see(&Seen::EndedByItself(&how));
+                    stage.observe(&Observation::ProcessExited(&how));
                 }
-                stage.see(&Seen::Gone);
+                stage.observe(&Observation::ProcessTerminated);
                 self.machine.note(format_args!("process {process} is gone"));
                 self.machine.kill(process);
                 let seat = &mut self.seats[relay];
@@ -719,8 +723,8 @@
         &self.seats[self.struck].discovery
     }
 
-    fn see(&self, seen: &Seen<'_>) {
-        self.of(self.struck).see(seen);
+    fn observe(&self, observation: &Observation<'_>) {
+        self.of(self.struck).observe(observation);
     }
 
     fn mood(&self, block: u16, change: &dyn Fn(&mut Mood)) {
@@ -745,7 +749,7 @@
         let host = &self.hosts[host];
         let line = line(host, health, host.capacity);
         // The change reaches all agents, each with its own lag.
-        let late = if self.script.rules.pushed {
+        let late = if self.script.limits.discovery_is_pushed {
             Duration::ZERO
         } else {
             ASKED
@@ -755,8 +759,11 @@
                 .discovery
                 .change(self.machine.now(), line.clone(), jump)
                 + late;
-            self.of(relay)
-                .see(&Seen::Listed(&line.host, line.health == "up", told));
+            self.of(relay).observe(&Observation::HostStatusListed {
+                host: &line.host,
+                is_up: line.health == "up",
+                notified_at: told,
+            });
         }
     }
 
@@ -808,7 +815,7 @@
         let seat = &mut self.seats[self.struck];
         if matches!(seat.life, Life::Up) && seat.old.is_none() {
             seat.life = Life::Stopping(down);
-            stage.see(&Seen::ToldToStop);
+            stage.observe(&Observation::TerminationRequested);
             self.machine.signal(seat.process, Signal::Stop);
         }
     }
@@ -821,7 +828,10 @@
         self.configure(relay);
         self.read_again(relay, true);
         let now = self.machine.now();
-        self.of(relay).see(&Seen::Deaf(now, now + MOVED));
+        self.of(relay).observe(&Observation::NoticeEndpointDown {
+            from: now,
+            until: now + MOVED,
+        });
     }
 
     fn upgrade(&mut self, plan: Upgrade) {
@@ -850,7 +860,7 @@
             stopped: None,
         });
         let stage = self.of(relay);
-        stage.see(&Seen::Upgrades([old, new]));
+        stage.observe(&Observation::UpgradeStarted([old, new]));
         self.stage.runtime.spawn(async move {
             until_yes(&stage, door_address(new)).await;
             yes.set(Some(stage.at()));
--- a/crates/simulator/tests/rolling.rs
+++ b/crates/simulator/tests/rolling.rs
@@ -24,7 +24,7 @@
     assert_eq!(
         scripts
             .iter()
-            .map(|script| script.rules.pushed)
+            .map(|script| script.limits.discovery_is_pushed)
             .collect::<Vec<_>>(),
         [true, false]
     );
@@ -33,7 +33,7 @@
         assert_eq!(
             report.counts.restarts as usize, script.relays,
             "{:?}",
-            report.broken
+            report.violation_text
         );
         let left = script
             .faults
--- a/crates/simulator/tests/same.rs
+++ b/crates/simulator/tests/same.rs
@@ -36,7 +36,7 @@
                 .any(|b| !std::ptr::eq(a, b) && a.from < b.until && b.from < a.until)
         });
         assert!(overlap, "{seed}: {:?}", script.faults);
-        if report.broken.is_none() {
+        if report.violation_text.is_none() {
             assert!(report.virtual_ms >= 15_000, "{seed}: {}", report.virtual_ms);
             assert!(report.counts.delivered > 100, "{seed}: {:?}", report.counts);
         }
@@ -57,7 +57,7 @@
     };
     let whole = (0..50)
         .map(Script::draw)
-        .find(|script| play(script, options).broken.is_some());
+        .find(|script| play(script, options).violation_text.is_some());
     let whole = whole.expect("a seed that overfills its disk");
     let small = simulator::shrink::shrink(whole.clone(), options).expect("a breach");
     assert!(
@@ -68,8 +68,8 @@
     assert!(small.script.faults.is_empty(), "{:?}", small.script.faults);
     assert_eq!(
         play(&small.script, options)
-            .breach
-            .map(|breach| breach.rule),
+            .violation
+            .map(|violation| violation.invariant),
         Some("disk")
     );
 }
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -6,7 +6,7 @@
 fn holds(seeds: impl IntoIterator<Item = u64>) {
     let broken = seeds
         .into_iter()
-        .filter_map(|seed| play(&Script::draw(seed), Options::default()).broken);
+        .filter_map(|seed| play(&Script::draw(seed), Options::default()).violation_text);
     let broken: Vec<String> = broken.collect();
     assert!(broken.is_empty(), "{broken:#?}");
 }
--- a/crates/simulator/tests/soak.rs
+++ b/crates/simulator/tests/soak.rs
@@ -41,7 +41,11 @@
             ..Options::default()
         },
     );
-    assert!(report.broken.is_none(), "{:?}", report.broken);
+    assert!(
+        report.violation_text.is_none(),
+        "{:?}",
+        report.violation_text
+    );
     assert!(report.counts.delivered > 50 * TIMES, "{:?}", report.counts);
     let levels = levels(&report);
     let names = [
--- a/crates/simulator/tests/support/mod.rs
+++ b/crates/simulator/tests/support/mod.rs
@@ -15,9 +15,9 @@
         std::thread::spawn(move || {
             let broken = seeds.into_iter().filter_map(|seed| {
                 let report = play(&Script::of(days, seed), Options::default());
-                let many = report.broken.is_some() || report.counts.delivered > least;
+                let many = report.violation_text.is_some() || report.counts.delivered > least;
                 assert!(many, "seed {seed} delivers little");
-                report.broken
+                report.violation_text
             });
             let broken: Vec<String> = broken.collect();
             assert!(broken.is_empty(), "{broken:#?}");
@@ -40,8 +40,8 @@
         let mut script = Script::of(days, *seed);
         change(&mut script);
         play(&script, options)
-            .breach
-            .is_some_and(|breach| breach.rule == rule)
+            .violation
+            .is_some_and(|violation| violation.invariant == rule)
     };
     let found = seeds.find(broken);
     let Some(seed) = found else {
--- a/crates/simulator/tests/upgraded.rs
+++ b/crates/simulator/tests/upgraded.rs
@@ -57,8 +57,8 @@
     };
     let rules = (0..40).filter_map(|seed| {
         play(&Script::draw_upgraded(seed), options)
-            .breach
-            .map(|b| b.rule)
+            .violation
+            .map(|violation| violation.invariant)
     });
     let rules: Vec<&str> = rules.collect();
     println!("{rules:?}");
--- a/crates/simulator/tests/vast.rs
+++ b/crates/simulator/tests/vast.rs
@@ -78,7 +78,7 @@
         .collect();
     assert_eq!(vast.len(), sizes.len());
     let alone = play(&sizes[0], Options::default());
-    assert_eq!(alone.broken, None);
+    assert_eq!(alone.violation_text, None);
     assert!(
         alone.counts.delivered * 10 >= first as u64 * 9,
         "{:?}",
