--- a/crates/simulator/src/invariants/metrics/expectation.rs
+++ b/crates/simulator/src/invariants/metrics/expectation.rs
@@ -26,19 +26,19 @@
     /// What passed before is certainly counted.
     counted_until: Duration,
     /// Notices may not have been taken yet.
-    notices_may_be_pending: bool,
+    has_pending_notices: bool,
 }
 
 impl<'a> Expectation<'a> {
     pub fn new(history: &'a History, upgraded: &'a BTreeSet<u32>, counted_until: Duration) -> Self {
-        let notices_may_be_pending = history.notice_outages.iter().any(|outage| {
+        let has_pending_notices = history.notice_outages.iter().any(|outage| {
             outage.from <= history.now && counted_until < outage.until + NOTICE_RETRY_TIME
         });
         Expectation {
             history,
             upgraded,
             counted_until,
-            notices_may_be_pending,
+            has_pending_notices,
         }
     }
 
@@ -124,7 +124,7 @@
             if notice.at >= self.history.process_started_at {
                 bounds.count(self.is_certain(message) && notice.at < self.counted_until);
             }
-        } else if self.notices_may_be_pending && message.delivered_at.is_none() {
+        } else if self.has_pending_notices && message.delivered_at.is_none() {
             counts.overload.allow(1);
             counts.error.allow(1);
         }
@@ -153,7 +153,7 @@
             .is_some_and(|accepted_at| accepted_at < self.counted_until)
             && ended_at.is_none()
             && !message.is_abandoned
-            && !self.notices_may_be_pending;
+            && !self.has_pending_notices;
         // One that is about to be ended may be on its way to the platform.
         concurrent.count(is_held && deadline > self.history.now);
     }
