--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -11,7 +11,8 @@
 use crate::loopback::{block_on, configuration, free_address, stage, Process};
 use crate::peers::clients::{until_ready, Client, Habit, Plan};
 use crate::peers::discovery::{Discovery, Line};
-use crate::peers::hosts::{Host, Mood};
+use crate::peers::host_behavior::HostBehavior;
+use crate::peers::hosts::Host;
 
 /// Messages are handed in for this long, so many a second.
 const ARRIVALS: (u64, u64) = (10, 30);
@@ -166,17 +167,19 @@
         let client = Client::new(stage.clone(), vec![relay], 0, shifted, None);
         runtime.spawn(client.run());
     }
-    let mood = |block: u16, mood: Mood| *hosts[usize::from(block) - 1].mood.borrow_mut() = mood;
+    let set_behavior = |block: u16, behavior: HostBehavior| {
+        *hosts[usize::from(block) - 1].behavior.borrow_mut() = behavior;
+    };
     for second in 1..=ARRIVALS.0 + AFTER {
         runtime
             .sleep_until(stage.instant(start + Duration::from_secs(second)))
             .await;
         if second == BROKEN.1 {
-            mood(
+            set_behavior(
                 BROKEN.0,
-                Mood {
-                    fails: 100,
-                    ..Mood::default()
+                HostBehavior {
+                    error_percent: 100,
+                    ..HostBehavior::default()
                 },
             );
             stage.observe(&Observation::DestinationOutage {
@@ -189,7 +192,7 @@
             ));
         }
         if second == BROKEN.2 {
-            mood(BROKEN.0, Mood::default());
+            set_behavior(BROKEN.0, HostBehavior::default());
             stage.observe(&Observation::DestinationOutage {
                 destination: BROKEN.0,
                 is_down: false,
--- a/crates/simulator/src/faults/mod.rs
+++ b/crates/simulator/src/faults/mod.rs
@@ -21,7 +21,7 @@
 use crate::machine::{AddressFault, Machine, ProcId};
 use crate::operated::{Changes, IN_USE};
 use crate::peers::discovery::Discovery;
-use crate::peers::hosts::Mood;
+use crate::peers::host_behavior::HostBehavior;
 
 /// What a fault may touch of the world.
 pub trait Scene {
@@ -32,7 +32,7 @@
     /// Tells the checker what is true from now on.
     fn observe(&self, observation: &Observation<'_>);
     /// Changes how the hosts of a destination do.
-    fn mood(&self, block: u16, change: &dyn Fn(&mut Mood));
+    fn host_behavior(&self, block: u16, change: &dyn Fn(&mut HostBehavior));
     /// Makes the hosts of a destination slower by so many milliseconds than they are.
     fn slow(&self, block: u16, by: u64);
     /// What is wrong with the addresses of a destination's hosts from now on.
--- a/crates/simulator/src/faults/partners.rs
+++ b/crates/simulator/src/faults/partners.rs
@@ -6,6 +6,7 @@
 use crate::dice::Dice;
 use crate::history::Observation;
 use crate::machine::AddressFault;
+use crate::peers::host_behavior::Rejection;
 
 /// A partner's calls fail, so many of a hundred.
 #[derive(Debug)]
@@ -19,7 +20,7 @@
 
 impl Trouble for Fails {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.mood(self.0, &|mood| mood.fails = self.1);
+        scene.host_behavior(self.0, &|behavior| behavior.error_percent = self.1);
         scene.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
@@ -27,7 +28,7 @@
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| mood.fails = 0);
+        scene.host_behavior(self.0, &|behavior| behavior.error_percent = 0);
         scene.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: false,
@@ -41,7 +42,9 @@
 
 impl Trouble for Shut {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.mood(self.0, &|mood| mood.shut = Some(None));
+        scene.host_behavior(self.0, &|behavior| {
+            behavior.rejection = Some(Rejection::WithoutWait)
+        });
         scene.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
@@ -49,7 +52,7 @@
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| mood.shut = None);
+        scene.host_behavior(self.0, &|behavior| behavior.rejection = None);
         scene.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: false,
@@ -63,7 +66,9 @@
 
 impl Trouble for ShutTold {
     fn begins(&self, scene: &mut dyn Scene, until: Duration) {
-        scene.mood(self.0, &|mood| mood.shut = Some(Some(until)));
+        scene.host_behavior(self.0, &|behavior| {
+            behavior.rejection = Some(Rejection::Until(until))
+        });
         scene.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
@@ -81,7 +86,7 @@
 
 impl Trouble for Hangs {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.mood(self.0, &|mood| mood.hangs = true);
+        scene.host_behavior(self.0, &|behavior| behavior.hangs = true);
         scene.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
@@ -89,7 +94,7 @@
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| mood.hangs = false);
+        scene.host_behavior(self.0, &|behavior| behavior.hangs = false);
         scene.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: false,
@@ -107,11 +112,11 @@
     }
 
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.mood(self.0, &|mood| mood.trickles = true);
+        scene.host_behavior(self.0, &|behavior| behavior.responds_bytewise = true);
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| mood.trickles = false);
+        scene.host_behavior(self.0, &|behavior| behavior.responds_bytewise = false);
     }
 }
 
@@ -231,11 +236,11 @@
     }
 
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.mood(self.0, &|mood| mood.closes = true);
+        scene.host_behavior(self.0, &|behavior| behavior.closes_after_response = true);
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| mood.closes = false);
+        scene.host_behavior(self.0, &|behavior| behavior.closes_after_response = false);
     }
 }
 
@@ -255,11 +260,11 @@
     }
 
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.mood(self.0, &|mood| mood.spoils = self.1);
+        scene.host_behavior(self.0, &|behavior| behavior.corruption_percent = self.1);
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| mood.spoils = 0);
+        scene.host_behavior(self.0, &|behavior| behavior.corruption_percent = 0);
     }
 }
 
@@ -275,11 +280,13 @@
 
 impl Trouble for Limited {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.mood(self.0, &|mood| mood.limit = Some(self.1 as f64));
+        scene.host_behavior(self.0, &|behavior| {
+            behavior.max_calls_per_second = Some(self.1 as f64)
+        });
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| mood.limit = None);
+        scene.host_behavior(self.0, &|behavior| behavior.max_calls_per_second = None);
     }
 }
 
--- a/crates/simulator/src/faults/vast.rs
+++ b/crates/simulator/src/faults/vast.rs
@@ -29,12 +29,12 @@
 
 impl Trouble for Down {
     fn begins(&self, scene: &mut dyn Scene, until: Duration) {
-        scene.mood(self.0, &|mood| mood.down = true);
+        scene.host_behavior(self.0, &|behavior| behavior.drops_calls = true);
         Refuses(self.0).begins(scene, until);
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| mood.down = false);
+        scene.host_behavior(self.0, &|behavior| behavior.drops_calls = false);
         Refuses(self.0).ends(scene);
     }
 }
@@ -45,14 +45,14 @@
 
 impl Trouble for Lowered {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.mood(self.0, &|mood| {
-            mood.limit = mood.limit.map(|limit| limit / 2.0)
+        scene.host_behavior(self.0, &|behavior| {
+            behavior.max_calls_per_second = behavior.max_calls_per_second.map(|limit| limit / 2.0)
         });
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.mood(self.0, &|mood| {
-            mood.limit = mood.limit.map(|limit| limit * 2.0)
+        scene.host_behavior(self.0, &|behavior| {
+            behavior.max_calls_per_second = behavior.max_calls_per_second.map(|limit| limit * 2.0)
         });
     }
 }
--- a/crates/simulator/src/peers/hosts.rs
+++ b/crates/simulator/src/peers/hosts.rs
@@ -1,4 +1,4 @@
-//! Partners' hosts: they take calls and answer them, more or less well.
+//! Partners' hosts: they take calls and respond to them by their [behaviour](HostBehavior).
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -11,57 +11,37 @@
 use runtime::{Listener, Runtime, Stream};
 use tokio::io::AsyncWriteExt;
 
+use super::host_behavior::{HostBehavior, Rejection};
 use super::ledger::Ledger;
 use super::{read_request, until_closed, Numbered, Request, Stage};
 use crate::dice::Dice;
 use crate::history::{CallId, CallOutcome, HostIdentity, Observation, ReceivedCall};
 
-/// A host's report on its allowance is as old as this at most.
-const REPORTED: Duration = Duration::from_millis(300);
+/// A host's report on what remains of its limit is as old as this at most.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
+/// A host's limit holds over this time ...
+const LIMIT_WINDOW: Duration = Duration::from_secs(1);
+/// ... and the wait that it asks for is longer by this.
+const WAIT_MARGIN: Duration = Duration::from_millis(50);
+/// A host that responds bytewise waits this long before each byte.
+const BYTE_INTERVAL: Duration = Duration::from_millis(40);
+/// The relay reads a response within this.
+const READ_TIME: Duration = Duration::from_millis(20);
 
-/// How a host does at present.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Mood {
-    /// Bounds of the time that it takes to answer, in milliseconds.
-    pub takes: (u64, u64),
-    /// Of a hundred calls so many end in an error.
-    pub fails: u64,
-    /// Of a hundred answers so many are spoilt.
-    pub spoils: u64,
-    /// Turns all calls away, until this if it tells a wait.
-    pub shut: Option<Option<Duration>>,
-    /// Says nothing.
-    pub hangs: bool,
-    /// Ends each connection that a call comes on.
-    pub down: bool,
-    /// Answers a byte at a time.
-    pub trickles: bool,
-    /// Closes connections soon after an answer, or just when the next call comes.
-    pub closes: bool,
-    /// Calls a second that it takes; turns the others away and tells a wait.
-    pub limit: Option<f64>,
-    /// Those turned away use the limit up too, half of them are told no wait, and answers report what is left.
-    pub spends: bool,
-    /// Connections that it holds at most.
-    pub connections: Option<usize>,
+/// What a host reports of its limit.
+#[derive(Clone, Copy)]
+struct LoadReport {
+    /// When it was measured.
+    at: Duration,
+    /// What remains, 0 to 1.
+    remaining: f64,
 }
 
-impl Default for Mood {
-    fn default() -> Self {
-        Mood {
-            takes: (5, 60),
-            fails: 0,
-            spoils: 0,
-            shut: None,
-            hangs: false,
-            down: false,
-            trickles: false,
-            closes: false,
-            limit: None,
-            spends: false,
-            connections: None,
-        }
-    }
+/// Whether a connection can be used after a response.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum AfterResponse {
+    KeepOpen,
+    Close,
 }
 
 /// A host.
@@ -74,22 +54,21 @@
     pub zone: String,
     /// Where it takes connections.
     pub address: SocketAddr,
-    /// How it does.
-    pub mood: RefCell<Mood>,
-    /// Calls a second that it could take, as its answers report.
+    /// How it treats calls.
+    pub behavior: RefCell<HostBehavior>,
+    /// Calls a second that it could take, as its responses report.
     pub capacity: f64,
     dice: RefCell<Dice>,
-    taken: RefCell<VecDeque<Duration>>,
-    /// Connections that are open.
-    open: Cell<usize>,
-    /// What it reports as left of its allowance, and since when.
-    left: Cell<(Duration, f64)>,
-    /// Where it books what took effect, on days on which that is asked for.
+    /// When calls came that count against its limit, in order.
+    recent_calls: RefCell<VecDeque<Duration>>,
+    open_connections: Cell<usize>,
+    load_report: Cell<LoadReport>,
+    /// Where it records what took effect, in scenarios that need it.
     pub ledger: RefCell<Option<Ledger>>,
 }
 
 impl Host {
-    /// A host that does well.
+    /// A host with the default behaviour.
     #[must_use]
     pub fn new(
         name: &str,
@@ -104,12 +83,15 @@
             block,
             zone: zone.into(),
             address,
-            mood: RefCell::default(),
+            behavior: RefCell::default(),
             capacity,
             dice: RefCell::new(dice),
-            taken: RefCell::default(),
-            open: Cell::new(0),
-            left: Cell::new((Duration::ZERO, 1.0)),
+            recent_calls: RefCell::default(),
+            open_connections: Cell::new(0),
+            load_report: Cell::new(LoadReport {
+                at: Duration::ZERO,
+                remaining: 1.0,
+            }),
             ledger: RefCell::default(),
         })
     }
@@ -128,11 +110,13 @@
             let stream = listener.accept().await?;
             let (host, own) = (self.clone(), stage.clone());
             stage.runtime.spawn(async move {
-                host.open.set(host.open.get() + 1);
-                own.observe(&Observation::HostConnectionAccepted(host.open.get()));
+                host.open_connections.set(host.open_connections.get() + 1);
+                own.observe(&Observation::HostConnectionAccepted(
+                    host.open_connections.get(),
+                ));
                 // A connection that breaks is the relay's to make good.
                 let _ = host.connection(&own, stream).await;
-                host.open.set(host.open.get() - 1);
+                host.open_connections.set(host.open_connections.get() - 1);
             });
         }
     }
@@ -147,36 +131,33 @@
     {
         stream.set_nodelay()?;
         let mut text = BytesMut::new();
-        let crowded = self
-            .mood
-            .borrow()
-            .connections
-            .is_some_and(|most| self.open.get() > most);
+        let max_connections = self.behavior.borrow().max_connections;
+        let is_over_limit = max_connections.is_some_and(|max| self.open_connections.get() > max);
         while let Some(request) = read_request(stage, &mut stream, &mut text).await? {
-            let called = self.called(stage, &request, stream.number());
-            let name = stage
+            let call = self.received_call(stage, &request, stream.number());
+            let id = stage
                 .checker
                 .borrow_mut()
-                .observe_call(stage.at(), &called, &|conn| (stage.holds)(conn));
-            let Some(name) = name else {
+                .observe_call(stage.at(), &call, &|conn| (stage.holds)(conn));
+            let Some(id) = id else {
                 stream
                     .write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
                     .await?;
                 continue;
             };
-            if self.mood.borrow().down {
-                self.book(stage, &called, false);
-                stage.observe(&Observation::CallConnectionClosed(&name));
+            if self.behavior.borrow().drops_calls {
+                self.record_effect(stage, &call, false);
+                stage.observe(&Observation::CallConnectionClosed(&id));
                 return Ok(());
             }
-            if crowded {
+            if is_over_limit {
                 let text =
                     "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
                 return self
                     .write(
                         stage,
                         &mut stream,
-                        &name,
+                        &id,
                         CallOutcome::Rejected {
                             retry_after: Duration::ZERO,
                         },
@@ -184,17 +165,22 @@
                     )
                     .await;
             }
-            let kept = self.answer(stage, &mut stream, &name, &called).await;
-            if !matches!(kept, Ok(true)) {
-                stage.observe(&Observation::CallConnectionClosed(&name));
-                kept?;
+            let after = self.respond(stage, &mut stream, &id, &call).await;
+            if !matches!(after, Ok(AfterResponse::KeepOpen)) {
+                stage.observe(&Observation::CallConnectionClosed(&id));
+                after?;
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    fn called<R: Runtime>(&self, stage: &Stage<R>, request: &Request, conn: u64) -> ReceivedCall {
+    fn received_call<R: Runtime>(
+        &self,
+        stage: &Stage<R>,
+        request: &Request,
+        connection: u64,
+    ) -> ReceivedCall {
         let text = |name: &str| request.header(name).map(String::from);
         let id = text("x-trace-id").unwrap_or_default();
         let host = HostIdentity {
@@ -204,7 +190,7 @@
         };
         (stage.news)(format_args!("{} gets {id}", host.name));
         ReceivedCall {
-            connection: conn,
+            connection,
             host,
             first_byte_at: request.begun,
             request_line: request.line.clone(),
@@ -219,197 +205,231 @@
         draw(&mut self.dice.borrow_mut())
     }
 
-    /// How long a call has to stay away, if the host is at its limit.
-    fn over_limit(&self, limit: f64, at: Duration, spends: bool) -> Option<Duration> {
-        let mut taken = self.taken.borrow_mut();
-        while taken
+    /// How long a call has to wait, if the host is at its limit.
+    fn wait_at_limit(
+        &self,
+        max_calls: f64,
+        behavior: &HostBehavior,
+        at: Duration,
+    ) -> Option<Duration> {
+        let mut recent = self.recent_calls.borrow_mut();
+        while recent
             .front()
-            .is_some_and(|first| *first + Duration::from_secs(1) < at)
+            .is_some_and(|first| *first + LIMIT_WINDOW < at)
         {
-            taken.pop_front();
+            recent.pop_front();
         }
-        if (taken.len() as f64) < limit {
-            taken.push_back(at);
+        if (recent.len() as f64) < max_calls {
+            recent.push_back(at);
             return None;
         }
-        let again = taken
+        let wait = recent
             .front()
-            .map(|first| (*first + Duration::from_millis(1050)).saturating_sub(at));
-        if spends {
-            taken.push_back(at);
-            taken.truncate(4 * limit as usize + 4);
+            .map(|first| (*first + LIMIT_WINDOW + WAIT_MARGIN).saturating_sub(at));
+        if behavior.rejections_use_limit {
+            recent.push_back(at);
+            recent.truncate(4 * max_calls as usize + 4);
         }
-        again
+        wait
     }
 
-    /// The load report of an answer: what is left is read anew every 0.3 s.
-    fn report(&self, at: Duration) -> String {
-        let mood = self.mood.borrow();
-        let limit = mood.limit.filter(|_| mood.spends);
-        let Some(limit) = limit else {
+    /// The load report of a response: what remains of the limit is measured anew every 0.3 s.
+    fn load_report(&self, at: Duration) -> String {
+        let behavior = self.behavior.borrow();
+        let limit = behavior.max_calls_per_second;
+        let Some(limit) = limit.filter(|_| behavior.rejections_use_limit) else {
             return format!("Endpoint-Load-Metrics: x0=0.6,x1={:.1}\r\n", self.capacity);
         };
-        let (since, left) = self.left.get();
-        if since + REPORTED <= at {
-            let taken = self
-                .taken
-                .borrow()
+        let report = self.load_report.get();
+        if report.at + MAX_REPORT_AGE <= at {
+            let recent = self.recent_calls.borrow();
+            let used = recent
                 .iter()
-                .filter(|call| **call + Duration::from_secs(1) >= at)
+                .filter(|call| **call + LIMIT_WINDOW >= at)
                 .count();
-            self.left.set((at, (1.0 - taken as f64 / limit).max(0.0)));
+            let remaining = (1.0 - used as f64 / limit).max(0.0);
+            self.load_report.set(LoadReport { at, remaining });
         }
-        format!("Endpoint-Load-Metrics: x0={left:.3},x1={limit:.1}\r\n")
+        format!(
+            "Endpoint-Load-Metrics: x0={:.3},x1={limit:.1}\r\n",
+            report.remaining
+        )
     }
 
-    /// A call that was not turned away takes effect, or may.
-    fn book<R: Runtime>(&self, stage: &Stage<R>, called: &ReceivedCall, well: bool) {
+    /// A call that was not rejected takes effect, or may.
+    fn record_effect<R: Runtime>(&self, stage: &Stage<R>, call: &ReceivedCall, is_success: bool) {
         if let Some(ledger) = &*self.ledger.borrow() {
-            ledger.arrives(stage, called, well);
+            ledger.arrives(stage, call, is_success);
         }
     }
 
-    /// Answers a call; false if the connection is of no further use.
-    async fn answer<R: Runtime>(
+    /// Responds to a call.
+    async fn respond<R: Runtime>(
         &self,
         stage: &Stage<R>,
         stream: &mut R::Stream,
-        name: &CallId,
-        called: &ReceivedCall,
-    ) -> io::Result<bool>
+        id: &CallId,
+        call: &ReceivedCall,
+    ) -> io::Result<AfterResponse>
     where
         R::Stream: Numbered,
     {
-        let mood = self.mood.borrow().clone();
-        if mood.hangs {
-            self.book(stage, called, false);
+        let behavior = self.behavior.borrow().clone();
+        if behavior.hangs {
+            self.record_effect(stage, call, false);
             until_closed(stream).await;
-            return Ok(false);
+            return Ok(AfterResponse::Close);
         }
-        let refused = match mood.shut {
-            Some(until) => Some(until.map(|until| until.saturating_sub(stage.at()))),
-            None => mood
-                .limit
-                .and_then(|limit| self.over_limit(limit, stage.at(), mood.spends))
-                .map(Some),
-        };
-        if let Some(wait) = refused {
-            let silent = mood.spends && self.draw(|dice| dice.percent(50));
-            let wait = wait.filter(|_| !silent).unwrap_or_default();
-            let millis = wait.as_millis();
-            let head = if millis > 0 {
-                format!("HTTP/1.1 429 Too Many Requests\r\nX-Backoff-Ms: {millis}\r\n")
-            } else {
-                "HTTP/1.1 503 Service Unavailable\r\n".into()
-            };
-            let wait = Duration::from_millis(millis as u64);
-            let report = if mood.spends {
-                self.report(stage.at())
-            } else {
-                String::new()
-            };
-            let text = format!("{head}{report}Content-Length: 0\r\n\r\n");
-            self.write(
-                stage,
-                stream,
-                name,
-                CallOutcome::Rejected { retry_after: wait },
-                &text,
-            )
-            .await?;
-            return Ok(true);
+        if let Some(wait) = self.rejection_wait(stage.at(), &behavior) {
+            self.reject(stage, stream, id, wait, &behavior).await?;
+            return Ok(AfterResponse::KeepOpen);
         }
-        let (takes, fails, spoils) = self.draw(|dice| {
+        let (response_ms, is_error, is_corrupted) = self.draw(|dice| {
             (
-                dice.between(mood.takes.0, mood.takes.1),
-                dice.percent(mood.fails),
-                dice.percent(mood.spoils),
+                dice.between(behavior.min_response_ms, behavior.max_response_ms),
+                dice.percent(behavior.error_percent),
+                dice.percent(behavior.corruption_percent),
             )
         });
-        if !spoils {
-            self.book(stage, called, !fails);
+        if !is_corrupted {
+            self.record_effect(stage, call, !is_error);
         }
         // A relay that gives the call up closes its connection meanwhile.
         tokio::select! {
             biased;
-            () = stage.runtime.sleep(Duration::from_millis(takes)) => {}
-            () = until_closed(stream) => return Ok(false),
+            () = stage.runtime.sleep(Duration::from_millis(response_ms)) => {}
+            () = until_closed(stream) => return Ok(AfterResponse::Close),
         }
-        if spoils {
-            return self.spoil(stage, stream, name, called).await;
+        if is_corrupted {
+            return self.respond_corrupted(stage, stream, id, call).await;
         }
-        if fails {
+        if is_error {
             let text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-            self.write(stage, stream, name, CallOutcome::MayHaveExecuted, text)
+            self.write(stage, stream, id, CallOutcome::MayHaveExecuted, text)
                 .await?;
-            return Ok(true);
+            return Ok(AfterResponse::KeepOpen);
+        }
+        self.respond_delivered(stage, stream, id, &behavior).await
+    }
+
+    /// The wait to ask for if a call is rejected now; zero for none.
+    fn rejection_wait(&self, at: Duration, behavior: &HostBehavior) -> Option<Duration> {
+        match behavior.rejection {
+            Some(Rejection::WithoutWait) => Some(Duration::ZERO),
+            Some(Rejection::Until(until)) => Some(until.saturating_sub(at)),
+            None => {
+                let limit = behavior.max_calls_per_second?;
+                self.wait_at_limit(limit, behavior, at)
+            }
         }
-        let report = self.report(stage.at());
-        let good = format!("HTTP/1.1 200 OK\r\n{report}Content-Length: 2\r\n\r\nok");
-        if mood.trickles {
-            let line = good.find('\n').unwrap_or(0) + 1;
-            for (count, byte) in good.bytes().enumerate() {
-                stage.runtime.sleep(Duration::from_millis(40)).await;
-                if count + 1 == line {
+    }
+
+    /// Rejects a call.
+    async fn reject<R: Runtime>(
+        &self,
+        stage: &Stage<R>,
+        stream: &mut R::Stream,
+        id: &CallId,
+        wait: Duration,
+        behavior: &HostBehavior,
+    ) -> io::Result<()>
+    where
+        R::Stream: Numbered,
+    {
+        let hides_wait = behavior.rejections_use_limit && self.draw(|dice| dice.percent(50));
+        let millis = if hides_wait { 0 } else { wait.as_millis() };
+        let head = if millis > 0 {
+            format!("HTTP/1.1 429 Too Many Requests\r\nX-Backoff-Ms: {millis}\r\n")
+        } else {
+            "HTTP/1.1 503 Service Unavailable\r\n".into()
+        };
+        let report = if behavior.rejections_use_limit {
+            self.load_report(stage.at())
+        } else {
+            String::new()
+        };
+        let outcome = CallOutcome::Rejected {
+            retry_after: Duration::from_millis(millis as u64),
+        };
+        let text = format!("{head}{report}Content-Length: 0\r\n\r\n");
+        self.write(stage, stream, id, outcome, &text).await
+    }
+
+    /// Responds that a message is delivered.
+    async fn respond_delivered<R: Runtime>(
+        &self,
+        stage: &Stage<R>,
+        stream: &mut R::Stream,
+        id: &CallId,
+        behavior: &HostBehavior,
+    ) -> io::Result<AfterResponse>
+    where
+        R::Stream: Numbered,
+    {
+        let report = self.load_report(stage.at());
+        let text = format!("HTTP/1.1 200 OK\r\n{report}Content-Length: 2\r\n\r\nok");
+        if behavior.responds_bytewise {
+            let status_line_length = text.find('\n').unwrap_or(0) + 1;
+            for (sent, byte) in text.bytes().enumerate() {
+                stage.runtime.sleep(BYTE_INTERVAL).await;
+                if sent + 1 == status_line_length {
                     stage.observe(&Observation::ResponseStarted {
-                        call: name,
+                        call: id,
                         outcome: CallOutcome::Delivered,
                     });
                 }
                 stream.write_all(&[byte]).await?;
             }
-            return Ok(true);
+            return Ok(AfterResponse::KeepOpen);
         }
-        self.write(stage, stream, name, CallOutcome::Delivered, &good)
+        self.write(stage, stream, id, CallOutcome::Delivered, &text)
             .await?;
-        if mood.closes && self.draw(|dice| dice.percent(60)) {
-            let after = self.draw(|dice| dice.below(250));
-            // It may cross the next call, which is then never read.
-            stage.runtime.sleep(Duration::from_millis(after)).await;
-            return Ok(false);
+        if behavior.closes_after_response && self.draw(|dice| dice.percent(60)) {
+            let delay_ms = self.draw(|dice| dice.below(250));
+            // The close may cross the next call, which is then never read.
+            stage.runtime.sleep(Duration::from_millis(delay_ms)).await;
+            return Ok(AfterResponse::Close);
         }
-        Ok(true)
+        Ok(AfterResponse::KeepOpen)
     }
 
+    /// Writes a response, and reports it.
     async fn write<R: Runtime>(
         &self,
         stage: &Stage<R>,
         stream: &mut R::Stream,
-        name: &CallId,
+        id: &CallId,
         outcome: CallOutcome,
         text: &str,
     ) -> io::Result<()>
     where
         R::Stream: Numbered,
     {
-        stage.observe(&Observation::ResponseStarted {
-            call: name,
-            outcome,
-        });
+        stage.observe(&Observation::ResponseStarted { call: id, outcome });
         stream.write_all(text.as_bytes()).await?;
-        self.tell_read(stage, stream.number(), name);
+        self.report_read(stage, stream.number(), id);
         Ok(())
     }
 
-    /// Tells the checker once the relay has surely read the answer: it still holds the connection then.
-    fn tell_read<R: Runtime>(&self, stage: &Stage<R>, conn: u64, name: &CallId) {
-        let (own, name) = (stage.clone(), name.clone());
-        stage.runtime.spawn(async move {
-            own.runtime.sleep(Duration::from_millis(20)).await;
-            if (own.hears)(conn) {
-                own.observe(&Observation::ResponseRead(&name));
+    /// Reports a response as read once the relay surely has read it: it still holds the connection then.
+    fn report_read<R: Runtime>(&self, stage: &Stage<R>, connection: u64, id: &CallId) {
+        let (stage, id) = (stage.clone(), id.clone());
+        stage.clone().runtime.spawn(async move {
+            stage.runtime.sleep(READ_TIME).await;
+            if (stage.hears)(connection) {
+                stage.observe(&Observation::ResponseRead(&id));
             }
         });
     }
 
-    /// An answer that is not as it should be. What it says in its first line is still true.
-    async fn spoil<R: Runtime>(
+    /// A corrupted response. What its status line says is still true.
+    async fn respond_corrupted<R: Runtime>(
         &self,
         stage: &Stage<R>,
         stream: &mut R::Stream,
-        name: &CallId,
-        called: &ReceivedCall,
-    ) -> io::Result<bool>
+        id: &CallId,
+        call: &ReceivedCall,
+    ) -> io::Result<AfterResponse>
     where
         R::Stream: Numbered,
     {
@@ -436,17 +456,14 @@
                 (CallOutcome::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabc")
             }
         };
-        self.book(stage, called, outcome == CallOutcome::Delivered);
-        stage.observe(&Observation::ResponseStarted {
-            call: name,
-            outcome,
-        });
+        self.record_effect(stage, call, outcome == CallOutcome::Delivered);
+        stage.observe(&Observation::ResponseStarted { call: id, outcome });
         stream.write_all(text).await?;
         if matches!(kind, 4 | 6) {
-            self.tell_read(stage, stream.number(), name);
-            return Ok(true);
+            self.report_read(stage, stream.number(), id);
+            return Ok(AfterResponse::KeepOpen);
         }
         until_closed(stream).await;
-        Ok(false)
+        Ok(AfterResponse::Close)
     }
 }
--- a/crates/simulator/src/peers/mod.rs
+++ b/crates/simulator/src/peers/mod.rs
@@ -4,6 +4,7 @@
 pub mod admins;
 pub mod clients;
 pub mod discovery;
+pub mod host_behavior;
 pub mod hosts;
 pub mod ledger;
 pub mod operators;
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -24,7 +24,8 @@
 use crate::peers::admins::{Admin, Rogue};
 use crate::peers::clients::{until_ready, until_yes, Client};
 use crate::peers::discovery::{Discovery, Gate, Line};
-use crate::peers::hosts::{Host, Mood};
+use crate::peers::host_behavior::HostBehavior;
+use crate::peers::hosts::Host;
 use crate::peers::ledger::Ledger;
 use crate::peers::operators::Operator;
 use crate::peers::staff::{self, Door};
@@ -215,14 +216,18 @@
                 capacity,
                 dice,
             );
-            host.mood.borrow_mut().takes = plan.takes;
+            {
+                let mut behavior = host.behavior.borrow_mut();
+                (behavior.min_response_ms, behavior.max_response_ms) = plan.takes;
+            }
             if let Some(kept) = &script.kept {
-                host.mood.borrow_mut().fails = kept.fails;
+                host.behavior.borrow_mut().error_percent = kept.fails;
             }
             if let Some(vast) = &script.vast {
-                let mut mood = host.mood.borrow_mut();
-                (mood.limit, mood.spends, mood.connections) =
-                    (Some(capacity), true, Some(vast.connections));
+                let mut behavior = host.behavior.borrow_mut();
+                behavior.max_calls_per_second = Some(capacity);
+                behavior.rejections_use_limit = true;
+                behavior.max_connections = Some(vast.connections);
             }
             lines.push(line(&host, "up", capacity));
             hosts.push(host);
@@ -727,15 +732,17 @@
         self.of(self.struck).observe(observation);
     }
 
-    fn mood(&self, block: u16, change: &dyn Fn(&mut Mood)) {
+    fn host_behavior(&self, block: u16, change: &dyn Fn(&mut HostBehavior)) {
         self.of_block(block)
-            .for_each(|host| change(&mut host.mood.borrow_mut()));
+            .for_each(|host| change(&mut host.behavior.borrow_mut()));
     }
 
     fn slow(&self, block: u16, by: u64) {
         for (plan, host) in self.script.hosts.iter().zip(&self.hosts) {
             if host.block == block {
-                host.mood.borrow_mut().takes = (plan.takes.0 + by, plan.takes.1 + by);
+                let mut behavior = host.behavior.borrow_mut();
+                behavior.min_response_ms = plan.takes.0 + by;
+                behavior.max_response_ms = plan.takes.1 + by;
             }
         }
     }
