--- a/crates/simulator/src/cost.rs
+++ b/crates/simulator/src/cost.rs
@@ -9,7 +9,7 @@
 use runtime::{Runtime, Stream};
 
 use crate::loopback::{ask, block_on, free_address, quick, request, Process, Quick};
-use crate::peers::clients::until_ready;
+use crate::peers::connection::until_ready;
 
 /// Clients that hand messages in, each the next once the last is answered and a little time has passed.
 const CLIENTS: u64 = 16;
--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -9,7 +9,8 @@
 use crate::dice::Dice;
 use crate::history::{Idempotency, Observation};
 use crate::loopback::{block_on, configuration, free_address, stage, Process};
-use crate::peers::clients::{until_ready, Client, Habit, Plan};
+use crate::peers::clients::{Client, ClientBehavior, PlannedMessage};
+use crate::peers::connection::until_ready;
 use crate::peers::discovery::{Discovery, Line};
 use crate::peers::host_behavior::HostBehavior;
 use crate::peers::hosts::Host;
@@ -53,7 +54,7 @@
     })
 }
 
-fn plans(window: Duration) -> Vec<Vec<Plan>> {
+fn plans(window: Duration) -> Vec<Vec<PlannedMessage>> {
     let mut clients = vec![Vec::new(); 4];
     for number in 0..ARRIVALS.0 * ARRIVALS.1 {
         let (class, idempotency) = match number % 3 {
@@ -67,19 +68,19 @@
             ),
             _ => ("payout", Idempotency::NonIdempotent),
         };
-        clients[number as usize % 4].push(Plan {
+        clients[number as usize % 4].push(PlannedMessage {
             at: Duration::from_millis(number * 1000 / ARRIVALS.1),
             name: format!("m{number:04}"),
             tenant: "acme".into(),
             class,
             idempotency,
-            order: 0,
-            in_order: false,
+            ordering_key: 0,
+            is_ordered: false,
             non_idempotent_from: None,
             destination: 1 + (number / 3 % 3) as u16,
-            left: LEFT,
-            size: 100,
-            habit: Habit::Plain,
+            time_to_live_ms: LEFT,
+            body_bytes: 100,
+            behavior: ClientBehavior::Regular,
         });
     }
     clients
@@ -159,7 +160,7 @@
     for plans in plans(window) {
         let shifted = plans
             .into_iter()
-            .map(|plan| Plan {
+            .map(|plan| PlannedMessage {
                 at: plan.at + start,
                 ..plan
             })
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -12,7 +12,7 @@
 
 use crate::dice::Dice;
 use crate::history::Idempotency;
-use crate::peers::clients::{Habit, Plan};
+use crate::peers::clients::{ClientBehavior, PlannedMessage};
 
 /// Where the administration API listens.
 pub const ADMIN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8700);
@@ -142,7 +142,7 @@
     }
 
     /// Gives each message to its client's tenant, and adds those of the tenants that flood.
-    pub fn fill(&self, dice: &mut Dice, clients: &mut [Vec<Plan>], blocks: &[u16]) {
+    pub fn fill(&self, dice: &mut Dice, clients: &mut [Vec<PlannedMessage>], blocks: &[u16]) {
         for (client, plans) in clients.iter_mut().enumerate() {
             let tenant = &self.tenant_of(client).name;
             plans
@@ -166,19 +166,19 @@
                     0 => ("payout", Idempotency::NonIdempotent, 10_000),
                     _ => ("update", Idempotency::Idempotent, 6_000),
                 };
-                clients[client].push(Plan {
+                clients[client].push(PlannedMessage {
                     at: Duration::from_millis(dice.between(from, until)),
                     name: format!("f{number:04}"),
                     tenant: self.tenants[tenant].name.clone(),
                     class,
                     idempotency,
-                    order: 0,
-                    in_order: false,
+                    ordering_key: 0,
+                    is_ordered: false,
                     non_idempotent_from: None,
                     destination: block,
-                    left,
-                    size: dice.below(300) as usize,
-                    habit: Habit::Plain,
+                    time_to_live_ms: left,
+                    body_bytes: dice.below(300) as usize,
+                    behavior: ClientBehavior::Regular,
                 });
             }
         }
@@ -187,10 +187,10 @@
             for plan in clients
                 .iter_mut()
                 .flatten()
-                .filter(|plan| plan.habit == Habit::Plain)
+                .filter(|plan| plan.behavior == ClientBehavior::Regular)
             {
                 if dice.percent(2) {
-                    plan.habit = Habit::Impostor;
+                    plan.behavior = ClientBehavior::Impersonates;
                 }
             }
         }
--- a/crates/simulator/src/kept.rs
+++ b/crates/simulator/src/kept.rs
@@ -101,7 +101,7 @@
             .clients
             .iter_mut()
             .flatten()
-            .for_each(|plan| plan.in_order = false);
+            .for_each(|plan| plan.is_ordered = false);
         for plan in script.clients.iter_mut().flatten() {
             if dice.percent(50) {
                 (plan.class, plan.idempotency) = ("payout", Idempotency::NonIdempotent);
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -19,7 +19,7 @@
 
 use crate::checker::Checker;
 use crate::history::Limits;
-use crate::peers::clients::frame;
+use crate::peers::connection::frame;
 use crate::peers::discovery::{Discovery, Line};
 use crate::peers::{read_request, Stage};
 use crate::script::Script;
--- a/crates/simulator/src/operated.rs
+++ b/crates/simulator/src/operated.rs
@@ -8,7 +8,7 @@
 use crate::dice::Dice;
 use crate::faults;
 use crate::history::Idempotency;
-use crate::peers::clients::{Habit, Plan};
+use crate::peers::clients::{ClientBehavior, PlannedMessage};
 use crate::script::Script;
 
 /// The class that comes and goes.
@@ -129,7 +129,7 @@
         let blocks: Vec<u16> = script.limits.capacity.keys().copied().collect();
         let many = script.clients.len() as u64;
         for number in 0..RUSHES.0 {
-            let plan = Plan {
+            let plan = PlannedMessage {
                 at: Duration::from_millis(
                     dice.between(changes.rush.0 + IN_USE, changes.rush.1 - 100),
                 ),
@@ -137,13 +137,13 @@
                 tenant: "acme".into(),
                 class: RUSH,
                 idempotency: Idempotency::NonIdempotent,
-                order: 0,
-                in_order: false,
+                ordering_key: 0,
+                is_ordered: false,
                 non_idempotent_from: None,
                 destination: *dice.pick(&blocks),
-                left: RUSHES.1,
-                size: dice.below(200) as usize,
-                habit: Habit::Plain,
+                time_to_live_ms: RUSHES.1,
+                body_bytes: dice.below(200) as usize,
+                behavior: ClientBehavior::Regular,
             };
             script.clients[dice.below(many) as usize].push(plan);
         }
--- a/crates/simulator/src/peers/clients.rs
+++ b/crates/simulator/src/peers/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they hand messages in, come again after a refusal, and some of them misbehave.
+//! Clients: they submit messages, submit them again after a rejection, and some of them misbehave.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -7,140 +7,127 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use bytes::BytesMut;
 use runtime::{Runtime, Stream};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 
+use super::connection::{frame, Connection, RESPONSE_TIMEOUT};
 use super::Stage;
 use crate::history::{Idempotency, Observation, SubmittedRequest};
 
-/// A client waits so long for an answer.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// A message is handed in so often at most.
-const TRIES: u32 = 4;
+/// A message is submitted this often at most.
+const MAX_SUBMISSIONS: u32 = 4;
+/// A client submits a message again so soon after a connection failed in its use.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// A client submits a message again so soon after it could not connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// What a client makes of a `-BUSY` that says no wait, in milliseconds.
+const DEFAULT_BUSY_DELAY_MS: u64 = 200;
+/// A message with less time than this until its deadline is not submitted any more.
+const MIN_REMAINING_TIME: Duration = Duration::from_millis(20);
+/// What is malformed gets an error and a close within this.
+const MALFORMED_INPUT_TIMEOUT: Duration = Duration::from_secs(3);
+/// A client that stalls keeps its connection for this time ...
+const STALL_TIME: Duration = Duration::from_millis(700);
+/// ... and gives up within this.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a client does besides handing its message in.
+/// What a client does besides submitting its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Habit {
+pub enum ClientBehavior {
     /// Nothing.
-    Plain,
+    Regular,
     /// Sends the same request on another connection at once.
-    Resends,
-    /// Closes the connection once it has asked.
-    Vanishes,
-    /// Sends half a request and stalls; then asks on a new connection.
+    Duplicates,
+    /// Closes the connection once it has sent the request.
+    Disconnects,
+    /// Sends half a request and stalls; then sends it on a new connection.
     Stalls,
-    /// Sends something that can't be read first, and wants an error and a close.
-    Garbles,
-    /// Asks for another tenant than the one that it names itself as.
-    Impostor,
+    /// Sends something malformed first, and expects an error and a close.
+    SendsMalformed,
+    /// Submits for another tenant than the one that it authenticates as.
+    Impersonates,
 }
 
-/// A message that a client is to hand in.
+/// A message that a client is to submit.
 #[derive(Clone, Debug)]
-pub struct Plan {
-    /// When.
+pub struct PlannedMessage {
+    /// When it is submitted first.
     pub at: Duration,
-    /// Its name; each try adds its number.
+    /// Its name; each submission adds its number.
     pub name: String,
     /// Its tenant.
     pub tenant: String,
     /// Name of its class.
     pub class: &'static str,
-    /// Its class's repeat rule.
+    /// Whether its class may be executed more than once.
     pub idempotency: Idempotency,
-    /// Key of its order, 0 for none.
-    pub order: u64,
-    /// Its class keeps that order.
-    pub in_order: bool,
-    /// From then on its class may not be repeated.
+    /// Its ordering key, 0 for none.
+    pub ordering_key: u64,
+    /// Its class is ordered.
+    pub is_ordered: bool,
+    /// From then on its class must not be executed twice.
     pub non_idempotent_from: Option<Duration>,
     /// Its destination.
     pub destination: u16,
-    /// Milliseconds until its time is up.
-    pub left: u64,
-    /// Bytes of its body.
-    pub size: usize,
+    /// Milliseconds from its first submission to its deadline.
+    pub time_to_live_ms: u64,
+    /// Size of its body.
+    pub body_bytes: usize,
     /// What else its client does.
-    pub habit: Habit,
+    pub behavior: ClientBehavior,
 }
 
-/// A RESP2 array of bulk strings.
-#[must_use]
-pub fn frame(parts: &[&[u8]]) -> Vec<u8> {
-    let mut out = format!("*{}\r\n", parts.len()).into_bytes();
-    for part in parts {
-        out.extend(format!("${}\r\n", part.len()).bytes());
-        out.extend(*part);
-        out.extend(b"\r\n");
-    }
-    out
-}
-
-enum Heard {
-    Line(String),
-    /// The connection ended without an answer.
-    Ended,
-    Nothing,
-}
-
-pub(super) struct Connection<T> {
-    pub stream: T,
-    text: BytesMut,
-    used: bool,
+/// A message that is to be submitted, for the first time or again.
+struct Submission {
+    message: PlannedMessage,
+    /// Its number, from 0.
+    number: u32,
+    deadline: Duration,
 }
 
-impl<T: Stream> Connection<T> {
-    /// A new one.
-    pub async fn to<R: Runtime<Stream = T>>(stage: &Stage<R>, at: SocketAddr) -> io::Result<Self> {
-        let stream = stage.runtime.connect(at).await?;
-        Ok(Connection {
-            stream,
-            text: BytesMut::new(),
-            used: false,
-        })
+impl Submission {
+    /// The message's id: each submission has its own.
+    fn id(&self) -> String {
+        format!("{}.{}", self.message.name, self.number)
     }
+}
 
-    pub async fn line(&mut self) -> io::Result<Option<String>> {
-        loop {
-            if let Some(end) = self.text.iter().position(|byte| *byte == b'\n') {
-                let line = self.text.split_to(end + 1);
-                return Ok(Some(
-                    String::from_utf8_lossy(line.trim_ascii_end()).into_owned(),
-                ));
-            }
-            if self.stream.read_buf(&mut self.text).await? == 0 {
-                return Ok(None);
-            }
-        }
-    }
+/// How sending a request ended.
+enum Outcome {
+    /// It needs no further submission.
+    Done,
+    /// It is to be submitted again after this time.
+    RetryAfter(Duration),
+    /// The connection was closed before the request was read.
+    StaleConnection,
 }
 
-/// A client with its own connection and its own list of messages.
+/// A client with its own connection and its own messages.
 pub struct Client<R: Runtime> {
     stage: Stage<R>,
-    /// The relays that it knows, and the one that it uses now.
+    /// The relays that it knows.
     relays: Vec<SocketAddr>,
-    at: usize,
-    open: Option<Connection<R::Stream>>,
-    /// What is to be handed in, by when, with the number of the try and when its time is up.
-    plans: BTreeMap<(Duration, u64), (Plan, u32, Duration)>,
-    next: u64,
-    /// What it names itself with, if it has to: the tenant and its secret.
-    login: Option<(String, String)>,
-    /// The front has seen a relay say no: no new connection is opened.
-    shut: Rc<Cell<bool>>,
+    /// Index of the relay that it uses now.
+    current: usize,
+    connection: Option<Connection<R::Stream>>,
+    /// What is to be submitted, by its time and the number of its entry.
+    submissions: BTreeMap<(Duration, u64), Submission>,
+    next_entry: u64,
+    /// The tenant and the secret that it authenticates with, if it has to.
+    credentials: Option<(String, String)>,
+    /// The load balancer has seen that a relay takes no clients: no new connection is opened.
+    is_closed: Rc<Cell<bool>>,
 }
 
 impl<R: Runtime> Client<R> {
-    /// A client of the relays at some addresses, which begins with the one of a number. Where that does not answer
+    /// A client of the relays at some addresses, which begins with the one of a number. Where that does not reply
     /// it goes on with the next.
     pub fn new(
         stage: Stage<R>,
         relays: Vec<SocketAddr>,
         first: usize,
-        plans: Vec<Plan>,
-        login: Option<(String, String)>,
+        messages: Vec<PlannedMessage>,
+        credentials: Option<(String, String)>,
     ) -> Self {
         let stage = Stage {
             relay: first,
@@ -149,341 +136,340 @@
         let mut client = Client {
             stage,
             relays,
-            at: first,
-            open: None,
-            plans: BTreeMap::new(),
-            next: 0,
-            login,
-            shut: Rc::default(),
+            current: first,
+            connection: None,
+            submissions: BTreeMap::new(),
+            next_entry: 0,
+            credentials,
+            is_closed: Rc::default(),
         };
-        for plan in plans {
-            let due = plan.at + Duration::from_millis(plan.left);
-            client.add(plan.at, plan, 0, due);
+        for message in messages {
+            let submission = Submission {
+                number: 0,
+                deadline: message.at + Duration::from_millis(message.time_to_live_ms),
+                message,
+            };
+            client.schedule(submission.message.at, submission);
         }
         client
     }
 
-    /// The same behind a front, which sets what is given while no new connection is to be opened.
-    pub fn behind(self, shut: Rc<Cell<bool>>) -> Self {
-        Client { shut, ..self }
+    /// The same behind a load balancer, which sets what is given while no new connection is to be opened.
+    pub fn behind(self, is_closed: Rc<Cell<bool>>) -> Self {
+        Client { is_closed, ..self }
     }
 
     fn relay(&self) -> SocketAddr {
-        self.relays[self.at]
+        self.relays[self.current]
     }
 
-    /// The relay has not answered: the next one is asked from now on.
+    /// The relay has not replied: the next one is used from now on.
     fn fail_over(&mut self) {
-        self.open = None;
-        self.at = (self.at + 1) % self.relays.len();
-        self.stage.relay = self.at;
+        self.connection = None;
+        self.current = (self.current + 1) % self.relays.len();
+        self.stage.relay = self.current;
     }
 
-    fn add(&mut self, at: Duration, plan: Plan, tries: u32, due: Duration) {
-        self.next += 1;
-        self.plans.insert((at, self.next), (plan, tries, due));
+    fn schedule(&mut self, at: Duration, submission: Submission) {
+        self.next_entry += 1;
+        self.submissions.insert((at, self.next_entry), submission);
     }
 
-    /// Hands all in, each at its time.
+    /// Submits all messages, each at its time.
     pub async fn run(mut self) {
-        while let Some(((at, _), (plan, tries, due))) = self.plans.pop_first() {
+        while let Some(((at, _), submission)) = self.submissions.pop_first() {
             self.stage.runtime.sleep_until(self.stage.instant(at)).await;
-            // Only a request on a connection that is open goes past a front that is shut.
-            while self.shut.get() && (self.open.is_none() || plan.habit != Habit::Plain) {
-                self.open = None;
-                self.stage.runtime.sleep(Duration::from_millis(50)).await;
-            }
-            if self.stage.at() + Duration::from_millis(20) > due {
+            self.wait_until_open(&submission.message).await;
+            if self.stage.at() + MIN_REMAINING_TIME > submission.deadline {
                 continue;
             }
-            let id = format!("{}.{tries}", plan.name);
-            let after = self.hand_in(&plan, &id, tries, due).await;
-            if let Some(after) = after.filter(|_| tries + 1 < TRIES) {
-                self.add(self.stage.at() + after, plan, tries + 1, due);
+            let delay = self.submit(&submission).await;
+            if let Some(delay) = delay.filter(|_| submission.number + 1 < MAX_SUBMISSIONS) {
+                let next = Submission {
+                    number: submission.number + 1,
+                    ..submission
+                };
+                self.schedule(self.stage.at() + delay, next);
             }
         }
     }
 
+    /// Only a request on a connection that is open goes past a load balancer that opens none.
+    async fn wait_until_open(&mut self, message: &PlannedMessage) {
+        while self.is_closed.get()
+            && (self.connection.is_none() || message.behavior != ClientBehavior::Regular)
+        {
+            self.connection = None;
+            self.stage.runtime.sleep(RETRY_DELAY).await;
+        }
+    }
+
     async fn connect(&mut self) -> io::Result<()> {
-        if self.open.is_none() {
-            let stream = self
+        if self.connection.is_some() {
+            return Ok(());
+        }
+        let stream = self
+            .stage
+            .runtime
+            .timeout(RESPONSE_TIMEOUT, self.stage.runtime.connect(self.relay()))
+            .await??;
+        stream.set_nodelay()?;
+        let mut connection = Connection::new(stream);
+        if let Some((tenant, secret)) = &self.credentials {
+            let request = frame(&[b"AUTH", tenant.as_bytes(), secret.as_bytes()]);
+            connection.stream.write_all(&request).await?;
+            let reply = self
                 .stage
                 .runtime
-                .timeout(PATIENCE, self.stage.runtime.connect(self.relay()))
+                .timeout(RESPONSE_TIMEOUT, connection.line())
                 .await??;
-            stream.set_nodelay()?;
-            let mut open = Connection {
-                stream,
-                text: BytesMut::new(),
-                used: false,
-            };
-            if let Some((tenant, secret)) = &self.login {
-                open.stream
-                    .write_all(&frame(&[b"AUTH", tenant.as_bytes(), secret.as_bytes()]))
-                    .await?;
-                let line = self.stage.runtime.timeout(PATIENCE, open.line()).await??;
-                // One that is wrong now may be right on another connection.
-                if line.as_deref() != Some("+OK") {
-                    return Err(io::ErrorKind::PermissionDenied.into());
-                }
+            // One that is wrong now may be right on another connection.
+            if reply.as_deref() != Some("+OK") {
+                return Err(io::ErrorKind::PermissionDenied.into());
             }
-            self.open = Some(open);
         }
+        self.connection = Some(connection);
         Ok(())
     }
 
-    /// Hands a message in; tells after what time it is to be handed in again.
-    async fn hand_in(
-        &mut self,
-        plan: &Plan,
-        id: &str,
-        tries: u32,
-        due: Duration,
-    ) -> Option<Duration> {
-        let soon = Duration::from_millis(50);
-        match plan.habit {
-            Habit::Garbles if tries == 0 => self.garble().await,
-            Habit::Stalls if tries == 0 => {
-                let text = self.request(plan, id, tries, due);
-                self.stall(&text[..text.len() / 2]).await;
+    /// Submits a message; gives the time after which it is to be submitted again, if it is.
+    async fn submit(&mut self, submission: &Submission) -> Option<Duration> {
+        let behavior = submission.message.behavior;
+        match behavior {
+            ClientBehavior::SendsMalformed if submission.number == 0 => {
+                self.send_malformed().await;
+            }
+            ClientBehavior::Stalls if submission.number == 0 => {
+                let request = self.request(submission);
+                self.stall(&request[..request.len() / 2]).await;
             }
             _ => {}
         }
         // On a kept connection that was closed meanwhile the request was not read; it goes once more.
         for _ in 0..2 {
-            if self.open.is_none() && self.shut.get() {
-                return Some(soon);
-            }
-            if self.connect().await.is_err() {
-                self.fail_over();
-                return Some(Duration::from_millis(100));
+            match self.send(submission).await {
+                Outcome::Done => return None,
+                Outcome::RetryAfter(delay) => return Some(delay),
+                Outcome::StaleConnection => {}
             }
-            let text = self.request(plan, id, tries, due);
-            let Some(open) = &mut self.open else {
-                return Some(soon);
+        }
+        let id = submission.id();
+        self.stage.observe(&Observation::RequestAbandoned(&id));
+        Some(RETRY_DELAY)
+    }
+
+    /// Sends a request, on a new connection if there is none, and waits for the reply.
+    async fn send(&mut self, submission: &Submission) -> Outcome {
+        if self.connection.is_none() && self.is_closed.get() {
+            return Outcome::RetryAfter(RETRY_DELAY);
+        }
+        if self.connect().await.is_err() {
+            self.fail_over();
+            return Outcome::RetryAfter(RECONNECT_DELAY);
+        }
+        let id = submission.id();
+        let request = self.request(submission);
+        let Some(connection) = &mut self.connection else {
+            return Outcome::RetryAfter(RETRY_DELAY);
+        };
+        let was_used = std::mem::replace(&mut connection.used, true);
+        if connection.stream.write_all(&request).await.is_err() {
+            self.connection = None;
+            return if was_used {
+                Outcome::StaleConnection
+            } else {
+                Outcome::RetryAfter(RETRY_DELAY)
             };
-            let used = std::mem::replace(&mut open.used, true);
-            if open.stream.write_all(&text).await.is_err() {
-                self.open = None;
-                if used {
-                    continue;
-                }
-                return Some(soon);
-            }
-            self.report(plan, id, due);
-            if plan.habit == Habit::Vanishes {
-                self.open = None;
-                self.stage.observe(&Observation::RequestAbandoned(id));
-                return None;
+        }
+        self.report_sent(submission, &id);
+        match submission.message.behavior {
+            ClientBehavior::Disconnects => {
+                self.connection = None;
+                self.stage.observe(&Observation::RequestAbandoned(&id));
+                return Outcome::Done;
             }
-            if plan.habit == Habit::Resends {
-                let (stage, relay, text, id) = (
-                    self.stage.clone(),
-                    self.relay(),
-                    text.clone(),
-                    id.to_string(),
-                );
+            ClientBehavior::Duplicates => {
+                let duplicate =
+                    send_duplicate(self.stage.clone(), self.relay(), request, id.clone());
                 self.stage
                     .runtime
-                    .spawn(async move { drop(resend(stage, relay, text, id).await) });
+                    .spawn(async move { drop(duplicate.await) });
             }
-            let Some(open) = &mut self.open else {
-                return Some(soon);
-            };
-            let heard = match self.stage.runtime.timeout(PATIENCE, open.line()).await {
-                Ok(Ok(Some(line))) => Heard::Line(line),
-                Ok(_) => Heard::Ended,
-                Err(_) => Heard::Nothing,
-            };
-            match heard {
-                Heard::Line(line) => {
-                    self.stage
-                        .observe(&Observation::ReplyReceived { id, reply: &line });
-                    (self.stage.news)(format_args!("{id} is answered {line}"));
-                    let busy = line.strip_prefix("-BUSY")?;
-                    let after = busy.trim().parse().unwrap_or(200);
-                    return Some(Duration::from_millis(after));
-                }
-                Heard::Ended if used => self.open = None,
-                Heard::Ended | Heard::Nothing => {
-                    self.stage.observe(&Observation::RequestAbandoned(id));
-                    self.fail_over();
-                    return Some(soon);
-                }
+            _ => {}
+        }
+        self.receive(&id, was_used).await
+    }
+
+    /// Waits for the reply to a request that was sent.
+    async fn receive(&mut self, id: &str, was_used: bool) -> Outcome {
+        let Some(connection) = &mut self.connection else {
+            return Outcome::RetryAfter(RETRY_DELAY);
+        };
+        let received = self
+            .stage
+            .runtime
+            .timeout(RESPONSE_TIMEOUT, connection.line())
+            .await;
+        match received {
+            Ok(Ok(Some(reply))) => {
+                self.stage
+                    .observe(&Observation::ReplyReceived { id, reply: &reply });
+                (self.stage.news)(format_args!("{id} is answered {reply}"));
+                let Some(delay) = reply.strip_prefix("-BUSY") else {
+                    return Outcome::Done;
+                };
+                let delay_ms = delay.trim().parse().unwrap_or(DEFAULT_BUSY_DELAY_MS);
+                Outcome::RetryAfter(Duration::from_millis(delay_ms))
+            }
+            // The connection ended without a reply.
+            Ok(_) if was_used => {
+                self.connection = None;
+                Outcome::StaleConnection
+            }
+            Ok(_) | Err(_) => {
+                self.stage.observe(&Observation::RequestAbandoned(id));
+                self.fail_over();
+                Outcome::RetryAfter(RETRY_DELAY)
             }
         }
-        self.stage.observe(&Observation::RequestAbandoned(id));
-        Some(soon)
     }
 
-    fn request(&self, plan: &Plan, id: &str, tries: u32, due: Duration) -> Vec<u8> {
-        let left = due.saturating_sub(self.stage.at()).as_millis();
-        let key = self
-            .key(plan)
-            .map_or(String::new(), |key| format!("k={key},"));
-        let again = if tries > 0 { "r=1," } else { "" };
-        let tenant = self.tenant(plan);
-        let list = format!(
-            "c={},t={tenant},d={left},{key}{again}dest={}",
-            plan.class, plan.destination
+    fn request(&self, submission: &Submission) -> Vec<u8> {
+        let message = &submission.message;
+        let remaining = submission.deadline.saturating_sub(self.stage.at());
+        let key = idempotency_key(message).map_or(String::new(), |key| format!("k={key},"));
+        let again = if submission.number > 0 { "r=1," } else { "" };
+        let fields = format!(
+            "c={},t={},d={},{key}{again}dest={}",
+            message.class,
+            submitted_tenant(message),
+            remaining.as_millis(),
+            message.destination
         );
-        let order = format!("{:016x}", plan.order);
+        let ordering_key = format!("{:016x}", message.ordering_key);
         frame(&[
             b"ENQUEUE",
-            order.as_bytes(),
-            id.as_bytes(),
-            list.as_bytes(),
-            &body(plan),
+            ordering_key.as_bytes(),
+            submission.id().as_bytes(),
+            fields.as_bytes(),
+            &body(message),
         ])
     }
 
-    /// The tenant that a message is handed in for.
-    fn tenant(&self, plan: &Plan) -> String {
-        match plan.habit {
-            Habit::Impostor => format!("tenant-{}", u8::from(plan.tenant == "tenant-0")),
-            _ => plan.tenant.clone(),
-        }
-    }
-
-    fn key(&self, plan: &Plan) -> Option<String> {
-        matches!(plan.idempotency, Idempotency::Keyed { .. }).then(|| format!("k-{}", plan.name))
-    }
-
-    fn report(&self, plan: &Plan, id: &str, due: Duration) {
-        let hardened = plan
+    /// Reports a request whose last byte is sent.
+    fn report_sent(&self, submission: &Submission, id: &str) {
+        let message = &submission.message;
+        let is_non_idempotent = message
             .non_idempotent_from
             .is_some_and(|from| self.stage.at() >= from);
         let request = SubmittedRequest {
             id: id.into(),
-            class: plan.class.into(),
-            tenant: self.tenant(plan),
-            is_impersonated: plan.habit == Habit::Impostor,
-            idempotency: if hardened {
+            class: message.class.into(),
+            tenant: submitted_tenant(message),
+            is_impersonated: message.behavior == ClientBehavior::Impersonates,
+            idempotency: if is_non_idempotent {
                 Idempotency::NonIdempotent
             } else {
-                plan.idempotency
+                message.idempotency
             },
-            ordering_key: Some(plan.order).filter(|order| plan.in_order && *order > 0),
-            destination: plan.destination,
-            idempotency_key: self.key(plan),
-            body: body(plan),
-            deadline: due,
+            ordering_key: Some(message.ordering_key).filter(|key| message.is_ordered && *key > 0),
+            destination: message.destination,
+            idempotency_key: idempotency_key(message),
+            body: body(message),
+            deadline: submission.deadline,
         };
         self.stage.observe(&Observation::RequestSent(&request));
     }
 
-    /// Sends what can't be read and waits for an error and a close.
-    async fn garble(&mut self) {
-        let asked = async {
-            let mut stream = self.stage.runtime.connect(self.relay()).await?;
-            stream.write_all(b"*3\r\n$-7\r\nrubbish\r\n").await?;
-            let mut open = Connection {
-                stream,
-                text: BytesMut::new(),
-                used: true,
-            };
-            let line = open.line().await?;
-            Ok::<_, io::Error>((line, open.line().await?))
+    /// Sends something malformed and waits for an error and a close.
+    async fn send_malformed(&mut self) {
+        let exchange = async {
+            let mut connection = Connection::open(&self.stage, self.relay()).await?;
+            connection
+                .stream
+                .write_all(b"*3\r\n$-7\r\nrubbish\r\n")
+                .await?;
+            let reply = connection.line().await?;
+            Ok::<_, io::Error>((reply, connection.line().await?))
         };
-        let since = self.stage.at();
-        let heard = self
+        let sent_at = self.stage.at();
+        let received = self
             .stage
             .runtime
-            .timeout(Duration::from_secs(3), asked)
+            .timeout(MALFORMED_INPUT_TIMEOUT, exchange)
             .await;
-        let good = match heard {
-            Ok(Ok((Some(line), second))) => line.starts_with("-ERR") && second.is_none(),
+        let was_rejected = match received {
+            Ok(Ok((Some(reply), second))) => reply.starts_with("-ERR") && second.is_none(),
             // Closed or reset at once.
             Ok(_) => true,
             Err(_) => false,
         };
         self.stage.observe(&Observation::MalformedInputChecked {
-            sent_at: since,
-            was_rejected: good,
+            sent_at,
+            was_rejected,
         });
     }
 
-    /// Sends half a request and says no more.
+    /// Sends half a request and nothing more.
     async fn stall(&mut self, half: &[u8]) {
         let stalled = async {
             let mut stream = self.stage.runtime.connect(self.relay()).await?;
             stream.write_all(half).await?;
-            self.stage.runtime.sleep(Duration::from_millis(700)).await;
+            self.stage.runtime.sleep(STALL_TIME).await;
             Ok::<_, io::Error>(())
         };
-        let _ = self
-            .stage
-            .runtime
-            .timeout(Duration::from_secs(2), stalled)
-            .await;
+        let _ = self.stage.runtime.timeout(STALL_TIMEOUT, stalled).await;
     }
 }
 
-async fn resend<R: Runtime>(
+/// Sends a request once more, on a connection of its own.
+async fn send_duplicate<R: Runtime>(
     stage: Stage<R>,
     relay: SocketAddr,
-    text: Vec<u8>,
+    request: Vec<u8>,
     id: String,
 ) -> io::Result<()> {
     let stream = stage
         .runtime
-        .timeout(PATIENCE, stage.runtime.connect(relay))
+        .timeout(RESPONSE_TIMEOUT, stage.runtime.connect(relay))
         .await??;
-    let mut open = Connection {
-        stream,
-        text: BytesMut::new(),
-        used: false,
-    };
-    open.stream.write_all(&text).await?;
-    if let Some(line) = stage.runtime.timeout(PATIENCE, open.line()).await?? {
+    let mut connection = Connection::new(stream);
+    connection.stream.write_all(&request).await?;
+    let reply = stage
+        .runtime
+        .timeout(RESPONSE_TIMEOUT, connection.line())
+        .await??;
+    if let Some(reply) = reply {
         stage.observe(&Observation::ReplyReceived {
             id: &id,
-            reply: &line,
+            reply: &reply,
         });
     }
     Ok(())
 }
 
+/// The tenant that a message is submitted for.
+fn submitted_tenant(message: &PlannedMessage) -> String {
+    match message.behavior {
+        ClientBehavior::Impersonates => {
+            format!("tenant-{}", u8::from(message.tenant == "tenant-0"))
+        }
+        _ => message.tenant.clone(),
+    }
+}
+
+fn idempotency_key(message: &PlannedMessage) -> Option<String> {
+    let has_key = matches!(message.idempotency, Idempotency::Keyed { .. });
+    has_key.then(|| format!("k-{}", message.name))
+}
+
 /// A message's body, which names it.
-fn body(plan: &Plan) -> Vec<u8> {
-    let mut body = plan.name.clone().into_bytes();
-    let filler = plan
+fn body(message: &PlannedMessage) -> Vec<u8> {
+    let mut body = message.name.clone().into_bytes();
+    let filler = message
         .name
         .bytes()
         .fold(7u8, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte));
-    body.resize(plan.size.max(body.len()), filler);
+    body.resize(message.body_bytes.max(body.len()), filler);
     body
 }
-
-/// Asks with `PING` until the relay answers.
-pub async fn until_ready<R: Runtime>(stage: &Stage<R>, relay: SocketAddr) {
-    loop {
-        let asked = async {
-            let mut open = Connection::to(stage, relay).await?;
-            open.stream.write_all(&frame(&[b"PING"])).await?;
-            open.line().await
-        };
-        let answer = stage.runtime.timeout(PATIENCE, asked).await;
-        if matches!(answer, Ok(Ok(Some(line))) if line == "+PONG") {
-            return;
-        }
-        stage.runtime.sleep(Duration::from_millis(20)).await;
-    }
-}
-
-/// Ready once a process's door says that it takes clients.
-pub async fn until_yes<R: Runtime>(stage: &Stage<R>, door: SocketAddr) {
-    loop {
-        let asked = async {
-            let mut open = Connection::to(stage, door).await?;
-            open.stream.write_all(b"ready\n").await?;
-            let mut text = [0; 2];
-            open.stream.read_exact(&mut text).await?;
-            std::io::Result::Ok(&text == b"ok")
-        };
-        if matches!(stage.runtime.timeout(PATIENCE, asked).await, Ok(Ok(true))) {
-            return;
-        }
-        stage.runtime.sleep(Duration::from_millis(10)).await;
-    }
-}
--- a/crates/simulator/src/peers/mod.rs
+++ b/crates/simulator/src/peers/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod admins;
 pub mod clients;
+pub mod connection;
 pub mod discovery;
 pub mod host_behavior;
 pub mod hosts;
--- a/crates/simulator/src/peers/staff.rs
+++ b/crates/simulator/src/peers/staff.rs
@@ -9,7 +9,7 @@
 use runtime::Runtime;
 use tokio::io::AsyncWriteExt;
 
-use super::clients::{frame, Connection};
+use super::connection::{frame, Connection};
 use super::Stage;
 use crate::history::Observation;
 use crate::machine::ProcId;
@@ -38,7 +38,7 @@
     let mut no: Option<Duration> = None;
     loop {
         let asked = async {
-            let mut open = Connection::to(&stage, relay).await?;
+            let mut open = Connection::open(&stage, relay).await?;
             open.stream.write_all(&frame(&[b"PING"])).await?;
             open.line().await
         };
@@ -57,7 +57,7 @@
 pub async fn idle<R: Runtime>(stage: Stage<R>, relay: SocketAddr, shut: Rc<Cell<bool>>) {
     loop {
         let held = async {
-            let mut open = Connection::to(&stage, relay).await?;
+            let mut open = Connection::open(&stage, relay).await?;
             open.stream.write_all(&frame(&[b"PING"])).await?;
             while open.line().await?.is_some() {}
             io::Result::Ok(())
@@ -72,7 +72,7 @@
 
 /// One call at a door: the whole answer, none if the process ended it.
 async fn call<R: Runtime>(stage: &Stage<R>, door: SocketAddr, word: &str) -> io::Result<String> {
-    let mut open = Connection::to(stage, door).await?;
+    let mut open = Connection::open(stage, door).await?;
     open.stream
         .write_all(format!("{word}\n").as_bytes())
         .await?;
@@ -112,7 +112,7 @@
 /// Comes to the door again and again, and says nothing.
 pub async fn loiter<R: Runtime>(stage: Stage<R>, door: Door) {
     loop {
-        if let Ok(mut open) = Connection::to(&stage, door.get().1).await {
+        if let Ok(mut open) = Connection::open(&stage, door.get().1).await {
             let _ = open.line().await;
         }
         stage.runtime.sleep(BACK).await;
--- a/crates/simulator/src/script.rs
+++ b/crates/simulator/src/script.rs
@@ -11,7 +11,7 @@
 use crate::history::{Idempotency, Limits};
 use crate::hosted::Hosted;
 use crate::kept::Kept;
-use crate::peers::clients::{Habit, Plan};
+use crate::peers::clients::{ClientBehavior, PlannedMessage};
 use crate::vast::Vast;
 
 /// Clients hand messages in for this long, and at least so many of them.
@@ -52,7 +52,7 @@
     /// All hosts.
     pub hosts: Vec<HostPlan>,
     /// All messages, by client.
-    pub clients: Vec<Vec<Plan>>,
+    pub clients: Vec<Vec<PlannedMessage>>,
     /// What goes wrong, in the order of its beginnings.
     pub faults: Vec<Fault>,
     /// What relays are held to.
@@ -254,7 +254,7 @@
             };
             script.faults.extend(faults.iter().map(again));
             for (mine, plans) in script.clients.iter_mut().zip(&clients) {
-                mine.extend(plans.iter().map(|plan| Plan {
+                mine.extend(plans.iter().map(|plan| PlannedMessage {
                     at: plan.at + Duration::from_millis(later),
                     name: format!("{}x{time}", plan.name),
                     ..plan.clone()
@@ -333,7 +333,7 @@
     pub fn ends(&self) -> Duration {
         let plans = self.clients.iter().flatten();
         let last = plans
-            .map(|plan| plan.at + Duration::from_millis(plan.left))
+            .map(|plan| plan.at + Duration::from_millis(plan.time_to_live_ms))
             .max()
             .unwrap_or_default();
         last + self
@@ -395,8 +395,8 @@
     classes: &[Class],
     blocks: &[u16],
     faults: &[Fault],
-) -> Vec<Vec<Plan>> {
-    let mut clients: Vec<Vec<Plan>> = (0..CLIENTS).map(|_| Vec::new()).collect();
+) -> Vec<Vec<PlannedMessage>> {
+    let mut clients: Vec<Vec<PlannedMessage>> = (0..CLIENTS).map(|_| Vec::new()).collect();
     let bad = faults.iter().find_map(|fault| fault.trouble.bad_clients());
     let large = dice.percent(40);
     let mut number = 0;
@@ -405,12 +405,12 @@
         let class = dice.pick(classes);
         let habit = match bad {
             Some(share) if dice.percent(share) => *dice.pick(&[
-                Habit::Resends,
-                Habit::Vanishes,
-                Habit::Stalls,
-                Habit::Garbles,
+                ClientBehavior::Duplicates,
+                ClientBehavior::Disconnects,
+                ClientBehavior::Stalls,
+                ClientBehavior::SendsMalformed,
             ]),
-            _ => Habit::Plain,
+            _ => ClientBehavior::Regular,
         };
         // A relay gets all messages of a key, and a client sends those of one key one after another.
         let client = dice.below(CLIENTS);
@@ -424,23 +424,23 @@
         } else {
             dice.below(200)
         } as usize;
-        clients[client as usize].push(Plan {
+        clients[client as usize].push(PlannedMessage {
             at: Duration::from_millis(at),
             name: format!("m{number:04}"),
             tenant: "acme".into(),
             class: class.name,
             idempotency: class.idempotency,
-            order,
-            in_order: class.in_order,
+            ordering_key: order,
+            is_ordered: class.in_order,
             non_idempotent_from: None,
             destination: block,
-            left: if dice.percent(10) {
+            time_to_live_ms: if dice.percent(10) {
                 dice.between(200, 2_000)
             } else {
                 class.left
             },
-            size,
-            habit,
+            body_bytes: size,
+            behavior: habit,
         });
     };
     for count in 0..ARRIVALS.1 as u64 {
--- a/crates/simulator/src/upgrades.rs
+++ b/crates/simulator/src/upgrades.rs
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use crate::loopback::{ask, block_on, free_address, quick, request, Process, Quick};
-use crate::peers::clients::until_yes;
+use crate::peers::connection::until_takes_clients;
 
 /// Clients that hand messages in, each the next once the last is answered and a little time has passed.
 const CLIENTS: u64 = 16;
@@ -100,7 +100,7 @@
     let runtime = OsRuntime;
     let (mut process, door) = start()?;
     let ready = runtime
-        .timeout(Duration::from_secs(20), until_yes(&stage, door))
+        .timeout(Duration::from_secs(20), until_takes_clients(&stage, door))
         .await;
     ready.map_err(|_| format!("{} does not get ready", relay.display()))?;
     let (book, door, stop) = (
@@ -127,7 +127,10 @@
         book.borrow_mut().in_upgrade = true;
         let (mut new, new_door) = start()?;
         let ready = runtime
-            .timeout(Duration::from_secs(20), until_yes(&stage, new_door))
+            .timeout(
+                Duration::from_secs(20),
+                until_takes_clients(&stage, new_door),
+            )
             .await;
         ready.map_err(|_| format!("a new version does not get ready; it {}", new.told()))?;
         took.push(began.elapsed());
--- a/crates/simulator/src/vast.rs
+++ b/crates/simulator/src/vast.rs
@@ -8,7 +8,7 @@
 use crate::faults;
 use crate::history::{Idempotency, Limits};
 use crate::invariants::Violation;
-use crate::peers::clients::{Habit, Plan};
+use crate::peers::clients::{ClientBehavior, PlannedMessage};
 use crate::script::{HostPlan, Script};
 
 /// Relays of a day, where no other number is asked for.
@@ -188,8 +188,8 @@
     limits: &Limits,
     classes: &[(&'static str, Idempotency)],
     relays: usize,
-) -> Vec<Vec<Plan>> {
-    let mut clients: Vec<Vec<Plan>> = (0..relays).map(|_| Vec::new()).collect();
+) -> Vec<Vec<PlannedMessage>> {
+    let mut clients: Vec<Vec<PlannedMessage>> = (0..relays).map(|_| Vec::new()).collect();
     let mut number = 0;
     for (block, capacity) in &limits.capacity {
         let part = dice.between(65, 95);
@@ -204,19 +204,19 @@
             };
             let (class, idempotency) = *dice.pick(classes);
             let left = TIMES.1.as_millis() as u64;
-            clients[dice.below(relays as u64) as usize].push(Plan {
+            clients[dice.below(relays as u64) as usize].push(PlannedMessage {
                 at: Duration::from_millis(at),
                 name: format!("m{number:05}"),
                 tenant: "acme".into(),
                 class,
                 idempotency,
-                order: 0,
-                in_order: false,
+                ordering_key: 0,
+                is_ordered: false,
                 non_idempotent_from: None,
                 destination: *block,
-                left,
-                size: 60,
-                habit: Habit::Plain,
+                time_to_live_ms: left,
+                body_bytes: 60,
+                behavior: ClientBehavior::Regular,
             });
         }
     }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -22,7 +22,8 @@
 use crate::machine::{AddressFault, Lie, Machine, ProcId, SimulatedRuntime, CONFIG};
 use crate::operated;
 use crate::peers::admins::{Admin, Rogue};
-use crate::peers::clients::{until_ready, until_yes, Client};
+use crate::peers::clients::Client;
+use crate::peers::connection::{until_ready, until_takes_clients};
 use crate::peers::discovery::{Discovery, Gate, Line};
 use crate::peers::host_behavior::HostBehavior;
 use crate::peers::hosts::Host;
@@ -869,7 +870,7 @@
         let stage = self.of(relay);
         stage.observe(&Observation::UpgradeStarted([old, new]));
         self.stage.runtime.spawn(async move {
-            until_yes(&stage, door_address(new)).await;
+            until_takes_clients(&stage, door_address(new)).await;
             yes.set(Some(stage.at()));
         });
     }
