--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -40,38 +40,38 @@
 
 /// What an administrator does.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
-    /// Looks.
-    Look,
-    /// Sets parts of the specification, as JSON.
-    Set(String),
+pub enum AdminAction {
+    /// Reads it.
+    Read,
+    /// Updates parts of the specification, as JSON.
+    Update(String),
     /// Pauses.
     Pause,
     /// Resumes.
     Resume,
-    /// Removes; `refuse` ends at once what is held.
+    /// Removes it.
     Remove {
-        /// End at once what is held.
-        refuse: bool,
+        /// Reject its queued messages at once instead of finishing them.
+        reject_queued: bool,
     },
-    /// Makes anew, with a weight.
+    /// Creates it anew, with a weight.
     Create(u32),
-    /// Sends what can't be read, of a kind.
-    Rubbish(u64),
+    /// Sends something malformed, of a kind.
+    SendMalformed(u64),
 }
 
 /// Something that an administrator is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Errand {
+pub struct AdminTask {
     /// When.
     pub at: Duration,
     /// Number of the tenant.
     pub tenant: usize,
     /// What.
-    pub deed: Deed,
-    /// Meant for a state that is past, or may be.
-    pub stale: bool,
-    /// Asked again with the same key where no answer came.
+    pub action: AdminAction,
+    /// The version that it names is past, or may be.
+    pub uses_stale_version: bool,
+    /// It is sent again with the same idempotency key where no response came.
     pub insists: bool,
 }
 
@@ -83,7 +83,7 @@
     /// The tenants.
     pub tenants: Vec<TenantPlan>,
     /// What administrators do, each by itself.
-    pub admins: Vec<Vec<Errand>>,
+    pub admins: Vec<Vec<AdminTask>>,
 }
 
 impl Hosted {
@@ -101,9 +101,9 @@
         let admins = (0..ADMINS)
             .map(|_| {
                 let many = if busy { dice.between(3, 14) } else { 0 };
-                let mut errands: Vec<Errand> = (0..many).flat_map(|_| errand(dice)).collect();
-                errands.sort_by_key(|errand| errand.at);
-                errands
+                let mut tasks: Vec<AdminTask> = (0..many).flat_map(|_| draw_tasks(dice)).collect();
+                tasks.sort_by_key(|task| task.at);
+                tasks
             })
             .collect();
         Hosted {
@@ -238,24 +238,27 @@
     record::snapshot(&registry, 0)
 }
 
-/// An errand, or two that belong together: what is paused or removed comes back, so that the day goes on.
-fn errand(dice: &mut Dice) -> Vec<Errand> {
+/// A task, or two that belong together: what is paused or removed comes back, so that the day goes on.
+fn draw_tasks(dice: &mut Dice) -> Vec<AdminTask> {
     let at = dice.between(AT_WORK.0, AT_WORK.1);
     let tenant = dice.below(TENANTS) as usize;
-    let (stale, insists) = (dice.percent(15), dice.percent(50));
-    let one = |at: u64, deed| Errand {
+    let (uses_stale_version, insists) = (dice.percent(15), dice.percent(50));
+    let one = |at: u64, action| AdminTask {
         at: Duration::from_millis(at),
         tenant,
-        deed,
-        stale,
+        action,
+        uses_stale_version,
         insists,
     };
     let later = |dice: &mut Dice| at + dice.between(50, 3_000);
     match dice.below(20) {
-        0..=3 => vec![one(at, Deed::Look)],
+        0..=3 => vec![one(at, AdminAction::Read)],
         4..=7 => {
             let weight = *dice.pick(&[30, 100, 300, 1000]);
-            vec![one(at, Deed::Set(format!("{{\"weight\":{weight}}}")))]
+            vec![one(
+                at,
+                AdminAction::Update(format!("{{\"weight\":{weight}}}")),
+            )]
         }
         8 => {
             let set = *dice.pick(&[
@@ -265,18 +268,24 @@
             ]);
             let clear = "{\"max_held\":null,\"max_in_flight\":null,\"rate\":null}";
             vec![
-                one(at, Deed::Set(format!("{{{set}}}"))),
-                one(later(dice), Deed::Set(clear.into())),
+                one(at, AdminAction::Update(format!("{{{set}}}"))),
+                one(later(dice), AdminAction::Update(clear.into())),
             ]
         }
-        9..=12 => vec![one(at, Deed::Pause), one(later(dice), Deed::Resume)],
+        9..=12 => vec![
+            one(at, AdminAction::Pause),
+            one(later(dice), AdminAction::Resume),
+        ],
         13..=17 => {
-            let refuse = dice.percent(50);
+            let reject_queued = dice.percent(50);
             vec![
-                one(at, Deed::Remove { refuse }),
-                one(later(dice), Deed::Create(*dice.pick(&[50, 100, 200]))),
+                one(at, AdminAction::Remove { reject_queued }),
+                one(
+                    later(dice),
+                    AdminAction::Create(*dice.pick(&[50, 100, 200])),
+                ),
             ]
         }
-        _ => vec![one(at, Deed::Rubbish(dice.below(4)))],
+        _ => vec![one(at, AdminAction::SendMalformed(dice.below(4)))],
     }
 }
--- a/crates/simulator/src/peers/mod.rs
+++ b/crates/simulator/src/peers/mod.rs
@@ -1,6 +1,7 @@
 //! Those that a relay talks to: clients, hosts, discovery. The same code plays them on a virtual machine and,
 //! for the demo, on loopback sockets; they report what passes to the checker.
 
+mod admin_api;
 pub mod admins;
 pub mod clients;
 pub mod connection;
--- a/crates/simulator/src/peers/operators.rs
+++ b/crates/simulator/src/peers/operators.rs
@@ -1,5 +1,5 @@
-//! Operators of undeliverable messages: two who know nothing of each other look through what was given up, ask
-//! partners, attest, claim and send again, one by one and in batches.
+//! Operators of undeliverable messages: two who know nothing of each other read the records, query partners, attest,
+//! claim and resend, one by one and in batches.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,87 +8,107 @@
 use runtime::Runtime;
 use serde_json::Value;
 
-use super::admins::{request, Rogue};
+use super::admin_api::{ApiRequest, Body};
+use super::admins::MisbehavingAdmin;
 use super::ledger::Ledger;
 use super::Stage;
 use crate::dice::Dice;
 use crate::history::Observation;
 use crate::kept;
 
-/// Records that an operator looks at in one go.
-const PAGE: usize = 20;
-/// What is not answered is asked again after this, so often at most.
-const AGAIN: (Duration, u32) = (Duration::from_millis(400), 5);
+/// Records that an operator reads in one request.
+const PAGE_SIZE: usize = 20;
+/// A request without a response is sent again after this.
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// A change is requested this often at most.
+const MAX_ATTEMPTS: u32 = 5;
+/// The response of a relay that could not save a change, which may be requested again.
+const SERVICE_UNAVAILABLE: u16 = 503;
 
 /// An operator.
 pub struct Operator<R> {
     /// The stage.
     pub stage: Stage<R>,
-    /// Which of them.
+    /// Which of the operators.
     pub number: usize,
-    /// What took effect, which operators find out by other ways than the relay.
+    /// What took effect, which operators find out by other means than the relay.
     pub ledger: Ledger,
-    /// Draws what is done.
+    /// Draws what the operator does.
     pub dice: Dice,
-    /// At work until then; the first of them then looks at all records.
+    /// The operator works until then; the first of them then reads all records.
     pub until: Duration,
-    /// Deceives the relay or the checker.
-    pub rogue: Option<Rogue>,
-    /// Told just before a change is sent, so that a fault may strike within it.
-    pub strikes: Rc<dyn Fn()>,
-    /// Set once all records were looked at.
-    pub done: Rc<Cell<bool>>,
+    /// How the operator deceives the relay or the checker.
+    pub misbehavior: Option<MisbehavingAdmin>,
+    /// Called just before a change is sent, so that a fault may strike within it.
+    pub before_change: Rc<dyn Fn()>,
+    /// Set once all records were read.
+    pub all_read: Rc<Cell<bool>>,
 }
 
 impl<R: Runtime> Operator<R> {
-    /// Works until its time is over.
+    /// Works until the time is over, and then reads all records.
     pub async fn run(mut self) {
-        let rest = self.dice.between(1_000, 3_000);
-        self.stage.runtime.sleep(Duration::from_millis(rest)).await;
+        let pause_ms = self.dice.between(1_000, 3_000);
+        self.stage
+            .runtime
+            .sleep(Duration::from_millis(pause_ms))
+            .await;
         while self.stage.at() < self.until {
             self.work().await;
-            let rest = self.dice.between(100, 900);
-            self.stage.runtime.sleep(Duration::from_millis(rest)).await;
+            let pause_ms = self.dice.between(100, 900);
+            self.stage
+                .runtime
+                .sleep(Duration::from_millis(pause_ms))
+                .await;
         }
-        while self.number == 0 && !self.done.get() {
-            if self.look_at_all().await.is_none() {
-                self.stage.runtime.sleep(AGAIN.0).await;
+        while self.number == 0 && !self.all_read.get() {
+            if self.read_all().await.is_none() {
+                self.stage.runtime.sleep(RETRY_INTERVAL).await;
             }
         }
     }
 
-    async fn ask(
+    async fn send(
         &self,
         method: &str,
         path: &str,
         headers: &str,
         body: Option<String>,
     ) -> Option<(u16, Value)> {
-        let body = body.map(|body| ("application/json", body));
-        let token = kept::operator(self.number);
-        let asked = request(&self.stage, &token, method, path, headers, body.as_ref()).await;
-        asked.ok().map(|answer| (answer.status, answer.body))
+        let body = body.map(|text| Body {
+            content_type: "application/json",
+            text,
+        });
+        let request = ApiRequest {
+            token: &kept::operator(self.number),
+            method,
+            path,
+            headers,
+            body: body.as_ref(),
+        };
+        let response = request.send(&self.stage).await.ok()?;
+        Some((response.status, response.body))
     }
 
-    /// A change, asked again where no answer came.
+    /// Requests a change, again where no response came.
     async fn change(&self, path: &str, headers: &str, body: Option<String>) {
-        (self.strikes)();
-        for _ in 0..AGAIN.1 {
-            let told = self.ask("POST", path, headers, body.clone()).await;
+        (self.before_change)();
+        for _ in 0..MAX_ATTEMPTS {
+            let response = self.send("POST", path, headers, body.clone()).await;
             (self.stage.news)(format_args!(
                 "POST {path}: {:?}",
-                told.as_ref().map(|(status, _)| status)
+                response.as_ref().map(|(status, _)| status)
             ));
-            if told.is_some_and(|(status, _)| status != 503) {
+            if response.is_some_and(|(status, _)| status != SERVICE_UNAVAILABLE) {
                 return;
             }
-            self.stage.runtime.sleep(AGAIN.0).await;
+            self.stage.runtime.sleep(RETRY_INTERVAL).await;
         }
     }
 
     async fn work(&mut self) {
         if self.dice.percent(12) {
-            return self.batch().await;
+            return self.run_batch().await;
         }
         let filter = *self.dice.pick(&[
             "",
@@ -96,46 +116,47 @@
             "&may_have_run=false",
             "&class=payout",
         ]);
-        let path = format!("/v1/undeliverable?state=open&limit={PAGE}{filter}");
-        let Some((200, page)) = self.ask("GET", &path, "", None).await else {
+        let path = format!("/v1/undeliverable?state=open&limit={PAGE_SIZE}{filter}");
+        let Some((200, page)) = self.send("GET", &path, "", None).await else {
             return;
         };
         let records = page["items"].as_array().cloned().unwrap_or_default();
         for record in records {
             if self.dice.percent(60) {
-                self.act(&record).await;
+                self.handle(&record).await;
             }
         }
     }
 
-    async fn act(&mut self, record: &Value) {
+    async fn handle(&mut self, record: &Value) {
         let (Some(id), Some(version)) = (record["id"].as_u64(), record["version"].as_u64()) else {
             return;
         };
-        let path = |act: &str| format!("/v1/undeliverable/{id}/{act}");
-        let seen = format!("If-Match: \"{version}\"\r\n");
-        let any = if self.dice.percent(20) {
+        let path = |action: &str| format!("/v1/undeliverable/{id}/{action}");
+        let read_version = format!("If-Match: \"{version}\"\r\n");
+        let version = if self.dice.percent(20) {
             "If-Match: *\r\n"
         } else {
-            &seen
+            &read_version
         };
         match self.dice.below(20) {
-            0..=7 => self.change(&path("resend"), any, None).await,
-            8..=12 => self.change(&path("ask"), any, None).await,
-            13 => self.change(&path("claim"), any, None).await,
-            14 => self.change(&path("release"), any, None).await,
-            15 if self.dice.percent(20) => self.change(&path("discard"), any, None).await,
+            0..=7 => self.change(&path("resend"), version, None).await,
+            8..=12 => self.change(&path("ask"), version, None).await,
+            13 => self.change(&path("claim"), version, None).await,
+            14 => self.change(&path("release"), version, None).await,
+            15 if self.dice.percent(20) => self.change(&path("discard"), version, None).await,
             _ => {
-                let applied = self.ledger.knows(record["message"].as_str().unwrap_or(""));
-                let says = if applied && self.rogue != Some(Rogue::Perjures) {
-                    "applied"
-                } else {
-                    "not-applied"
-                };
-                // What is attested is what was found out of the record as it was seen.
+                let has_effect = self.ledger.knows(record["message"].as_str().unwrap_or(""));
+                let says =
+                    if has_effect && self.misbehavior != Some(MisbehavingAdmin::AttestsFalsely) {
+                        "applied"
+                    } else {
+                        "not-applied"
+                    };
+                // What is attested was found out of the record as it was read.
                 self.change(
                     &path("attest"),
-                    &seen,
+                    &read_version,
                     Some(format!("{{\"says\":\"{says}\"}}")),
                 )
                 .await;
@@ -143,11 +164,11 @@
         }
     }
 
-    async fn batch(&mut self) {
+    async fn run_batch(&mut self) {
         let name = format!("{}-{}", self.number, self.dice.below(1_000_000));
-        let (rate, at_once) = (self.dice.between(5, 50), self.dice.between(1, 6));
+        let (per_second, at_once) = (self.dice.between(5, 50), self.dice.between(1, 6));
         let spec = format!(
-            "{{\"name\":\"{name}\",\"per_second\":{rate}.0,\"at_once\":{at_once},\"stop_after\":10}}"
+            "{{\"name\":\"{name}\",\"per_second\":{per_second}.0,\"at_once\":{at_once},\"stop_after\":10}}"
         );
         let path = "/v1/undeliverable-batches";
         self.change(path, "", Some(spec)).await;
@@ -159,12 +180,12 @@
         }
     }
 
-    /// Looks at every record, and tells the checker. None if not all could be seen.
-    async fn look_at_all(&mut self) -> Option<()> {
+    /// Reads every record and reports it. None if not all could be read.
+    async fn read_all(&mut self) -> Option<()> {
         let (mut all, mut cursor) = (Vec::new(), String::new());
         loop {
             let path = format!("/v1/undeliverable?limit=100{cursor}");
-            let (200, page) = self.ask("GET", &path, "", None).await? else {
+            let (200, page) = self.send("GET", &path, "", None).await? else {
                 return None;
             };
             for record in page["items"].as_array()? {
@@ -178,7 +199,7 @@
             };
             cursor = format!("&cursor={next}");
         }
-        if self.rogue == Some(Rogue::Forgets) {
+        if self.misbehavior == Some(MisbehavingAdmin::OmitsRecord) {
             all.pop();
         }
         all.iter().for_each(|(id, state)| {
@@ -187,7 +208,7 @@
         });
         self.stage
             .observe(&Observation::AllUndeliverableRecordsRead);
-        self.done.set(true);
+        self.all_read.set(true);
         Some(())
     }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -21,7 +21,7 @@
 use crate::kept;
 use crate::machine::{AddressFault, Lie, Machine, ProcId, SimulatedRuntime, CONFIG};
 use crate::operated;
-use crate::peers::admins::{Admin, Rogue};
+use crate::peers::admins::{Admin, MisbehavingAdmin};
 use crate::peers::clients::Client;
 use crate::peers::connection::{until_ready, until_takes_clients};
 use crate::peers::discovery::{Discovery, Gate, Line};
@@ -62,7 +62,7 @@
     /// Change the configuration that the relay reads, for the same end.
     pub misconfigure: Option<fn(&mut serde_json::Value)>,
     /// Let administrators deceive the checker, for the same end.
-    pub rogue: Option<Rogue>,
+    pub misbehaving_admin: Option<MisbehavingAdmin>,
 }
 
 /// On a day with several relays the clocks of their machines are less than this ahead of the world's, in milliseconds.
@@ -444,9 +444,9 @@
                 ledger: ledger.clone(),
                 dice: Dice::new(self.script.seed, 10 + number as u64),
                 until: self.script.ends().max(Duration::from_secs(15)) - Duration::from_secs(1),
-                rogue: self.options.rogue,
-                strikes: self.strikes(),
-                done: self.shown.clone(),
+                misbehavior: self.options.misbehaving_admin,
+                before_change: self.strikes(),
+                all_read: self.shown.clone(),
             };
             self.stage.runtime.spawn(operator.run());
         }
@@ -457,7 +457,7 @@
         let Some(hosted) = &self.script.hosted else {
             return;
         };
-        for (number, errands) in self
+        for (number, tasks) in self
             .script
             .hosted
             .iter()
@@ -465,9 +465,16 @@
             .enumerate()
         {
             let strikes = self.strikes();
-            let (tenants, errands) = (hosted.tenants.clone(), errands.clone());
-            let (stage, rogue) = (self.stage.clone(), self.options.rogue);
-            let admin = Admin::new(stage, number as u64 + 1, tenants, errands, rogue, strikes);
+            let (tenants, tasks) = (hosted.tenants.clone(), tasks.clone());
+            let (stage, misbehavior) = (self.stage.clone(), self.options.misbehaving_admin);
+            let admin = Admin::new(
+                stage,
+                number as u64 + 1,
+                tenants,
+                tasks,
+                misbehavior,
+                strikes,
+            );
             self.stage.runtime.spawn(admin.run());
         }
     }
--- a/crates/simulator/tests/hosted.rs
+++ b/crates/simulator/tests/hosted.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use simulator::machine::Lie;
-use simulator::peers::admins::Rogue;
+use simulator::peers::admins::MisbehavingAdmin;
 use simulator::script::{Days, Script};
 use simulator::world::{play, Options};
 
@@ -52,7 +52,7 @@
         "admission",
         200,
         Options {
-            rogue: Some(Rogue::Resumes),
+            misbehaving_admin: Some(MisbehavingAdmin::ResumesSecretly),
             ..Options::default()
         },
         |_| {},
@@ -65,7 +65,7 @@
         "abandoned",
         200,
         Options {
-            rogue: Some(Rogue::Finishes),
+            misbehaving_admin: Some(MisbehavingAdmin::FinishesSecretly),
             ..Options::default()
         },
         |_| {},
@@ -78,7 +78,7 @@
         "below its share",
         400,
         Options {
-            rogue: Some(Rogue::Weights),
+            misbehaving_admin: Some(MisbehavingAdmin::ReportsOtherWeights),
             ..Options::default()
         },
         |_| {},
--- a/crates/simulator/tests/kept.rs
+++ b/crates/simulator/tests/kept.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use simulator::peers::admins::Rogue;
+use simulator::peers::admins::MisbehavingAdmin;
 use simulator::script::{Days, Script};
 use simulator::world::{play, Options};
 
@@ -44,9 +44,9 @@
     support::same_again(Days::Kept, 0..4);
 }
 
-fn caught(rule: &str, rogue: Rogue) {
+fn caught(rule: &str, misbehaving_admin: MisbehavingAdmin) {
     let options = Options {
-        rogue: Some(rogue),
+        misbehaving_admin: Some(misbehaving_admin),
         ..Options::default()
     };
     support::seeds_until(Days::Kept, rule, 0..100, options, |_| {});
@@ -54,10 +54,10 @@
 
 #[test]
 fn operators_who_attest_what_is_not_so_make_a_second_effect() {
-    caught("applied once", Rogue::Perjures);
+    caught("applied once", MisbehavingAdmin::AttestsFalsely);
 }
 
 #[test]
 fn a_record_that_is_missing_is_noticed() {
-    caught("accounted for", Rogue::Forgets);
+    caught("accounted for", MisbehavingAdmin::OmitsRecord);
 }
