--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -11,7 +11,7 @@
 use crate::loopback::{block_on, configuration, free_address, stage, Process};
 use crate::peers::clients::{Client, ClientBehavior, PlannedMessage};
 use crate::peers::connection::until_ready;
-use crate::peers::discovery::{Discovery, Line};
+use crate::peers::discovery::{Discovery, HostEntry};
 use crate::peers::host_behavior::HostBehavior;
 use crate::peers::hosts::Host;
 
@@ -104,13 +104,13 @@
     for block in 1..=3 {
         let address = free_address()?;
         let name = format!("partner-{block}");
-        lines.push(Line {
+        lines.push(HostEntry {
             host: name.clone(),
-            dial: address,
-            site: "a".into(),
-            block,
+            address: address,
+            zone: "a".into(),
+            destination: block,
             health: "up",
-            share: 60,
+            calls_per_second: 60,
         });
         hosts.push(Host::new(
             &name,
@@ -122,7 +122,13 @@
         ));
     }
     let discovery = Discovery::new(lines);
-    let (config, limits) = configuration(relay, discovery_at, &state, &discovery.whole(), LEFT);
+    let (config, limits) = configuration(
+        relay,
+        discovery_at,
+        &state,
+        &discovery.full_snapshot(),
+        LEFT,
+    );
     std::fs::write(&file, config.to_string())
         .map_err(|e| format!("cannot write the configuration: {e}"))?;
 
--- a/crates/simulator/src/faults/listing.rs
+++ b/crates/simulator/src/faults/listing.rs
@@ -44,11 +44,14 @@
 
 impl Trouble for ListLags {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.discovery().lag.set(Duration::from_millis(self.0));
+        scene
+            .discovery()
+            .publication_delay
+            .set(Duration::from_millis(self.0));
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.discovery().lag.set(Duration::ZERO);
+        scene.discovery().publication_delay.set(Duration::ZERO);
     }
 }
 
--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -20,7 +20,7 @@
 use crate::checker::Checker;
 use crate::history::Limits;
 use crate::peers::connection::frame;
-use crate::peers::discovery::{Discovery, Line};
+use crate::peers::discovery::{Discovery, HostEntry};
 use crate::peers::{read_request, Stage};
 use crate::script::Script;
 
@@ -185,17 +185,23 @@
     for block in 1..=partners {
         let (host, dial) = (format!("partner-{block}"), free_address()?);
         addresses.push(dial);
-        lines.push(Line {
+        lines.push(HostEntry {
             host,
-            dial,
-            site: "a".into(),
-            block,
+            address: dial,
+            zone: "a".into(),
+            destination: block,
             health: "up",
-            share: 10_000,
+            calls_per_second: 10_000,
         });
     }
     let discovery = Discovery::new(lines);
-    let (config, limits) = configuration(listen, discovery_at, &state, &discovery.whole(), left);
+    let (config, limits) = configuration(
+        listen,
+        discovery_at,
+        &state,
+        &discovery.full_snapshot(),
+        left,
+    );
     std::fs::write(&file, config.to_string()).map_err(|e| format!("cannot write: {e}"))?;
     let stage = stage(limits);
     for address in addresses {
--- a/crates/simulator/src/peers/discovery.rs
+++ b/crates/simulator/src/peers/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery, and the platform that takes notices.
+//! Discovery: each relay's agent with its list of hosts, its polls and watches, and the endpoint for notices.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,129 +16,150 @@
 use super::{read_request, until_closed, Stage};
 use crate::history::Observation;
 
-/// An empty line comes so often.
-const BEAT: Duration = Duration::from_secs(2);
-
-/// A call that would wait longer is turned away.
-const OVERBOOKED: Duration = Duration::from_secs(2);
+/// A watch without changes gets an empty line after this.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// A poll that would wait longer is rejected.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
+/// Discovery that moves away ends its open connections after this.
+const CLOSE_DELAY: Duration = Duration::from_millis(1500);
 
 /// An entry of the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct HostEntry {
     /// The host's id.
     pub host: String,
     /// Where it takes connections.
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     /// Its zone.
-    pub site: String,
+    pub zone: String,
     /// Its destination.
-    pub block: u16,
+    pub destination: u16,
     /// `up`, `draining` or `removed`.
     pub health: &'static str,
     /// Calls a second that its route takes.
-    pub share: u32,
+    pub calls_per_second: u32,
 }
 
-impl Line {
+impl HostEntry {
     /// The entry as discovery writes it.
     #[must_use]
     pub fn json(&self) -> Value {
-        json!({"host": self.host, "dial": self.dial, "site": self.site, "class": "partner",
-            "block": self.block, "health": self.health, "share": f64::from(self.share), "born_ms": 0})
+        json!({"host": self.host, "dial": self.address, "site": self.zone, "class": "partner",
+            "block": self.destination, "health": self.health, "share": f64::from(self.calls_per_second), "born_ms": 0})
     }
 }
 
-/// What the agents of all relays share: it answers one call for a list after the other.
-pub struct Gate {
-    /// What each call takes.
-    pub each: Duration,
-    busy: Cell<Duration>,
+/// A queue that the agents of all relays share: discovery responds to one poll after the other.
+pub struct PollQueue {
+    /// What each poll takes.
+    time_per_poll: Duration,
+    busy_until: Cell<Duration>,
 }
 
-impl Gate {
-    /// One that takes so long for each call.
+impl PollQueue {
+    /// A queue in which each poll takes this time.
     #[must_use]
-    pub fn new(each: Duration) -> Rc<Self> {
-        Rc::new(Gate {
-            each,
-            busy: Cell::default(),
+    pub fn new(time_per_poll: Duration) -> Rc<Self> {
+        Rc::new(PollQueue {
+            time_per_poll,
+            busy_until: Cell::default(),
         })
     }
 
-    /// How long a call that comes now waits for its answer; none if that would be too long.
-    fn take(&self, at: Duration) -> Option<Duration> {
-        let done = self.busy.get().max(at) + self.each;
-        if done > at + OVERBOOKED {
+    /// How long a poll that comes now waits for its response; none if that would be too long.
+    fn admit(&self, at: Duration) -> Option<Duration> {
+        let done = self.busy_until.get().max(at) + self.time_per_poll;
+        if done > at + MAX_POLL_WAIT {
             return None;
         }
-        self.busy.set(done);
+        self.busy_until.set(done);
         Some(done - at)
     }
 }
 
+/// A change of the list.
+#[derive(Clone)]
+struct Change {
+    version: u64,
+    /// When it may be sent.
+    published_at: Duration,
+    entry: HostEntry,
+}
+
 /// Discovery.
 #[derive(Default)]
 pub struct Discovery {
     /// The list as it is.
-    lines: RefCell<BTreeMap<String, Line>>,
-    /// What changed, with its version and when it may be told.
-    changes: RefCell<Vec<(u64, Duration, Line)>>,
+    entries: RefCell<BTreeMap<String, HostEntry>>,
+    /// What changed, in the order of the versions.
+    changes: RefCell<Vec<Change>>,
     version: Cell<u64>,
-    /// Says nothing on the list while set; connections stay open.
+    /// Sends nothing of the list while set; connections stay open.
     pub silent: Cell<bool>,
-    /// Changes are told so much later.
-    pub lag: Cell<Duration>,
-    /// What it shares with the other relays' agents, if it does.
-    pub gate: RefCell<Option<Rc<Gate>>>,
-    news: Notify,
+    /// Changes are sent later by this.
+    pub publication_delay: Cell<Duration>,
+    /// The queue that it shares with the other relays' agents, if it does.
+    pub poll_queue: RefCell<Option<Rc<PollQueue>>>,
+    changed: Notify,
 }
 
 impl Discovery {
     /// Discovery with a first list.
     #[must_use]
-    pub fn new(lines: Vec<Line>) -> Rc<Self> {
+    pub fn new(lines: Vec<HostEntry>) -> Rc<Self> {
         let discovery = Discovery::default();
         discovery.version.set(1);
         discovery
-            .lines
+            .entries
             .borrow_mut()
             .extend(lines.into_iter().map(|line| (line.host.clone(), line)));
         Rc::new(discovery)
     }
 
-    /// Changes an entry; the version grows by `jump`. Gives the moment from which it is told.
-    pub fn change(&self, at: Duration, line: Line, jump: u64) -> Duration {
+    /// Changes an entry; the version grows by `jump`. Gives the moment from which on the change is sent.
+    pub fn update(&self, at: Duration, line: HostEntry, jump: u64) -> Duration {
         self.version.set(self.version.get() + jump.max(1));
         match line.health {
-            "removed" => drop(self.lines.borrow_mut().remove(&line.host)),
+            "removed" => drop(self.entries.borrow_mut().remove(&line.host)),
             _ => drop(
-                self.lines
+                self.entries
                     .borrow_mut()
                     .insert(line.host.clone(), line.clone()),
             ),
         }
         let mut changes = self.changes.borrow_mut();
         // In the order of their versions, whatever the lag is now.
-        let before = changes.last().map_or(Duration::ZERO, |(_, told, _)| *told);
-        let told = before.max(at + self.lag.get());
-        changes.push((self.version.get(), told, line));
+        let earlier = changes
+            .last()
+            .map_or(Duration::ZERO, |change| change.published_at);
+        let published_at = earlier.max(at + self.publication_delay.get());
+        changes.push(Change {
+            version: self.version.get(),
+            published_at,
+            entry: line,
+        });
         drop(changes);
-        self.news.notify_waiters();
-        told
+        self.changed.notify_waiters();
+        published_at
     }
 
     /// Wakes watches after a change of `silent`.
     pub fn wake(&self) {
-        self.news.notify_waiters();
+        self.changed.notify_waiters();
     }
 
-    /// The whole list, in discovery's form.
-    pub fn whole(&self) -> Value {
-        let hosts: Vec<Value> = self.lines.borrow().values().map(Line::json).collect();
+    /// The full list, in discovery's form.
+    pub fn full_snapshot(&self) -> Value {
+        let hosts: Vec<Value> = self
+            .entries
+            .borrow()
+            .values()
+            .map(HostEntry::json)
+            .collect();
         json!({"seq": self.version.get(), "whole": true, "hosts": hosts})
     }
 
-    /// Answers at an address for good; told to end, it takes no new connection and closes the open ones.
+    /// Serves at an address until `end` is set; it then accepts no new connection and closes the open ones.
     ///
     /// # Errors
     ///
@@ -161,7 +182,7 @@
             stage.runtime.spawn(async move {
                 tokio::select! {
                     biased;
-                    _ = end.wait_for(|end| *end) => place.runtime.sleep(Duration::from_millis(1500)).await,
+                    _ = end.wait_for(|end| *end) => place.runtime.sleep(CLOSE_DELAY).await,
                     _ = own.connection(&place, stream) => {}
                 }
             });
@@ -177,7 +198,7 @@
         let mut text = BytesMut::new();
         while let Some(request) = read_request(stage, &mut stream, &mut text).await? {
             if request.line == "POST /v1/notices" {
-                let good = self.notices(stage, &request.body);
+                let good = self.receive_notices(stage, &request.body);
                 let line = if good {
                     "204 No Content"
                 } else {
@@ -195,9 +216,9 @@
                 return Ok(());
             }
             stage.observe(&Observation::DiscoveryPolled);
-            let gate = self.gate.borrow().clone();
-            if let Some(gate) = gate {
-                let Some(wait) = gate.take(stage.at()) else {
+            let queue = self.poll_queue.borrow().clone();
+            if let Some(queue) = queue {
+                let Some(wait) = queue.admit(stage.at()) else {
                     let text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                     stream.write_all(text.as_bytes()).await?;
                     continue;
@@ -211,17 +232,17 @@
                         .await
                 }
                 None => {
-                    let text = format!("{}\n", self.whole());
+                    let text = format!("{}\n", self.full_snapshot());
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
                     stream.write_all((head + &text).as_bytes()).await?;
-                    self.tell_whole(stage);
+                    self.report_full_snapshot(stage);
                 }
             }
         }
         Ok(())
     }
 
-    fn notices<R: Runtime>(&self, stage: &Stage<R>, body: &[u8]) -> bool {
+    fn receive_notices<R: Runtime>(&self, stage: &Stage<R>, body: &[u8]) -> bool {
         let lines: Result<Vec<Value>, _> = body
             .split(|byte| *byte == b'\n')
             .filter(|line| !line.is_empty())
@@ -239,26 +260,28 @@
         true
     }
 
-    fn tell<R: Runtime>(&self, stage: &Stage<R>, line: &Line) {
+    fn report_sent<R: Runtime>(&self, stage: &Stage<R>, line: &HostEntry) {
         stage.observe(&Observation::HostStatusSent {
             host: &line.host,
             is_up: line.health == "up",
         });
     }
 
-    fn tell_whole<R: Runtime>(&self, stage: &Stage<R>) {
-        let lines: Vec<Line> = self.lines.borrow().values().cloned().collect();
-        lines.iter().for_each(|line| self.tell(stage, line));
-        // What has gone is told by its absence.
+    fn report_full_snapshot<R: Runtime>(&self, stage: &Stage<R>) {
+        let entries: Vec<HostEntry> = self.entries.borrow().values().cloned().collect();
+        entries
+            .iter()
+            .for_each(|entry| self.report_sent(stage, entry));
+        // The absence of a host says that it is gone.
         let changes = self.changes.borrow();
         let gone = changes
             .iter()
-            .filter(|(_, _, line)| !self.lines.borrow().contains_key(&line.host));
-        gone.for_each(|(_, _, line)| {
+            .filter(|change| !self.entries.borrow().contains_key(&change.entry.host));
+        gone.for_each(|change| {
             stage.observe(&Observation::HostStatusSent {
-                host: &line.host,
+                host: &change.entry.host,
                 is_up: false,
-            })
+            });
         });
     }
 
@@ -271,51 +294,55 @@
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
-        let mut beat = stage.at() + BEAT;
+        let mut keepalive_at = stage.at() + KEEPALIVE_INTERVAL;
         loop {
             if self.silent.get() {
-                // A watch that fell silent stays so: only a new one is told more.
+                // A watch that fell silent stays so: only a new one gets more.
                 until_closed(stream).await;
                 return Ok(());
             }
-            let news = self.news.notified();
+            let changed = self.changed.notified();
             let now = stage.at();
             let changes: Vec<_> = self
                 .changes
                 .borrow()
                 .iter()
-                .filter(|(v, _, _)| *v > since)
+                .filter(|change| change.version > since)
                 .cloned()
                 .collect();
-            let due: Vec<_> = changes.iter().take_while(|(_, at, _)| *at <= now).collect();
+            let due: Vec<_> = changes
+                .iter()
+                .take_while(|change| change.published_at <= now)
+                .collect();
             let mut text = String::new();
-            if let Some((version, _, _)) = due.last() {
-                since = *version;
-                let hosts: Vec<Value> = due.iter().map(|(_, _, line)| line.json()).collect();
+            if let Some(last) = due.last() {
+                since = last.version;
+                let hosts: Vec<Value> = due.iter().map(|change| change.entry.json()).collect();
                 text = format!(
                     "{}\n",
-                    json!({"seq": version, "whole": false, "hosts": hosts})
+                    json!({"seq": since, "whole": false, "hosts": hosts})
                 );
-            } else if beat <= now {
+            } else if keepalive_at <= now {
                 text = "\n".into();
             }
             if !text.is_empty() {
-                beat = now + BEAT;
+                keepalive_at = now + KEEPALIVE_INTERVAL;
                 stream
                     .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
                     .await?;
-                due.iter().for_each(|(_, _, line)| self.tell(stage, line));
+                due.iter()
+                    .for_each(|change| self.report_sent(stage, &change.entry));
                 continue;
             }
             let next = changes
                 .iter()
-                .map(|(_, at, _)| *at)
+                .map(|change| change.published_at)
                 .min()
-                .unwrap_or(beat)
-                .min(beat);
+                .unwrap_or(keepalive_at)
+                .min(keepalive_at);
             tokio::select! {
                 biased;
-                () = news => {}
+                () = changed => {}
                 () = stage.runtime.sleep_until(stage.instant(next)) => {}
                 () = until_closed(stream) => return Ok(()),
             }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -24,7 +24,7 @@
 use crate::peers::admins::{Admin, MisbehavingAdmin};
 use crate::peers::clients::Client;
 use crate::peers::connection::{until_ready, until_takes_clients};
-use crate::peers::discovery::{Discovery, Gate, Line};
+use crate::peers::discovery::{Discovery, HostEntry, PollQueue};
 use crate::peers::host_behavior::HostBehavior;
 use crate::peers::hosts::Host;
 use crate::peers::ledger::Ledger;
@@ -249,12 +249,12 @@
         };
         let seats: Vec<Seat> = (0..script.relays).map(seat).collect();
         if let Some(vast) = &script.vast {
-            let gate = Gate::new(vast.each_list);
+            let gate = PollQueue::new(vast.each_list);
             seats
                 .iter()
-                .for_each(|seat| *seat.discovery.gate.borrow_mut() = Some(gate.clone()));
+                .for_each(|seat| *seat.discovery.poll_queue.borrow_mut() = Some(gate.clone()));
         }
-        let known = seats[0].discovery.whole();
+        let known = seats[0].discovery.full_snapshot();
         if script.relays > 1 {
             let mut dice = Dice::new(script.seed, 5);
             machine.set_clocks(
@@ -772,7 +772,7 @@
         for (relay, seat) in self.seats.iter().enumerate() {
             let told = seat
                 .discovery
-                .change(self.machine.now(), line.clone(), jump)
+                .update(self.machine.now(), line.clone(), jump)
                 + late;
             self.of(relay).observe(&Observation::HostStatusListed {
                 host: &line.host,
@@ -925,13 +925,13 @@
     SocketAddr::from(([10, 3, 0, 1], 10_000 + (process % 50_000) as u16))
 }
 
-fn line(host: &Host, health: &'static str, capacity: f64) -> Line {
-    Line {
+fn line(host: &Host, health: &'static str, capacity: f64) -> HostEntry {
+    HostEntry {
         host: host.name.borrow().clone(),
-        dial: host.address,
-        site: host.zone.clone(),
-        block: host.block,
+        address: host.address,
+        zone: host.zone.clone(),
+        destination: host.block,
         health,
-        share: capacity as u32,
+        calls_per_second: capacity as u32,
     }
 }
