--- a/crates/simulator/src/peers/hosts.rs
+++ b/crates/simulator/src/peers/hosts.rs
@@ -11,8 +11,8 @@
 use runtime::{Listener, Runtime, Stream};
 use tokio::io::AsyncWriteExt;
 
+use super::effect_log::EffectLog;
 use super::host_behavior::{HostBehavior, Rejection};
-use super::ledger::Ledger;
 use super::{read_request, until_closed, Numbered, Request, Stage};
 use crate::dice::Dice;
 use crate::history::{CallId, CallOutcome, HostIdentity, Observation, ReceivedCall};
@@ -64,7 +64,7 @@
     open_connections: Cell<usize>,
     load_report: Cell<LoadReport>,
     /// Where it records what took effect, in scenarios that need it.
-    pub ledger: RefCell<Option<Ledger>>,
+    pub effect_log: RefCell<Option<EffectLog>>,
 }
 
 impl Host {
@@ -92,7 +92,7 @@
                 at: Duration::ZERO,
                 remaining: 1.0,
             }),
-            ledger: RefCell::default(),
+            effect_log: RefCell::default(),
         })
     }
 
@@ -258,8 +258,8 @@
 
     /// A call that was not rejected takes effect, or may.
     fn record_effect<R: Runtime>(&self, stage: &Stage<R>, call: &ReceivedCall, is_success: bool) {
-        if let Some(ledger) = &*self.ledger.borrow() {
-            ledger.arrives(stage, call, is_success);
+        if let Some(effect_log) = &*self.effect_log.borrow() {
+            effect_log.record_call(stage, call, is_success);
         }
     }
 
--- a/crates/simulator/src/peers/mod.rs
+++ b/crates/simulator/src/peers/mod.rs
@@ -5,12 +5,12 @@
 pub mod admins;
 pub mod clients;
 pub mod connection;
+pub mod control_clients;
 pub mod discovery;
+pub mod effect_log;
 pub mod host_behavior;
 pub mod hosts;
-pub mod ledger;
 pub mod operators;
-pub mod staff;
 
 use std::cell::RefCell;
 use std::io;
--- a/crates/simulator/src/peers/operators.rs
+++ b/crates/simulator/src/peers/operators.rs
@@ -10,7 +10,7 @@
 
 use super::admin_api::{ApiRequest, Body};
 use super::admins::MisbehavingAdmin;
-use super::ledger::Ledger;
+use super::effect_log::EffectLog;
 use super::Stage;
 use crate::dice::Dice;
 use crate::history::Observation;
@@ -32,7 +32,7 @@
     /// Which of the operators.
     pub number: usize,
     /// What took effect, which operators find out by other means than the relay.
-    pub ledger: Ledger,
+    pub effect_log: EffectLog,
     /// Draws what the operator does.
     pub dice: Dice,
     /// The operator works until then; the first of them then reads all records.
@@ -146,7 +146,9 @@
             14 => self.change(&path("release"), version, None).await,
             15 if self.dice.percent(20) => self.change(&path("discard"), version, None).await,
             _ => {
-                let has_effect = self.ledger.knows(record["message"].as_str().unwrap_or(""));
+                let has_effect = self
+                    .effect_log
+                    .has_effect(record["message"].as_str().unwrap_or(""));
                 let says =
                     if has_effect && self.misbehavior != Some(MisbehavingAdmin::AttestsFalsely) {
                         "applied"
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -24,12 +24,12 @@
 use crate::peers::admins::{Admin, MisbehavingAdmin};
 use crate::peers::clients::Client;
 use crate::peers::connection::{until_ready, until_takes_clients};
+use crate::peers::control_clients::{self, ControlEndpoint, ControlSocket, DrainCommand};
 use crate::peers::discovery::{Discovery, HostEntry, PollQueue};
+use crate::peers::effect_log::EffectLog;
 use crate::peers::host_behavior::HostBehavior;
 use crate::peers::hosts::Host;
-use crate::peers::ledger::Ledger;
 use crate::peers::operators::Operator;
-use crate::peers::staff::{self, Door};
 use crate::peers::Stage;
 use crate::script::{discovery_address, relay_address, Script};
 
@@ -117,7 +117,7 @@
     /// The process that a new version is about to replace, or has.
     old: Option<Old>,
     /// Where operators call.
-    door: Door,
+    door: ControlEndpoint,
     /// The front opens no connection.
     shut: Rc<Cell<bool>>,
     /// Connections of clients that it holds, and since when.
@@ -241,7 +241,7 @@
             closes_discovery: watch::channel(false).0,
             down_for: Duration::from_millis(600),
             old: None,
-            door: Rc::new(Cell::new((0, door_address(0)))),
+            door: Rc::new(Cell::new(control_socket(0))),
             shut: Rc::default(),
             held: BTreeMap::new(),
             settings: script.settings.clone(),
@@ -427,12 +427,12 @@
         if self.script.kept.is_none() {
             return;
         }
-        let ledger = Ledger::new(Dice::new(self.script.seed, 9));
+        let effect_log = EffectLog::new(Dice::new(self.script.seed, 9));
         self.hosts
             .iter()
-            .for_each(|host| *host.ledger.borrow_mut() = Some(ledger.clone()));
+            .for_each(|host| *host.effect_log.borrow_mut() = Some(effect_log.clone()));
         for block in self.script.limits.capacity.keys() {
-            let served = ledger
+            let served = effect_log
                 .clone()
                 .serve(self.stage.clone(), kept::status_address(*block));
             self.stage.runtime.spawn(async move { drop(served.await) });
@@ -441,7 +441,7 @@
             let operator = Operator {
                 stage: self.stage.clone(),
                 number,
-                ledger: ledger.clone(),
+                effect_log: effect_log.clone(),
                 dice: Dice::new(self.script.seed, 10 + number as u64),
                 until: self.script.ends().max(Duration::from_secs(15)) - Duration::from_secs(1),
                 misbehavior: self.options.misbehaving_admin,
@@ -558,7 +558,7 @@
 
     /// Tells the checker which process of a relay serves after one that is gone.
     fn started(&mut self, relay: usize, process: ProcId) {
-        self.seats[relay].door.set((process, door_address(process)));
+        self.seats[relay].door.set(control_socket(process));
         self.seats[relay].touched = self.machine.now();
         let stage = self.of(relay);
         stage.observe(&Observation::ProcessStarted(process));
@@ -575,21 +575,27 @@
         }
         for (relay, seat) in self.seats.iter().enumerate() {
             let runtime = &self.stage.runtime;
-            runtime.spawn(staff::front(
+            runtime.spawn(control_clients::probe_readiness(
                 self.of(relay),
                 relay_address(relay),
                 seat.shut.clone(),
             ));
-            runtime.spawn(staff::fetch(self.of(relay), seat.door.clone()));
-            for _ in 0..staff::IDLERS {
-                runtime.spawn(staff::idle(
+            runtime.spawn(control_clients::poll_metrics(
+                self.of(relay),
+                seat.door.clone(),
+            ));
+            for _ in 0..control_clients::IDLE_CLIENTS {
+                runtime.spawn(control_clients::hold_idle_connection(
                     self.of(relay),
                     relay_address(relay),
                     seat.shut.clone(),
                 ));
             }
-            for _ in 0..staff::LOITERERS {
-                runtime.spawn(staff::loiter(self.of(relay), seat.door.clone()));
+            for _ in 0..control_clients::SILENT_CALLERS {
+                runtime.spawn(control_clients::hold_silent_connection(
+                    self.of(relay),
+                    seat.door.clone(),
+                ));
             }
         }
     }
@@ -651,7 +657,7 @@
                 self.machine
                     .note(format_args!("process {process} is gone, and was replaced"));
                 self.seats[relay].old = None;
-                self.seats[relay].door.set((new, door_address(new)));
+                self.seats[relay].door.set(control_socket(new));
                 self.machine.kill(process);
                 let stage = self.of(relay);
                 if let Some(Err(line)) = &how {
@@ -883,8 +889,14 @@
     }
 
     fn drain(&mut self, drain: bool) {
+        let command = if drain {
+            DrainCommand::Drain
+        } else {
+            DrainCommand::Resume
+        };
         let seat = &self.seats[self.struck];
-        let switched = staff::switch(self.of(self.struck), seat.door.clone(), drain);
+        let switched =
+            control_clients::set_draining(self.of(self.struck), seat.door.clone(), command);
         self.stage.runtime.spawn(switched);
     }
 
@@ -920,6 +932,14 @@
     }
 }
 
+/// The control socket of a process.
+fn control_socket(process: ProcId) -> ControlSocket {
+    ControlSocket {
+        process,
+        address: door_address(process),
+    }
+}
+
 /// Where a process takes operators' calls.
 fn door_address(process: ProcId) -> SocketAddr {
     SocketAddr::from(([10, 3, 0, 1], 10_000 + (process % 50_000) as u16))
