--- a/crates/simulator/src/loopback.rs
+++ b/crates/simulator/src/loopback.rs
@@ -21,7 +21,7 @@
 use crate::history::Limits;
 use crate::peers::connection::frame;
 use crate::peers::discovery::{Discovery, HostEntry};
-use crate::peers::{read_request, Stage};
+use crate::peers::{read_request, PeerContext};
 use crate::script::Script;
 
 /// A relay's process, which does not outlive this.
@@ -147,21 +147,21 @@
 }
 
 /// A stage on real sockets, where it is not known when the relay closes one, only when a host hears of it.
-pub(crate) fn stage(limits: Limits) -> Stage<OsRuntime> {
-    Stage {
+pub(crate) fn stage(limits: Limits) -> PeerContext<OsRuntime> {
+    PeerContext {
         runtime: OsRuntime,
         start: OsRuntime.now(),
         relay: 0,
         checker: Rc::new(RefCell::new(Checker::new(limits, 1))),
-        holds: Rc::new(|_| false),
-        hears: Rc::new(|_| true),
-        news: Rc::new(|_| {}),
+        is_connection_open: Rc::new(|_| false),
+        is_connection_readable: Rc::new(|_| true),
+        trace: Rc::new(|_| {}),
     }
 }
 
 /// Partners that answer at once, a discovery that lists them, and the files of a relay that calls them.
 pub(crate) struct Quick {
-    pub stage: Stage<OsRuntime>,
+    pub stage: PeerContext<OsRuntime>,
     /// The configuration.
     pub file: PathBuf,
     /// The relay's folder.
@@ -221,7 +221,7 @@
     })
 }
 
-async fn serve(stage: Stage<OsRuntime>, at: SocketAddr) -> io::Result<()> {
+async fn serve(stage: PeerContext<OsRuntime>, at: SocketAddr) -> io::Result<()> {
     let listener = stage.runtime.listen(at).await?;
     loop {
         let mut stream = listener.accept().await?;
--- a/crates/simulator/src/peers/admin_api.rs
+++ b/crates/simulator/src/peers/admin_api.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-use super::Stage;
+use super::PeerContext;
 use crate::hosted::ADMIN;
 
 /// A response comes within this.
@@ -50,10 +50,10 @@
     /// # Errors
     ///
     /// The connection's error, the parser's, or a timeout.
-    pub async fn send<R: Runtime>(&self, stage: &Stage<R>) -> io::Result<ApiResponse> {
+    pub async fn send<R: Runtime>(&self, context: &PeerContext<R>) -> io::Result<ApiResponse> {
         let text = self.text();
         let exchange = async {
-            let mut stream = stage.runtime.connect(ADMIN).await?;
+            let mut stream = context.runtime.connect(ADMIN).await?;
             stream.write_all(text.as_bytes()).await?;
             let mut received = BytesMut::new();
             loop {
@@ -66,7 +66,7 @@
                 }
             }
         };
-        stage.runtime.timeout(RESPONSE_TIMEOUT, exchange).await?
+        context.runtime.timeout(RESPONSE_TIMEOUT, exchange).await?
     }
 
     /// The request as it is sent.
--- a/crates/simulator/src/peers/admins.rs
+++ b/crates/simulator/src/peers/admins.rs
@@ -8,7 +8,7 @@
 use tokio::io::AsyncWriteExt;
 
 use super::admin_api::{ApiRequest, ApiResponse, Body};
-use super::Stage;
+use super::PeerContext;
 use crate::history::{Observation, TenantChange, TenantSnapshot, TenantVersion};
 use crate::hosted::{AdminAction, AdminTask, TenantPlan, ADMIN};
 
@@ -50,7 +50,7 @@
 
 /// An administrator.
 pub struct Admin<R> {
-    stage: Stage<R>,
+    context: PeerContext<R>,
     number: u64,
     tenants: Vec<TenantPlan>,
     tasks: Vec<AdminTask>,
@@ -66,7 +66,7 @@
 impl<R: Runtime> Admin<R> {
     /// An administrator of a number, which is a part of its idempotency keys.
     pub fn new(
-        stage: Stage<R>,
+        context: PeerContext<R>,
         number: u64,
         tenants: Vec<TenantPlan>,
         tasks: Vec<AdminTask>,
@@ -75,7 +75,7 @@
     ) -> Self {
         let last_tags = vec![None; tenants.len()];
         Admin {
-            stage,
+            context,
             number,
             tenants,
             tasks,
@@ -89,9 +89,9 @@
     /// Performs all tasks, each at its time.
     pub async fn run(mut self) {
         for task in std::mem::take(&mut self.tasks) {
-            self.stage
+            self.context
                 .runtime
-                .sleep_until(self.stage.instant(task.at))
+                .sleep_until(self.context.instant(task.at))
                 .await;
             self.perform(&task).await;
         }
@@ -224,7 +224,7 @@
             headers.clone()
         };
         (self.before_change)();
-        self.stage.observe(&Observation::TenantChangeRequested {
+        self.context.observe(&Observation::TenantChangeRequested {
             change_id,
             tenant: &name,
             change: *change,
@@ -233,25 +233,25 @@
             match self.send(method, path, &headers, body.as_ref()).await {
                 Ok(response) => {
                     let status = response.status;
-                    self.stage.observe(&Observation::TenantChangeResponse {
+                    self.context.observe(&Observation::TenantChangeResponse {
                         change_id,
                         tenant: &name,
                         status,
                         snapshot: snapshot(&response, self.misbehavior).as_ref(),
                         is_replayed: response.is_replayed,
                     });
-                    (self.stage.news)(format_args!("{method} {path} is answered {status}"));
+                    (self.context.trace)(format_args!("{method} {path} is answered {status}"));
                     if status != SERVICE_UNAVAILABLE {
                         return (200..300).contains(&status);
                     }
                 }
                 Err(error) => {
-                    (self.stage.news)(format_args!("{method} {path} is not answered: {error}"));
+                    (self.context.trace)(format_args!("{method} {path} is not answered: {error}"));
                 }
             }
-            self.stage.runtime.sleep(RETRY_INTERVAL).await;
+            self.context.runtime.sleep(RETRY_INTERVAL).await;
         }
-        self.stage.observe(&Observation::TenantChangeTimedOut {
+        self.context.observe(&Observation::TenantChangeTimedOut {
             change_id,
             tenant: &name,
         });
@@ -261,18 +261,18 @@
     /// Reads a tenant and reports it; its entity tag, if there is one.
     async fn read(&mut self, tenant: usize) -> Option<String> {
         let name = self.tenants[tenant].name.clone();
-        let requested_at = self.stage.at();
+        let requested_at = self.context.at();
         let path = format!("/v1/tenants/{name}");
         let response = self.send("GET", &path, "", None).await.ok()?;
         let snapshot = snapshot(&response, self.misbehavior);
         match response.status {
             200 | 404 | 410 => {
-                self.stage.observe(&Observation::TenantRead {
+                self.context.observe(&Observation::TenantRead {
                     tenant: &name,
                     requested_at,
                     snapshot: snapshot.as_ref(),
                 });
-                (self.stage.news)(format_args!("{name} is shown as {snapshot:?}"));
+                (self.context.trace)(format_args!("{name} is shown as {snapshot:?}"));
                 response.etag.filter(|_| response.status == 200)
             }
             _ => None,
@@ -293,12 +293,12 @@
             headers,
             body,
         };
-        request.send(&self.stage).await
+        request.send(&self.context).await
     }
 
     /// Sends something malformed, or a part of a request.
     async fn send_malformed(&self, kind: u64) -> io::Result<()> {
-        let mut stream = self.stage.runtime.connect(ADMIN).await?;
+        let mut stream = self.context.runtime.connect(ADMIN).await?;
         let text: &[u8] = match kind {
             0 => b"\x16\x03\x01\x02\x00 no request at all\r\n\r\n",
             1 => b"POST /v1/tenants HTTP/1.1\r\nHost: x\r\nContent-Length: 4000000000\r\n\r\n{",
@@ -309,7 +309,7 @@
             }
         };
         stream.write_all(text).await?;
-        self.stage.runtime.sleep(MALFORMED_REQUEST_TIME).await;
+        self.context.runtime.sleep(MALFORMED_REQUEST_TIME).await;
         Ok(())
     }
 }
--- a/crates/simulator/src/peers/clients.rs
+++ b/crates/simulator/src/peers/clients.rs
@@ -11,7 +11,7 @@
 use tokio::io::AsyncWriteExt;
 
 use super::connection::{frame, Connection, RESPONSE_TIMEOUT};
-use super::Stage;
+use super::PeerContext;
 use crate::history::{Idempotency, Observation, SubmittedRequest};
 
 /// A message is submitted this often at most.
@@ -20,7 +20,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// A client submits a message again so soon after it could not connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// What a client makes of a `-BUSY` that says no wait, in milliseconds.
+/// The wait of a client after a `-BUSY` without one, in milliseconds.
 const DEFAULT_BUSY_DELAY_MS: u64 = 200;
 /// A message with less time than this until its deadline is not submitted any more.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(20);
@@ -104,7 +104,7 @@
 
 /// A client with its own connection and its own messages.
 pub struct Client<R: Runtime> {
-    stage: Stage<R>,
+    context: PeerContext<R>,
     /// The relays that it knows.
     relays: Vec<SocketAddr>,
     /// Index of the relay that it uses now.
@@ -123,18 +123,18 @@
     /// A client of the relays at some addresses, which begins with the one of a number. Where that does not reply
     /// it goes on with the next.
     pub fn new(
-        stage: Stage<R>,
+        context: PeerContext<R>,
         relays: Vec<SocketAddr>,
         first: usize,
         messages: Vec<PlannedMessage>,
         credentials: Option<(String, String)>,
     ) -> Self {
-        let stage = Stage {
+        let context = PeerContext {
             relay: first,
-            ..stage
+            ..context
         };
         let mut client = Client {
-            stage,
+            context,
             relays,
             current: first,
             connection: None,
@@ -167,7 +167,7 @@
     fn fail_over(&mut self) {
         self.connection = None;
         self.current = (self.current + 1) % self.relays.len();
-        self.stage.relay = self.current;
+        self.context.relay = self.current;
     }
 
     fn schedule(&mut self, at: Duration, submission: Submission) {
@@ -178,9 +178,12 @@
     /// Submits all messages, each at its time.
     pub async fn run(mut self) {
         while let Some(((at, _), submission)) = self.submissions.pop_first() {
-            self.stage.runtime.sleep_until(self.stage.instant(at)).await;
+            self.context
+                .runtime
+                .sleep_until(self.context.instant(at))
+                .await;
             self.wait_until_open(&submission.message).await;
-            if self.stage.at() + MIN_REMAINING_TIME > submission.deadline {
+            if self.context.at() + MIN_REMAINING_TIME > submission.deadline {
                 continue;
             }
             let delay = self.submit(&submission).await;
@@ -189,7 +192,7 @@
                     number: submission.number + 1,
                     ..submission
                 };
-                self.schedule(self.stage.at() + delay, next);
+                self.schedule(self.context.at() + delay, next);
             }
         }
     }
@@ -200,7 +203,7 @@
             && (self.connection.is_none() || message.behavior != ClientBehavior::Regular)
         {
             self.connection = None;
-            self.stage.runtime.sleep(RETRY_DELAY).await;
+            self.context.runtime.sleep(RETRY_DELAY).await;
         }
     }
 
@@ -209,9 +212,9 @@
             return Ok(());
         }
         let stream = self
-            .stage
+            .context
             .runtime
-            .timeout(RESPONSE_TIMEOUT, self.stage.runtime.connect(self.relay()))
+            .timeout(RESPONSE_TIMEOUT, self.context.runtime.connect(self.relay()))
             .await??;
         stream.set_nodelay()?;
         let mut connection = Connection::new(stream);
@@ -219,7 +222,7 @@
             let request = frame(&[b"AUTH", tenant.as_bytes(), secret.as_bytes()]);
             connection.stream.write_all(&request).await?;
             let reply = self
-                .stage
+                .context
                 .runtime
                 .timeout(RESPONSE_TIMEOUT, connection.line())
                 .await??;
@@ -254,7 +257,7 @@
             }
         }
         let id = submission.id();
-        self.stage.observe(&Observation::RequestAbandoned(&id));
+        self.context.observe(&Observation::RequestAbandoned(&id));
         Some(RETRY_DELAY)
     }
 
@@ -285,13 +288,13 @@
         match submission.message.behavior {
             ClientBehavior::Disconnects => {
                 self.connection = None;
-                self.stage.observe(&Observation::RequestAbandoned(&id));
+                self.context.observe(&Observation::RequestAbandoned(&id));
                 return Outcome::Done;
             }
             ClientBehavior::Duplicates => {
                 let duplicate =
-                    send_duplicate(self.stage.clone(), self.relay(), request, id.clone());
-                self.stage
+                    send_duplicate(self.context.clone(), self.relay(), request, id.clone());
+                self.context
                     .runtime
                     .spawn(async move { drop(duplicate.await) });
             }
@@ -306,15 +309,15 @@
             return Outcome::RetryAfter(RETRY_DELAY);
         };
         let received = self
-            .stage
+            .context
             .runtime
             .timeout(RESPONSE_TIMEOUT, connection.line())
             .await;
         match received {
             Ok(Ok(Some(reply))) => {
-                self.stage
+                self.context
                     .observe(&Observation::ReplyReceived { id, reply: &reply });
-                (self.stage.news)(format_args!("{id} is answered {reply}"));
+                (self.context.trace)(format_args!("{id} is answered {reply}"));
                 let Some(delay) = reply.strip_prefix("-BUSY") else {
                     return Outcome::Done;
                 };
@@ -327,7 +330,7 @@
                 Outcome::StaleConnection
             }
             Ok(_) | Err(_) => {
-                self.stage.observe(&Observation::RequestAbandoned(id));
+                self.context.observe(&Observation::RequestAbandoned(id));
                 self.fail_over();
                 Outcome::RetryAfter(RETRY_DELAY)
             }
@@ -336,7 +339,7 @@
 
     fn request(&self, submission: &Submission) -> Vec<u8> {
         let message = &submission.message;
-        let remaining = submission.deadline.saturating_sub(self.stage.at());
+        let remaining = submission.deadline.saturating_sub(self.context.at());
         let key = idempotency_key(message).map_or(String::new(), |key| format!("k={key},"));
         let again = if submission.number > 0 { "r=1," } else { "" };
         let fields = format!(
@@ -361,7 +364,7 @@
         let message = &submission.message;
         let is_non_idempotent = message
             .non_idempotent_from
-            .is_some_and(|from| self.stage.at() >= from);
+            .is_some_and(|from| self.context.at() >= from);
         let request = SubmittedRequest {
             id: id.into(),
             class: message.class.into(),
@@ -378,13 +381,13 @@
             body: body(message),
             deadline: submission.deadline,
         };
-        self.stage.observe(&Observation::RequestSent(&request));
+        self.context.observe(&Observation::RequestSent(&request));
     }
 
     /// Sends something malformed and waits for an error and a close.
     async fn send_malformed(&mut self) {
         let exchange = async {
-            let mut connection = Connection::open(&self.stage, self.relay()).await?;
+            let mut connection = Connection::open(&self.context, self.relay()).await?;
             connection
                 .stream
                 .write_all(b"*3\r\n$-7\r\nrubbish\r\n")
@@ -392,9 +395,9 @@
             let reply = connection.line().await?;
             Ok::<_, io::Error>((reply, connection.line().await?))
         };
-        let sent_at = self.stage.at();
+        let sent_at = self.context.at();
         let received = self
-            .stage
+            .context
             .runtime
             .timeout(MALFORMED_INPUT_TIMEOUT, exchange)
             .await;
@@ -404,7 +407,7 @@
             Ok(_) => true,
             Err(_) => false,
         };
-        self.stage.observe(&Observation::MalformedInputChecked {
+        self.context.observe(&Observation::MalformedInputChecked {
             sent_at,
             was_rejected,
         });
@@ -413,34 +416,34 @@
     /// Sends half a request and nothing more.
     async fn stall(&mut self, half: &[u8]) {
         let stalled = async {
-            let mut stream = self.stage.runtime.connect(self.relay()).await?;
+            let mut stream = self.context.runtime.connect(self.relay()).await?;
             stream.write_all(half).await?;
-            self.stage.runtime.sleep(STALL_TIME).await;
+            self.context.runtime.sleep(STALL_TIME).await;
             Ok::<_, io::Error>(())
         };
-        let _ = self.stage.runtime.timeout(STALL_TIMEOUT, stalled).await;
+        let _ = self.context.runtime.timeout(STALL_TIMEOUT, stalled).await;
     }
 }
 
 /// Sends a request once more, on a connection of its own.
 async fn send_duplicate<R: Runtime>(
-    stage: Stage<R>,
+    context: PeerContext<R>,
     relay: SocketAddr,
     request: Vec<u8>,
     id: String,
 ) -> io::Result<()> {
-    let stream = stage
+    let stream = context
         .runtime
-        .timeout(RESPONSE_TIMEOUT, stage.runtime.connect(relay))
+        .timeout(RESPONSE_TIMEOUT, context.runtime.connect(relay))
         .await??;
     let mut connection = Connection::new(stream);
     connection.stream.write_all(&request).await?;
-    let reply = stage
+    let reply = context
         .runtime
         .timeout(RESPONSE_TIMEOUT, connection.line())
         .await??;
     if let Some(reply) = reply {
-        stage.observe(&Observation::ReplyReceived {
+        context.observe(&Observation::ReplyReceived {
             id: &id,
             reply: &reply,
         });
--- a/crates/simulator/src/peers/connection.rs
+++ b/crates/simulator/src/peers/connection.rs
@@ -8,7 +8,7 @@
 use runtime::{Runtime, Stream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-use super::Stage;
+use super::PeerContext;
 
 /// A client waits for a response within this.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
@@ -40,10 +40,10 @@
 impl<T: Stream> Connection<T> {
     /// A new connection.
     pub async fn open<R: Runtime<Stream = T>>(
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         address: SocketAddr,
     ) -> io::Result<Self> {
-        Ok(Connection::new(stage.runtime.connect(address).await?))
+        Ok(Connection::new(context.runtime.connect(address).await?))
     }
 
     /// A connection over a stream that is open.
@@ -72,37 +72,37 @@
 }
 
 /// Returns once the relay replies to `PING`.
-pub async fn until_ready<R: Runtime>(stage: &Stage<R>, relay: SocketAddr) {
+pub async fn until_ready<R: Runtime>(context: &PeerContext<R>, relay: SocketAddr) {
     loop {
         let probe = async {
-            let mut open = Connection::open(stage, relay).await?;
+            let mut open = Connection::open(context, relay).await?;
             open.stream.write_all(&frame(&[b"PING"])).await?;
             open.line().await
         };
-        let reply = stage.runtime.timeout(RESPONSE_TIMEOUT, probe).await;
+        let reply = context.runtime.timeout(RESPONSE_TIMEOUT, probe).await;
         if matches!(reply, Ok(Ok(Some(line))) if line == "+PONG") {
             return;
         }
-        stage.runtime.sleep(READY_PROBE_INTERVAL).await;
+        context.runtime.sleep(READY_PROBE_INTERVAL).await;
     }
 }
 
 /// Returns once a process' control socket says that it takes clients.
-pub async fn until_takes_clients<R: Runtime>(stage: &Stage<R>, control: SocketAddr) {
+pub async fn until_takes_clients<R: Runtime>(context: &PeerContext<R>, control: SocketAddr) {
     loop {
         let probe = async {
-            let mut open = Connection::open(stage, control).await?;
+            let mut open = Connection::open(context, control).await?;
             open.stream.write_all(b"ready\n").await?;
             let mut text = [0; 2];
             open.stream.read_exact(&mut text).await?;
             std::io::Result::Ok(&text == b"ok")
         };
         if matches!(
-            stage.runtime.timeout(RESPONSE_TIMEOUT, probe).await,
+            context.runtime.timeout(RESPONSE_TIMEOUT, probe).await,
             Ok(Ok(true))
         ) {
             return;
         }
-        stage.runtime.sleep(TAKES_CLIENTS_PROBE_INTERVAL).await;
+        context.runtime.sleep(TAKES_CLIENTS_PROBE_INTERVAL).await;
     }
 }
--- a/crates/simulator/src/peers/control_clients.rs
+++ b/crates/simulator/src/peers/control_clients.rs
@@ -11,7 +11,7 @@
 use tokio::io::AsyncWriteExt;
 
 use super::connection::{frame, Connection};
-use super::Stage;
+use super::PeerContext;
 use crate::history::Observation;
 use crate::machine::ProcId;
 
@@ -59,37 +59,37 @@
 
 /// Probes a relay with `PING` for good, and sets whether its clients are to open no connections.
 pub async fn probe_readiness<R: Runtime>(
-    stage: Stage<R>,
+    context: PeerContext<R>,
     relay: SocketAddr,
     is_closed: Rc<Cell<bool>>,
 ) {
     let mut not_ready_since: Option<Duration> = None;
     loop {
         let probe = async {
-            let mut connection = Connection::open(&stage, relay).await?;
+            let mut connection = Connection::open(&context, relay).await?;
             connection.stream.write_all(&frame(&[b"PING"])).await?;
             connection.line().await
         };
         // One that does not reply may have died, which the load balancer detects only much later.
-        if let Ok(Ok(Some(reply))) = stage.runtime.timeout(PROBE_TIMEOUT, probe).await {
+        if let Ok(Ok(Some(reply))) = context.runtime.timeout(PROBE_TIMEOUT, probe).await {
             let is_ready = reply == "+PONG";
-            stage.observe(&Observation::ReadinessProbed(is_ready));
-            not_ready_since = (!is_ready).then(|| not_ready_since.unwrap_or(stage.at()));
+            context.observe(&Observation::ReadinessProbed(is_ready));
+            not_ready_since = (!is_ready).then(|| not_ready_since.unwrap_or(context.at()));
         }
-        is_closed.set(not_ready_since.is_some_and(|since| stage.at() >= since + CLOSE_DELAY));
-        stage.runtime.sleep(PROBE_INTERVAL).await;
+        is_closed.set(not_ready_since.is_some_and(|since| context.at() >= since + CLOSE_DELAY));
+        context.runtime.sleep(PROBE_INTERVAL).await;
     }
 }
 
 /// Holds a client's connection for as long as the relay lets it, and uses it once.
-pub async fn hold_idle_connection<R: Runtime>(
-    stage: Stage<R>,
+pub async fn keep_idle_connection<R: Runtime>(
+    context: PeerContext<R>,
     relay: SocketAddr,
     is_closed: Rc<Cell<bool>>,
 ) {
     loop {
         let connection = async {
-            let mut connection = Connection::open(&stage, relay).await?;
+            let mut connection = Connection::open(&context, relay).await?;
             connection.stream.write_all(&frame(&[b"PING"])).await?;
             while connection.line().await?.is_some() {}
             io::Result::Ok(())
@@ -98,17 +98,17 @@
             // It is opened again, whether it was closed or not accepted.
             drop(connection.await);
         }
-        stage.runtime.sleep(RECONNECT_DELAY).await;
+        context.runtime.sleep(RECONNECT_DELAY).await;
     }
 }
 
 /// One call to a control socket: the whole response, none if the process ended it.
 async fn call<R: Runtime>(
-    stage: &Stage<R>,
+    context: &PeerContext<R>,
     control: SocketAddr,
     command: &str,
 ) -> io::Result<String> {
-    let mut connection = Connection::open(stage, control).await?;
+    let mut connection = Connection::open(context, control).await?;
     connection
         .stream
         .write_all(format!("{command}\n").as_bytes())
@@ -122,17 +122,17 @@
 }
 
 /// Requests metrics for good.
-pub async fn poll_metrics<R: Runtime>(stage: Stage<R>, control: ControlEndpoint) {
+pub async fn poll_metrics<R: Runtime>(context: PeerContext<R>, control: ControlEndpoint) {
     loop {
         let ControlSocket { process, address } = control.get();
-        let requested_at = stage.at();
-        let response = stage
+        let requested_at = context.at();
+        let response = context
             .runtime
-            .timeout(CONTROL_TIMEOUT, call(&stage, address, "show-stat"))
+            .timeout(CONTROL_TIMEOUT, call(&context, address, "show-stat"))
             .await;
         match response {
             Ok(Ok(text)) if text.starts_with("ok") && text.ends_with("eof\n") => {
-                stage.observe(&Observation::MetricsReported {
+                context.observe(&Observation::MetricsReported {
                     process,
                     requested_at,
                     text: &text,
@@ -140,27 +140,27 @@
             }
             Ok(_) => {}
             Err(_) if control.get().process == process => {
-                stage.observe(&Observation::ControlCallTimedOut);
+                context.observe(&Observation::ControlCallTimedOut);
             }
             Err(_) => {}
         }
-        stage.runtime.sleep(METRICS_INTERVAL).await;
+        context.runtime.sleep(METRICS_INTERVAL).await;
     }
 }
 
 /// Connects to the control socket for good, and sends nothing.
-pub async fn hold_silent_connection<R: Runtime>(stage: Stage<R>, control: ControlEndpoint) {
+pub async fn keep_silent_connection<R: Runtime>(context: PeerContext<R>, control: ControlEndpoint) {
     loop {
-        if let Ok(mut connection) = Connection::open(&stage, control.get().address).await {
+        if let Ok(mut connection) = Connection::open(&context, control.get().address).await {
             let _ = connection.line().await;
         }
-        stage.runtime.sleep(RECONNECT_DELAY).await;
+        context.runtime.sleep(RECONNECT_DELAY).await;
     }
 }
 
 /// Drains a relay once, or resumes it: repeats the command until it works, or gives up.
 pub async fn set_draining<R: Runtime>(
-    stage: Stage<R>,
+    context: PeerContext<R>,
     control: ControlEndpoint,
     command: DrainCommand,
 ) {
@@ -168,27 +168,27 @@
         DrainCommand::Drain => ("drain", Duration::ZERO),
         DrainCommand::Resume => ("resume", RESUME_TIMEOUT),
     };
-    let until = stage.at() + timeout;
+    let until = context.at() + timeout;
     loop {
         if command == DrainCommand::Resume {
-            stage.observe(&Observation::ResumeRequested);
+            context.observe(&Observation::ResumeRequested);
         }
         let ControlSocket { process, address } = control.get();
-        let response = stage
+        let response = context
             .runtime
-            .timeout(CONTROL_TIMEOUT, call(&stage, address, text))
+            .timeout(CONTROL_TIMEOUT, call(&context, address, text))
             .await;
         if matches!(&response, Ok(Ok(text)) if text.starts_with("ok")) {
             // One that was killed with its response on its way has not handed the drain to the next one.
             if command == DrainCommand::Resume || control.get().process == process {
                 let is_draining = command == DrainCommand::Drain;
-                stage.observe(&Observation::DrainingConfirmed(is_draining));
+                context.observe(&Observation::DrainingConfirmed(is_draining));
             }
             return;
         }
-        if stage.at() >= until {
+        if context.at() >= until {
             return;
         }
-        stage.runtime.sleep(COMMAND_INTERVAL).await;
+        context.runtime.sleep(COMMAND_INTERVAL).await;
     }
 }
--- a/crates/simulator/src/peers/discovery.rs
+++ b/crates/simulator/src/peers/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::Notify;
 
-use super::{read_request, until_closed, Stage};
+use super::{read_request, until_closed, PeerContext};
 use crate::history::Observation;
 
 /// A watch without changes gets an empty line after this.
@@ -166,11 +166,11 @@
     /// The listener's error if the address cannot be bound.
     pub async fn serve<R: Runtime>(
         self: Rc<Self>,
-        stage: Stage<R>,
+        context: PeerContext<R>,
         at: SocketAddr,
         end: tokio::sync::watch::Receiver<bool>,
     ) -> io::Result<()> {
-        let listener = stage.runtime.listen(at).await?;
+        let listener = context.runtime.listen(at).await?;
         let mut ends = end.clone();
         loop {
             let stream = tokio::select! {
@@ -178,8 +178,8 @@
                 _ = ends.wait_for(|end| *end) => return Ok(()),
                 stream = listener.accept() => stream?,
             };
-            let (own, place, mut end) = (self.clone(), stage.clone(), end.clone());
-            stage.runtime.spawn(async move {
+            let (own, place, mut end) = (self.clone(), context.clone(), end.clone());
+            context.runtime.spawn(async move {
                 tokio::select! {
                     biased;
                     _ = end.wait_for(|end| *end) => place.runtime.sleep(CLOSE_DELAY).await,
@@ -191,14 +191,14 @@
 
     async fn connection<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         mut stream: R::Stream,
     ) -> io::Result<()> {
         stream.set_nodelay()?;
         let mut text = BytesMut::new();
-        while let Some(request) = read_request(stage, &mut stream, &mut text).await? {
+        while let Some(request) = read_request(context, &mut stream, &mut text).await? {
             if request.line == "POST /v1/notices" {
-                let good = self.receive_notices(stage, &request.body);
+                let good = self.receive_notices(context, &request.body);
                 let line = if good {
                     "204 No Content"
                 } else {
@@ -210,39 +210,39 @@
                 continue;
             }
             if self.silent.get() {
-                stage.observe(&Observation::DiscoveryPollPending(true));
+                context.observe(&Observation::DiscoveryPollPending(true));
                 until_closed(&mut stream).await;
-                stage.observe(&Observation::DiscoveryPollPending(false));
+                context.observe(&Observation::DiscoveryPollPending(false));
                 return Ok(());
             }
-            stage.observe(&Observation::DiscoveryPolled);
+            context.observe(&Observation::DiscoveryPolled);
             let queue = self.poll_queue.borrow().clone();
             if let Some(queue) = queue {
-                let Some(wait) = queue.admit(stage.at()) else {
+                let Some(wait) = queue.admit(context.at()) else {
                     let text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                     stream.write_all(text.as_bytes()).await?;
                     continue;
                 };
-                stage.runtime.sleep(wait).await;
+                context.runtime.sleep(wait).await;
             }
             match request.line.split_once("since=") {
                 Some((_, since)) => {
                     return self
-                        .watch(stage, &mut stream, since.parse().unwrap_or(0))
+                        .watch(context, &mut stream, since.parse().unwrap_or(0))
                         .await
                 }
                 None => {
                     let text = format!("{}\n", self.full_snapshot());
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
                     stream.write_all((head + &text).as_bytes()).await?;
-                    self.report_full_snapshot(stage);
+                    self.report_full_snapshot(context);
                 }
             }
         }
         Ok(())
     }
 
-    fn receive_notices<R: Runtime>(&self, stage: &Stage<R>, body: &[u8]) -> bool {
+    fn receive_notices<R: Runtime>(&self, context: &PeerContext<R>, body: &[u8]) -> bool {
         let lines: Result<Vec<Value>, _> = body
             .split(|byte| *byte == b'\n')
             .filter(|line| !line.is_empty())
@@ -251,34 +251,34 @@
         let Ok(lines) = lines else { return false };
         for line in lines {
             let text = |name: &str| line.get(name).and_then(Value::as_str).unwrap_or("");
-            stage.observe(&Observation::NoticeReceived {
+            context.observe(&Observation::NoticeReceived {
                 id: text("id"),
                 status: text("status"),
             });
-            (stage.news)(format_args!("notice: {} {}", text("id"), text("status")));
+            (context.trace)(format_args!("notice: {} {}", text("id"), text("status")));
         }
         true
     }
 
-    fn report_sent<R: Runtime>(&self, stage: &Stage<R>, line: &HostEntry) {
-        stage.observe(&Observation::HostStatusSent {
+    fn report_sent<R: Runtime>(&self, context: &PeerContext<R>, line: &HostEntry) {
+        context.observe(&Observation::HostStatusSent {
             host: &line.host,
             is_up: line.health == "up",
         });
     }
 
-    fn report_full_snapshot<R: Runtime>(&self, stage: &Stage<R>) {
+    fn report_full_snapshot<R: Runtime>(&self, context: &PeerContext<R>) {
         let entries: Vec<HostEntry> = self.entries.borrow().values().cloned().collect();
         entries
             .iter()
-            .for_each(|entry| self.report_sent(stage, entry));
+            .for_each(|entry| self.report_sent(context, entry));
         // The absence of a host says that it is gone.
         let changes = self.changes.borrow();
         let gone = changes
             .iter()
             .filter(|change| !self.entries.borrow().contains_key(&change.entry.host));
         gone.for_each(|change| {
-            stage.observe(&Observation::HostStatusSent {
+            context.observe(&Observation::HostStatusSent {
                 host: &change.entry.host,
                 is_up: false,
             });
@@ -287,14 +287,14 @@
 
     async fn watch<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
         mut since: u64,
     ) -> io::Result<()> {
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
-        let mut keepalive_at = stage.at() + KEEPALIVE_INTERVAL;
+        let mut keepalive_at = context.at() + KEEPALIVE_INTERVAL;
         loop {
             if self.silent.get() {
                 // A watch that fell silent stays so: only a new one gets more.
@@ -302,36 +302,26 @@
                 return Ok(());
             }
             let changed = self.changed.notified();
-            let now = stage.at();
-            let changes: Vec<_> = self
-                .changes
-                .borrow()
-                .iter()
-                .filter(|change| change.version > since)
-                .cloned()
-                .collect();
-            let due: Vec<_> = changes
+            let now = context.at();
+            let changes = self.changes_after(since);
+            let due: Vec<&Change> = changes
                 .iter()
                 .take_while(|change| change.published_at <= now)
                 .collect();
-            let mut text = String::new();
-            if let Some(last) = due.last() {
-                since = last.version;
-                let hosts: Vec<Value> = due.iter().map(|change| change.entry.json()).collect();
-                text = format!(
-                    "{}\n",
-                    json!({"seq": since, "whole": false, "hosts": hosts})
-                );
-            } else if keepalive_at <= now {
-                text = "\n".into();
-            }
-            if !text.is_empty() {
+            let line = match due.last() {
+                Some(last) => {
+                    since = last.version;
+                    Some(changes_line(since, &due))
+                }
+                None => (keepalive_at <= now).then(|| "\n".into()),
+            };
+            if let Some(line) = line {
                 keepalive_at = now + KEEPALIVE_INTERVAL;
                 stream
-                    .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+                    .write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())
                     .await?;
                 due.iter()
-                    .for_each(|change| self.report_sent(stage, &change.entry));
+                    .for_each(|change| self.report_sent(context, &change.entry));
                 continue;
             }
             let next = changes
@@ -343,9 +333,23 @@
             tokio::select! {
                 biased;
                 () = changed => {}
-                () = stage.runtime.sleep_until(stage.instant(next)) => {}
+                () = context.runtime.sleep_until(context.instant(next)) => {}
                 () = until_closed(stream) => return Ok(()),
             }
         }
     }
+
+    /// Changes to versions after one, in order.
+    fn changes_after(&self, since: u64) -> Vec<Change> {
+        let changes = self.changes.borrow();
+        let after = changes.iter().filter(|change| change.version > since);
+        after.cloned().collect()
+    }
+}
+
+/// The line of a watch with changes up to a version.
+fn changes_line(version: u64, changes: &[&Change]) -> String {
+    let hosts: Vec<Value> = changes.iter().map(|change| change.entry.json()).collect();
+    let line = json!({"seq": version, "whole": false, "hosts": hosts});
+    format!("{line}\n")
 }
--- a/crates/simulator/src/peers/effect_log.rs
+++ b/crates/simulator/src/peers/effect_log.rs
@@ -11,11 +11,11 @@
 use runtime::{Listener, Runtime};
 use tokio::io::AsyncWriteExt;
 
-use super::{read_request, Stage};
+use super::{read_request, PeerContext};
 use crate::dice::Dice;
 use crate::history::{Idempotency, Observation, ReceivedCall};
 
-/// Of a hundred calls whose response is no success so many take effect.
+/// Percentage of the calls without a success for a response that take effect.
 const SILENT_EFFECT_PERCENT: u64 = 50;
 /// A status page that is late takes this long.
 const LATE_RESPONSE_TIME: Duration = Duration::from_secs(3);
@@ -53,24 +53,29 @@
     }
 
     /// A call has come that was not rejected. One with a success for a response takes effect, another may.
-    pub fn record_call<R: Runtime>(&self, stage: &Stage<R>, call: &ReceivedCall, is_success: bool) {
+    pub fn record_call<R: Runtime>(
+        &self,
+        context: &PeerContext<R>,
+        call: &ReceivedCall,
+        is_success: bool,
+    ) {
         let id = &call.message_id;
-        let Some(idempotency) = stage.checker.borrow().idempotency_of(id) else {
+        let Some(idempotency) = context.checker.borrow().idempotency_of(id) else {
             return;
         };
         let mut effects = self.0.borrow_mut();
         if !is_success && !effects.dice.percent(SILENT_EFFECT_PERCENT) {
             return;
         }
-        if effects.is_repeated(call, idempotency, stage.at()) {
+        if effects.is_repeated(call, idempotency, context.at()) {
             return;
         }
         let times = effects.times.entry(id.clone()).or_default();
         *times += 1;
         let times = *times;
         drop(effects);
-        (stage.news)(format_args!("{id} takes effect, time {times}"));
-        stage.observe(&Observation::EffectApplied { id, times });
+        (context.trace)(format_args!("{id} takes effect, time {times}"));
+        context.observe(&Observation::EffectApplied { id, times });
     }
 
     /// Whether a message took effect.
@@ -84,12 +89,16 @@
     /// # Errors
     ///
     /// The listener's error if the address cannot be bound.
-    pub async fn serve<R: Runtime>(self, stage: Stage<R>, address: SocketAddr) -> io::Result<()> {
-        let listener = stage.runtime.listen(address).await?;
+    pub async fn serve<R: Runtime>(
+        self,
+        context: PeerContext<R>,
+        address: SocketAddr,
+    ) -> io::Result<()> {
+        let listener = context.runtime.listen(address).await?;
         loop {
             let mut stream = listener.accept().await?;
-            let (own, log) = (stage.clone(), self.clone());
-            stage.runtime.spawn(async move {
+            let (own, log) = (context.clone(), self.clone());
+            context.runtime.spawn(async move {
                 let mut text = BytesMut::new();
                 let Ok(Some(request)) = read_request(&own, &mut stream, &mut text).await else {
                     return;
--- a/crates/simulator/src/peers/host_behavior.rs
+++ b/crates/simulator/src/peers/host_behavior.rs
@@ -9,9 +9,9 @@
     pub min_response_ms: u64,
     /// Most time that it takes to respond, in milliseconds.
     pub max_response_ms: u64,
-    /// Of a hundred calls so many end in a server error.
+    /// Percentage of the calls that end in a server error.
     pub error_percent: u64,
-    /// Of a hundred responses so many are corrupted.
+    /// Percentage of the responses that are corrupted.
     pub corruption_percent: u64,
     /// How it rejects all calls, if it does.
     pub rejection: Option<Rejection>,
--- a/crates/simulator/src/peers/hosts.rs
+++ b/crates/simulator/src/peers/hosts.rs
@@ -13,7 +13,7 @@
 
 use super::effect_log::EffectLog;
 use super::host_behavior::{HostBehavior, Rejection};
-use super::{read_request, until_closed, Numbered, Request, Stage};
+use super::{read_request, until_closed, Numbered, PeerContext, Request};
 use crate::dice::Dice;
 use crate::history::{CallId, CallOutcome, HostIdentity, Observation, ReceivedCall};
 
@@ -101,15 +101,15 @@
     /// # Errors
     ///
     /// The listener's error if the address cannot be bound.
-    pub async fn serve<R: Runtime>(self: Rc<Self>, stage: Stage<R>) -> io::Result<()>
+    pub async fn serve<R: Runtime>(self: Rc<Self>, context: PeerContext<R>) -> io::Result<()>
     where
         R::Stream: Numbered,
     {
-        let listener = stage.runtime.listen(self.address).await?;
+        let listener = context.runtime.listen(self.address).await?;
         loop {
             let stream = listener.accept().await?;
-            let (host, own) = (self.clone(), stage.clone());
-            stage.runtime.spawn(async move {
+            let (host, own) = (self.clone(), context.clone());
+            context.runtime.spawn(async move {
                 host.open_connections.set(host.open_connections.get() + 1);
                 own.observe(&Observation::HostConnectionAccepted(
                     host.open_connections.get(),
@@ -123,7 +123,7 @@
 
     async fn connection<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         mut stream: R::Stream,
     ) -> io::Result<()>
     where
@@ -133,12 +133,14 @@
         let mut text = BytesMut::new();
         let max_connections = self.behavior.borrow().max_connections;
         let is_over_limit = max_connections.is_some_and(|max| self.open_connections.get() > max);
-        while let Some(request) = read_request(stage, &mut stream, &mut text).await? {
-            let call = self.received_call(stage, &request, stream.number());
-            let id = stage
+        while let Some(request) = read_request(context, &mut stream, &mut text).await? {
+            let call = self.received_call(context, &request, stream.number());
+            let id = context
                 .checker
                 .borrow_mut()
-                .observe_call(stage.at(), &call, &|conn| (stage.holds)(conn));
+                .observe_call(context.at(), &call, &|conn| {
+                    (context.is_connection_open)(conn)
+                });
             let Some(id) = id else {
                 stream
                     .write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
@@ -146,8 +148,8 @@
                 continue;
             };
             if self.behavior.borrow().drops_calls {
-                self.record_effect(stage, &call, false);
-                stage.observe(&Observation::CallConnectionClosed(&id));
+                self.record_effect(context, &call, false);
+                context.observe(&Observation::CallConnectionClosed(&id));
                 return Ok(());
             }
             if is_over_limit {
@@ -155,7 +157,7 @@
                     "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
                 return self
                     .write(
-                        stage,
+                        context,
                         &mut stream,
                         &id,
                         CallOutcome::Rejected {
@@ -165,9 +167,9 @@
                     )
                     .await;
             }
-            let after = self.respond(stage, &mut stream, &id, &call).await;
+            let after = self.respond(context, &mut stream, &id, &call).await;
             if !matches!(after, Ok(AfterResponse::KeepOpen)) {
-                stage.observe(&Observation::CallConnectionClosed(&id));
+                context.observe(&Observation::CallConnectionClosed(&id));
                 after?;
                 return Ok(());
             }
@@ -177,7 +179,7 @@
 
     fn received_call<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         request: &Request,
         connection: u64,
     ) -> ReceivedCall {
@@ -188,7 +190,7 @@
             destination: self.block,
             zone: self.zone.clone(),
         };
-        (stage.news)(format_args!("{} gets {id}", host.name));
+        (context.trace)(format_args!("{} gets {id}", host.name));
         ReceivedCall {
             connection,
             host,
@@ -257,16 +259,21 @@
     }
 
     /// A call that was not rejected takes effect, or may.
-    fn record_effect<R: Runtime>(&self, stage: &Stage<R>, call: &ReceivedCall, is_success: bool) {
+    fn record_effect<R: Runtime>(
+        &self,
+        context: &PeerContext<R>,
+        call: &ReceivedCall,
+        is_success: bool,
+    ) {
         if let Some(effect_log) = &*self.effect_log.borrow() {
-            effect_log.record_call(stage, call, is_success);
+            effect_log.record_call(context, call, is_success);
         }
     }
 
     /// Responds to a call.
     async fn respond<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
         id: &CallId,
         call: &ReceivedCall,
@@ -276,12 +283,12 @@
     {
         let behavior = self.behavior.borrow().clone();
         if behavior.hangs {
-            self.record_effect(stage, call, false);
+            self.record_effect(context, call, false);
             until_closed(stream).await;
             return Ok(AfterResponse::Close);
         }
-        if let Some(wait) = self.rejection_wait(stage.at(), &behavior) {
-            self.reject(stage, stream, id, wait, &behavior).await?;
+        if let Some(wait) = self.rejection_wait(context.at(), &behavior) {
+            self.reject(context, stream, id, wait, &behavior).await?;
             return Ok(AfterResponse::KeepOpen);
         }
         let (response_ms, is_error, is_corrupted) = self.draw(|dice| {
@@ -292,24 +299,24 @@
             )
         });
         if !is_corrupted {
-            self.record_effect(stage, call, !is_error);
+            self.record_effect(context, call, !is_error);
         }
         // A relay that gives the call up closes its connection meanwhile.
         tokio::select! {
             biased;
-            () = stage.runtime.sleep(Duration::from_millis(response_ms)) => {}
+            () = context.runtime.sleep(Duration::from_millis(response_ms)) => {}
             () = until_closed(stream) => return Ok(AfterResponse::Close),
         }
         if is_corrupted {
-            return self.respond_corrupted(stage, stream, id, call).await;
+            return self.respond_corrupted(context, stream, id, call).await;
         }
         if is_error {
             let text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-            self.write(stage, stream, id, CallOutcome::MayHaveExecuted, text)
+            self.write(context, stream, id, CallOutcome::MayHaveExecuted, text)
                 .await?;
             return Ok(AfterResponse::KeepOpen);
         }
-        self.respond_delivered(stage, stream, id, &behavior).await
+        self.respond_delivered(context, stream, id, &behavior).await
     }
 
     /// The wait to ask for if a call is rejected now; zero for none.
@@ -327,7 +334,7 @@
     /// Rejects a call.
     async fn reject<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
         id: &CallId,
         wait: Duration,
@@ -344,7 +351,7 @@
             "HTTP/1.1 503 Service Unavailable\r\n".into()
         };
         let report = if behavior.rejections_use_limit {
-            self.load_report(stage.at())
+            self.load_report(context.at())
         } else {
             String::new()
         };
@@ -352,13 +359,13 @@
             retry_after: Duration::from_millis(millis as u64),
         };
         let text = format!("{head}{report}Content-Length: 0\r\n\r\n");
-        self.write(stage, stream, id, outcome, &text).await
+        self.write(context, stream, id, outcome, &text).await
     }
 
     /// Responds that a message is delivered.
     async fn respond_delivered<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
         id: &CallId,
         behavior: &HostBehavior,
@@ -366,14 +373,14 @@
     where
         R::Stream: Numbered,
     {
-        let report = self.load_report(stage.at());
+        let report = self.load_report(context.at());
         let text = format!("HTTP/1.1 200 OK\r\n{report}Content-Length: 2\r\n\r\nok");
         if behavior.responds_bytewise {
             let status_line_length = text.find('\n').unwrap_or(0) + 1;
             for (sent, byte) in text.bytes().enumerate() {
-                stage.runtime.sleep(BYTE_INTERVAL).await;
+                context.runtime.sleep(BYTE_INTERVAL).await;
                 if sent + 1 == status_line_length {
-                    stage.observe(&Observation::ResponseStarted {
+                    context.observe(&Observation::ResponseStarted {
                         call: id,
                         outcome: CallOutcome::Delivered,
                     });
@@ -382,12 +389,12 @@
             }
             return Ok(AfterResponse::KeepOpen);
         }
-        self.write(stage, stream, id, CallOutcome::Delivered, &text)
+        self.write(context, stream, id, CallOutcome::Delivered, &text)
             .await?;
         if behavior.closes_after_response && self.draw(|dice| dice.percent(60)) {
             let delay_ms = self.draw(|dice| dice.below(250));
             // The close may cross the next call, which is then never read.
-            stage.runtime.sleep(Duration::from_millis(delay_ms)).await;
+            context.runtime.sleep(Duration::from_millis(delay_ms)).await;
             return Ok(AfterResponse::Close);
         }
         Ok(AfterResponse::KeepOpen)
@@ -396,7 +403,7 @@
     /// Writes a response, and reports it.
     async fn write<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
         id: &CallId,
         outcome: CallOutcome,
@@ -405,19 +412,19 @@
     where
         R::Stream: Numbered,
     {
-        stage.observe(&Observation::ResponseStarted { call: id, outcome });
+        context.observe(&Observation::ResponseStarted { call: id, outcome });
         stream.write_all(text.as_bytes()).await?;
-        self.report_read(stage, stream.number(), id);
+        self.report_read(context, stream.number(), id);
         Ok(())
     }
 
     /// Reports a response as read once the relay surely has read it: it still holds the connection then.
-    fn report_read<R: Runtime>(&self, stage: &Stage<R>, connection: u64, id: &CallId) {
-        let (stage, id) = (stage.clone(), id.clone());
-        stage.clone().runtime.spawn(async move {
-            stage.runtime.sleep(READ_TIME).await;
-            if (stage.hears)(connection) {
-                stage.observe(&Observation::ResponseRead(&id));
+    fn report_read<R: Runtime>(&self, context: &PeerContext<R>, connection: u64, id: &CallId) {
+        let (context, id) = (context.clone(), id.clone());
+        context.clone().runtime.spawn(async move {
+            context.runtime.sleep(READ_TIME).await;
+            if (context.is_connection_readable)(connection) {
+                context.observe(&Observation::ResponseRead(&id));
             }
         });
     }
@@ -425,7 +432,7 @@
     /// A corrupted response. What its status line says is still true.
     async fn respond_corrupted<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
         id: &CallId,
         call: &ReceivedCall,
@@ -456,11 +463,11 @@
                 (CallOutcome::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabc")
             }
         };
-        self.record_effect(stage, call, outcome == CallOutcome::Delivered);
-        stage.observe(&Observation::ResponseStarted { call: id, outcome });
+        self.record_effect(context, call, outcome == CallOutcome::Delivered);
+        context.observe(&Observation::ResponseStarted { call: id, outcome });
         stream.write_all(text).await?;
         if matches!(kind, 4 | 6) {
-            self.report_read(stage, stream.number(), id);
+            self.report_read(context, stream.number(), id);
             return Ok(AfterResponse::KeepOpen);
         }
         until_closed(stream).await;
--- a/crates/simulator/src/peers/mod.rs
+++ b/crates/simulator/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Those that a relay talks to: clients, hosts, discovery. The same code plays them on a virtual machine and,
-//! for the demo, on loopback sockets; they report what passes to the checker.
+//! The peers of a relay: clients, hosts, discovery, administrators, operators. The same code runs them on a virtual
+//! machine and, for the demo, on loopback sockets; they report what passes to the checker.
 
 mod admin_api;
 pub mod admins;
@@ -49,30 +49,30 @@
 
 /// What all peers share.
 #[derive(Clone)]
-pub struct Stage<R> {
-    /// The system that they run on.
+pub struct PeerContext<R> {
+    /// The runtime that they run on.
     pub runtime: R,
     /// The moment from which all spans count.
     pub start: Instant,
-    /// Number of the relay that is talked to, where only one is.
+    /// Number of the relay that the peer talks to, where it is only one.
     pub relay: usize,
-    /// Who is told of what passes.
+    /// Where observations are reported.
     pub checker: Rc<RefCell<Checker>>,
-    /// Whether the relay still holds a connection that it made.
-    pub holds: Rc<dyn Fn(u64) -> bool>,
-    /// Whether it does, and what is sent on it arrives.
-    pub hears: Rc<dyn Fn(u64) -> bool>,
-    /// Told of what a reader of the day would want to know.
-    pub news: Rc<dyn Fn(std::fmt::Arguments<'_>)>,
+    /// Whether the relay still holds a connection of a number, which it made.
+    pub is_connection_open: Rc<dyn Fn(u64) -> bool>,
+    /// Whether it does, and what is sent to the relay on it arrives.
+    pub is_connection_readable: Rc<dyn Fn(u64) -> bool>,
+    /// Called with what the trace of a run is to show.
+    pub trace: Rc<dyn Fn(std::fmt::Arguments<'_>)>,
 }
 
-impl<R: Runtime> Stage<R> {
+impl<R: Runtime> PeerContext<R> {
     /// Time since the start.
     pub fn at(&self) -> Duration {
         self.runtime.now() - self.start
     }
 
-    /// Tells the checker what passes.
+    /// Reports what passes to the checker.
     pub fn observe(&self, observation: &Observation<'_>) {
         self.checker
             .borrow_mut()
@@ -104,19 +104,19 @@
     }
 }
 
-/// Longest head and body of a request that a peer reads.
-const LONGEST: usize = 1 << 20;
+/// Bytes of a request, head and body, that a peer reads at most.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
 
 /// Reads one request; none at the connection's end.
 pub(crate) async fn read_request<R: Runtime>(
-    stage: &Stage<R>,
+    context: &PeerContext<R>,
     stream: &mut R::Stream,
     text: &mut BytesMut,
 ) -> io::Result<Option<Request>> {
     let mut begun = None;
     loop {
         if !text.is_empty() {
-            let begun = *begun.get_or_insert_with(|| stage.at());
+            let begun = *begun.get_or_insert_with(|| context.at());
             let mut headers = [httparse::EMPTY_HEADER; 32];
             let mut parsed = httparse::Request::new(&mut headers);
             let status = parsed.parse(text).map_err(io::Error::other)?;
@@ -149,7 +149,7 @@
                     return Ok(Some(request));
                 }
             }
-            if text.len() > LONGEST {
+            if text.len() > MAX_REQUEST_BYTES {
                 return Err(io::Error::other("a request is too long"));
             }
         }
--- a/crates/simulator/src/peers/operators.rs
+++ b/crates/simulator/src/peers/operators.rs
@@ -11,7 +11,7 @@
 use super::admin_api::{ApiRequest, Body};
 use super::admins::MisbehavingAdmin;
 use super::effect_log::EffectLog;
-use super::Stage;
+use super::PeerContext;
 use crate::dice::Dice;
 use crate::history::Observation;
 use crate::kept;
@@ -27,8 +27,8 @@
 
 /// An operator.
 pub struct Operator<R> {
-    /// The stage.
-    pub stage: Stage<R>,
+    /// What all peers share.
+    pub context: PeerContext<R>,
     /// Which of the operators.
     pub number: usize,
     /// What took effect, which operators find out by other means than the relay.
@@ -49,21 +49,21 @@
     /// Works until the time is over, and then reads all records.
     pub async fn run(mut self) {
         let pause_ms = self.dice.between(1_000, 3_000);
-        self.stage
+        self.context
             .runtime
             .sleep(Duration::from_millis(pause_ms))
             .await;
-        while self.stage.at() < self.until {
+        while self.context.at() < self.until {
             self.work().await;
             let pause_ms = self.dice.between(100, 900);
-            self.stage
+            self.context
                 .runtime
                 .sleep(Duration::from_millis(pause_ms))
                 .await;
         }
         while self.number == 0 && !self.all_read.get() {
             if self.read_all().await.is_none() {
-                self.stage.runtime.sleep(RETRY_INTERVAL).await;
+                self.context.runtime.sleep(RETRY_INTERVAL).await;
             }
         }
     }
@@ -86,7 +86,7 @@
             headers,
             body: body.as_ref(),
         };
-        let response = request.send(&self.stage).await.ok()?;
+        let response = request.send(&self.context).await.ok()?;
         Some((response.status, response.body))
     }
 
@@ -95,14 +95,14 @@
         (self.before_change)();
         for _ in 0..MAX_ATTEMPTS {
             let response = self.send("POST", path, headers, body.clone()).await;
-            (self.stage.news)(format_args!(
+            (self.context.trace)(format_args!(
                 "POST {path}: {:?}",
                 response.as_ref().map(|(status, _)| status)
             ));
             if response.is_some_and(|(status, _)| status != SERVICE_UNAVAILABLE) {
                 return;
             }
-            self.stage.runtime.sleep(RETRY_INTERVAL).await;
+            self.context.runtime.sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -205,10 +205,10 @@
             all.pop();
         }
         all.iter().for_each(|(id, state)| {
-            self.stage
+            self.context
                 .observe(&Observation::UndeliverableRecordRead { id, state })
         });
-        self.stage
+        self.context
             .observe(&Observation::AllUndeliverableRecordsRead);
         self.all_read.set(true);
         Some(())
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -30,7 +30,7 @@
 use crate::peers::host_behavior::HostBehavior;
 use crate::peers::hosts::Host;
 use crate::peers::operators::Operator;
-use crate::peers::Stage;
+use crate::peers::PeerContext;
 use crate::script::{discovery_address, relay_address, Script};
 
 /// After the last message's time is up the world runs on for so long.
@@ -142,7 +142,7 @@
     script: &'a Script,
     options: Options,
     machine: Machine,
-    stage: Stage<SimulatedRuntime>,
+    context: PeerContext<SimulatedRuntime>,
     hosts: Vec<Rc<Host>>,
     known: serde_json::Value,
     seats: Vec<Seat>,
@@ -187,7 +187,7 @@
         let machine = Machine::new(script.seed, options.traced);
         let runtime = machine.world();
         let (holder, hearer, noter) = (machine.handle(), machine.handle(), machine.handle());
-        let stage = Stage {
+        let context = PeerContext {
             start: runtime.now(),
             runtime,
             relay: 0,
@@ -195,9 +195,9 @@
                 script.limits.clone(),
                 script.relays,
             ))),
-            holds: Rc::new(move |conn| holder.caller_holds(conn)),
-            hears: Rc::new(move |conn| hearer.caller_hears(conn)),
-            news: Rc::new(move |line| noter.note(line)),
+            is_connection_open: Rc::new(move |conn| holder.caller_holds(conn)),
+            is_connection_readable: Rc::new(move |conn| hearer.caller_hears(conn)),
+            trace: Rc::new(move |line| noter.note(line)),
         };
         let mut hosts = Vec::new();
         let mut lines = Vec::new();
@@ -267,7 +267,7 @@
             script,
             options,
             machine,
-            stage,
+            context,
             hosts,
             known,
             seats,
@@ -279,8 +279,10 @@
 
     fn run(mut self) -> Report {
         for host in &self.hosts {
-            let served = host.clone().serve(self.stage.clone());
-            self.stage.runtime.spawn(async move { drop(served.await) });
+            let served = host.clone().serve(self.context.clone());
+            self.context
+                .runtime
+                .spawn(async move { drop(served.await) });
         }
         for relay in 0..self.seats.len() {
             self.serve_discovery(relay);
@@ -304,14 +306,14 @@
             let login = hosted.map(|hosted| hosted.tenant_of(number));
             let login = login.map(|tenant| (tenant.name.clone(), tenant.secret.clone()));
             let client = Client::new(
-                self.stage.clone(),
+                self.context.clone(),
                 relays.clone(),
                 number % relays.len(),
                 plans.clone(),
                 login,
             );
             let shut = self.seats[number % relays.len()].shut.clone();
-            self.stage.runtime.spawn(client.behind(shut).run());
+            self.context.runtime.spawn(client.behind(shut).run());
         }
         self.staff();
         self.administrate();
@@ -327,7 +329,7 @@
         let mut look = LOOK;
         loop {
             let now = self.machine.now();
-            if now >= ends || self.stage.checker.borrow().violation().is_some() {
+            if now >= ends || self.context.checker.borrow().violation().is_some() {
                 break;
             }
             if let Some((_, begins, number)) = edges.next_if(|(at, _, _)| *at <= now) {
@@ -354,7 +356,7 @@
                         self.look_in(now, relay);
                     }
                 }
-                self.stage.observe(&Observation::Tick);
+                self.context.observe(&Observation::Tick);
                 look = now + LOOK;
             }
             let until = edges
@@ -365,14 +367,14 @@
             // After every step the violation, if there is one, is known at the top of this loop.
             self.machine.step(until);
             if self.machine.steps() > STEPS {
-                self.stage.observe(&Observation::StepLimitExceeded);
+                self.context.observe(&Observation::StepLimitExceeded);
             }
         }
         self.report()
     }
 
     fn report(self) -> Report {
-        let checker = self.stage.checker.borrow();
+        let checker = self.context.checker.borrow();
         let fleet = || {
             self.script
                 .vast
@@ -434,12 +436,14 @@
         for block in self.script.limits.capacity.keys() {
             let served = effect_log
                 .clone()
-                .serve(self.stage.clone(), kept::status_address(*block));
-            self.stage.runtime.spawn(async move { drop(served.await) });
+                .serve(self.context.clone(), kept::status_address(*block));
+            self.context
+                .runtime
+                .spawn(async move { drop(served.await) });
         }
         for number in 0..kept::OPERATORS {
             let operator = Operator {
-                stage: self.stage.clone(),
+                context: self.context.clone(),
                 number,
                 effect_log: effect_log.clone(),
                 dice: Dice::new(self.script.seed, 10 + number as u64),
@@ -448,7 +452,7 @@
                 before_change: self.strikes(),
                 all_read: self.shown.clone(),
             };
-            self.stage.runtime.spawn(operator.run());
+            self.context.runtime.spawn(operator.run());
         }
     }
 
@@ -466,37 +470,39 @@
         {
             let strikes = self.strikes();
             let (tenants, tasks) = (hosted.tenants.clone(), tasks.clone());
-            let (stage, misbehavior) = (self.stage.clone(), self.options.misbehaving_admin);
+            let (context, misbehavior) = (self.context.clone(), self.options.misbehaving_admin);
             let admin = Admin::new(
-                stage,
+                context,
                 number as u64 + 1,
                 tenants,
                 tasks,
                 misbehavior,
                 strikes,
             );
-            self.stage.runtime.spawn(admin.run());
+            self.context.runtime.spawn(admin.run());
         }
     }
 
-    /// The stage as seen from a relay.
-    fn of(&self, relay: usize) -> Stage<SimulatedRuntime> {
-        Stage {
+    /// The context as seen from a relay.
+    fn of(&self, relay: usize) -> PeerContext<SimulatedRuntime> {
+        PeerContext {
             relay,
-            ..self.stage.clone()
+            ..self.context.clone()
         }
     }
 
     fn serve_discovery(&mut self, relay: usize) {
         let (close, closing) = watch::channel(false);
-        let stage = self.of(relay);
+        let context = self.of(relay);
         let seat = &mut self.seats[relay];
         seat.closes_discovery = close;
         let served =
             seat.discovery
                 .clone()
-                .serve(stage, discovery_address(relay, seat.moves), closing);
-        self.stage.runtime.spawn(async move { drop(served.await) });
+                .serve(context, discovery_address(relay, seat.moves), closing);
+        self.context
+            .runtime
+            .spawn(async move { drop(served.await) });
     }
 
     fn configure(&self, relay: usize) {
@@ -560,11 +566,11 @@
     fn started(&mut self, relay: usize, process: ProcId) {
         self.seats[relay].door.set(control_socket(process));
         self.seats[relay].touched = self.machine.now();
-        let stage = self.of(relay);
-        stage.observe(&Observation::ProcessStarted(process));
-        self.stage.runtime.spawn(async move {
-            until_ready(&stage, relay_address(relay)).await;
-            stage.observe(&Observation::ProcessReady);
+        let context = self.of(relay);
+        context.observe(&Observation::ProcessStarted(process));
+        self.context.runtime.spawn(async move {
+            until_ready(&context, relay_address(relay)).await;
+            context.observe(&Observation::ProcessReady);
         });
     }
 
@@ -574,7 +580,7 @@
             return;
         }
         for (relay, seat) in self.seats.iter().enumerate() {
-            let runtime = &self.stage.runtime;
+            let runtime = &self.context.runtime;
             runtime.spawn(control_clients::probe_readiness(
                 self.of(relay),
                 relay_address(relay),
@@ -585,14 +591,14 @@
                 seat.door.clone(),
             ));
             for _ in 0..control_clients::IDLE_CLIENTS {
-                runtime.spawn(control_clients::hold_idle_connection(
+                runtime.spawn(control_clients::keep_idle_connection(
                     self.of(relay),
                     relay_address(relay),
                     seat.shut.clone(),
                 ));
             }
             for _ in 0..control_clients::SILENT_CALLERS {
-                runtime.spawn(control_clients::hold_silent_connection(
+                runtime.spawn(control_clients::keep_silent_connection(
                     self.of(relay),
                     seat.door.clone(),
                 ));
@@ -659,13 +665,13 @@
                 self.seats[relay].old = None;
                 self.seats[relay].door.set(control_socket(new));
                 self.machine.kill(process);
-                let stage = self.of(relay);
+                let context = self.of(relay);
                 if let Some(Err(line)) = &how {
-                    stage.observe(&Observation::ProcessExited(&Err(line.clone())));
+                    context.observe(&Observation::ProcessExited(&Err(line.clone())));
                 }
                 // One that left by itself had nothing out any more.
                 if how.is_none() && alive {
-                    stage.observe(&Observation::ProcessTerminated);
+                    context.observe(&Observation::ProcessTerminated);
                     self.started(relay, new);
                 }
             }
@@ -678,15 +684,15 @@
                 self.machine.kill(new);
                 let seat = &mut self.seats[relay];
                 (seat.old, seat.process) = (None, process);
-                let stage = self.of(relay);
+                let context = self.of(relay);
                 if let Some(Err(line)) = &how {
-                    stage.observe(&Observation::ProcessExited(&Err(line.clone())));
+                    context.observe(&Observation::ProcessExited(&Err(line.clone())));
                 }
-                stage.observe(&Observation::ProcessTerminated);
+                context.observe(&Observation::ProcessTerminated);
                 self.started(relay, process);
                 if stopped {
                     self.seats[relay].life = Life::Stopping(self.seats[relay].down_for);
-                    stage.observe(&Observation::TerminationRequested);
+                    context.observe(&Observation::TerminationRequested);
                 }
             }
         }
@@ -700,11 +706,11 @@
             Life::Down(_) => {}
             Life::Up | Life::Stopping(_) if self.machine.is_alive(process) => {}
             Life::Up | Life::Stopping(_) => {
-                let stage = self.of(relay);
+                let context = self.of(relay);
                 if let Some(how) = self.machine.ended(process) {
-                    stage.observe(&Observation::ProcessExited(&how));
+                    context.observe(&Observation::ProcessExited(&how));
                 }
-                stage.observe(&Observation::ProcessTerminated);
+                context.observe(&Observation::ProcessTerminated);
                 self.machine.note(format_args!("process {process} is gone"));
                 self.machine.kill(process);
                 let seat = &mut self.seats[relay];
@@ -832,11 +838,11 @@
     }
 
     fn stop(&mut self, down: Duration) {
-        let stage = self.of(self.struck);
+        let context = self.of(self.struck);
         let seat = &mut self.seats[self.struck];
         if matches!(seat.life, Life::Up) && seat.old.is_none() {
             seat.life = Life::Stopping(down);
-            stage.observe(&Observation::TerminationRequested);
+            context.observe(&Observation::TerminationRequested);
             self.machine.signal(seat.process, Signal::Stop);
         }
     }
@@ -880,11 +886,11 @@
             yes: yes.clone(),
             stopped: None,
         });
-        let stage = self.of(relay);
-        stage.observe(&Observation::UpgradeStarted([old, new]));
-        self.stage.runtime.spawn(async move {
-            until_takes_clients(&stage, door_address(new)).await;
-            yes.set(Some(stage.at()));
+        let context = self.of(relay);
+        context.observe(&Observation::UpgradeStarted([old, new]));
+        self.context.runtime.spawn(async move {
+            until_takes_clients(&context, door_address(new)).await;
+            yes.set(Some(context.at()));
         });
     }
 
@@ -897,7 +903,7 @@
         let seat = &self.seats[self.struck];
         let switched =
             control_clients::set_draining(self.of(self.struck), seat.door.clone(), command);
-        self.stage.runtime.spawn(switched);
+        self.context.runtime.spawn(switched);
     }
 
     fn retune(&mut self, change: &dyn Fn(&mut serde_json::Value)) {
