--- a/crates/simulator/src/demo.rs
+++ b/crates/simulator/src/demo.rs
@@ -106,7 +106,7 @@
         let name = format!("partner-{block}");
         lines.push(HostEntry {
             host: name.clone(),
-            address: address,
+            address,
             zone: "a".into(),
             destination: block,
             health: "up",
