--- a/crates/simulator/src/commands/cost.rs
+++ b/crates/simulator/src/commands/cost.rs
@@ -19,7 +19,7 @@
     Submission, TestBed, MEASURED_CLIENTS, MEASURED_PARTNERS, READY_TIMEOUT, TENANT,
 };
 use super::CommandOutcome;
-use crate::peers::clients::until_ready;
+use crate::peers::connection::until_ready;
 
 /// Time between an answer and the same client's next message.
 const CLIENT_PAUSE: Duration = Duration::from_millis(8);
--- a/crates/simulator/src/commands/demo.rs
+++ b/crates/simulator/src/commands/demo.rs
@@ -19,12 +19,14 @@
     MESSAGE_TTL_MS, READY_TIMEOUT, TENANT,
 };
 use super::CommandOutcome;
-use crate::peers::clients::{until_ready, Client, Habit, Plan};
-use crate::peers::discovery::{Discovery, Line};
-use crate::peers::hosts::{Host, Mood};
-use crate::peers::Stage;
+use crate::history::{Idempotency, Observation};
+use crate::peers::clients::{Client, ClientBehavior, PlannedMessage};
+use crate::peers::connection::until_ready;
+use crate::peers::discovery::{Discovery, HostEntry};
+use crate::peers::host_behavior::HostBehavior;
+use crate::peers::hosts::Host;
+use crate::peers::PeerContext;
 use crate::rng::SimulationRng;
-use crate::rules::facts::{Repeat, Seen};
 
 /// The sub-command of this program that is the relay.
 const RELAY_COMMAND: &str = "relay";
@@ -125,7 +127,7 @@
         let at = demo.context.instant(start + Duration::from_secs(second));
         demo.context.runtime.sleep_until(at).await;
         demo.play_faults(second).await?;
-        demo.context.see(&Seen::Pass);
+        demo.context.observe(&Observation::Tick);
         let open = demo.say_progress();
         if open == 0 && second > ARRIVAL_SECONDS {
             break;
@@ -138,7 +140,7 @@
 /// The relay and its peers. The fields are dropped in this order: first the process ends, last its files go.
 struct Demo {
     process: Option<RelayProcess>,
-    context: Stage<OsRuntime>,
+    context: PeerContext<OsRuntime>,
     hosts: Vec<Rc<Host>>,
     discovery: Rc<Discovery>,
     discovery_address: SocketAddr,
@@ -169,13 +171,13 @@
             relay_address,
             discovery_address,
             &state_directory,
-            &discovery.whole(),
+            &discovery.full_snapshot(),
         );
         std::fs::write(&configuration_file, relay.file.to_string())
             .map_err(DemoError::WriteConfiguration)?;
         Ok(Demo {
             process: None,
-            context: peer_context(relay.rules),
+            context: peer_context(relay.limits),
             hosts,
             discovery,
             discovery_address,
@@ -212,11 +214,11 @@
             state_directory: &self.state_directory,
             variables: &[],
         })?);
-        self.context.see(&Seen::Started(number));
+        self.context.observe(&Observation::ProcessStarted(number));
         let ready = until_ready(&self.context, self.relay_address);
         let ready = self.context.runtime.timeout(READY_TIMEOUT, ready).await;
         ready.map_err(|_| not_ready)?;
-        self.context.see(&Seen::Ready);
+        self.context.observe(&Observation::ProcessReady);
         Ok(())
     }
 
@@ -244,31 +246,37 @@
     }
 
     fn break_partner(&self) {
-        self.set_partner_behavior(Mood {
-            fails: 100,
-            ..Mood::default()
+        self.set_partner_behavior(HostBehavior {
+            error_percent: 100,
+            ..HostBehavior::default()
+        });
+        self.context.observe(&Observation::DestinationOutage {
+            destination: BROKEN_PARTNER,
+            is_down: true,
         });
-        self.context.see(&Seen::Outage(BROKEN_PARTNER, true));
         self.say(format_args!(
             "partner {BROKEN_PARTNER} breaks: every call to it ends in an error"
         ));
     }
 
     fn mend_partner(&self) {
-        self.set_partner_behavior(Mood::default());
-        self.context.see(&Seen::Outage(BROKEN_PARTNER, false));
+        self.set_partner_behavior(HostBehavior::default());
+        self.context.observe(&Observation::DestinationOutage {
+            destination: BROKEN_PARTNER,
+            is_down: false,
+        });
         self.say(format_args!("partner {BROKEN_PARTNER} is mended"));
     }
 
-    fn set_partner_behavior(&self, behavior: Mood) {
+    fn set_partner_behavior(&self, behavior: HostBehavior) {
         let partner = &self.hosts[usize::from(BROKEN_PARTNER) - 1];
-        *partner.mood.borrow_mut() = behavior;
+        *partner.behavior.borrow_mut() = behavior;
     }
 
     async fn kill_and_restart_relay(&mut self) -> Result<(), DemoError> {
         // Dropped, it is killed.
         drop(self.process.take());
-        self.context.see(&Seen::Gone);
+        self.context.observe(&Observation::ProcessTerminated);
         self.say(format_args!(
             "the relay is killed with SIGKILL, and starts again on its journal"
         ));
@@ -298,11 +306,11 @@
     /// Prints where the messages stand. Returns how many accepted ones have no end yet.
     fn say_progress(&self) -> usize {
         let checker = self.context.checker.borrow();
-        let (counts, open) = (checker.counts, checker.open());
+        let (counts, open) = (checker.counts, checker.open_messages());
         let undelivered = counts.undeliverable + counts.deferred;
         self.say(format_args!(
             "{} handed in, {} taken on, {} delivered, {undelivered} ended undelivered, {open} on their way",
-            counts.handed, counts.taken, counts.delivered
+            counts.submitted, counts.accepted, counts.delivered
         ));
         open
     }
@@ -310,26 +318,26 @@
     /// Prints what became of all messages, and whether a rule was broken.
     fn print_summary(&self, has_ended_well: bool) -> CommandOutcome {
         let checker = self.context.checker.borrow();
-        let (counts, open) = (checker.counts, checker.open());
+        let (counts, open) = (checker.counts, checker.open_messages());
         println!();
         println!(
             "Taken on: {}. Delivered: {}.",
-            counts.taken, counts.delivered
+            counts.accepted, counts.delivered
         );
         println!(
             "Ended by a notice: {} failed, {} refused.",
             counts.undeliverable, counts.deferred
         );
         println!("Without an end: {open}. Calls made: {}.", counts.calls);
-        match checker.breach() {
-            Some(breach) => println!("A rule was broken at {breach}"),
+        match checker.violation() {
+            Some(violation) => println!("A rule was broken at {violation}"),
             None => {
                 println!(
                     "No rule was broken: nothing lost, no payout twice, one end for each message."
                 );
             }
         }
-        CommandOutcome::passed_if(has_ended_well && open == 0 && checker.breach().is_none())
+        CommandOutcome::passed_if(has_ended_well && open == 0 && checker.violation().is_none())
     }
 }
 
@@ -346,19 +354,19 @@
 }
 
 /// A host as discovery lists it.
-fn listed(host: &Host) -> Line {
-    Line {
+fn listed(host: &Host) -> HostEntry {
+    HostEntry {
         host: host.name.borrow().clone(),
-        dial: host.address,
-        site: "a".into(),
-        block: host.block,
+        address: host.address,
+        zone: "a".into(),
+        destination: host.block,
         health: "up",
-        share: PARTNER_CAPACITY.into(),
+        calls_per_second: PARTNER_CAPACITY.into(),
     }
 }
 
 /// The messages of each client, the first of all at `start`.
-fn messages_by_client(start: Duration) -> Vec<Vec<Plan>> {
+fn messages_by_client(start: Duration) -> Vec<Vec<PlannedMessage>> {
     let mut clients = vec![Vec::new(); CLIENTS as usize];
     for number in 0..ARRIVAL_SECONDS * ARRIVALS_PER_SECOND {
         let client = (number % CLIENTS) as usize;
@@ -368,31 +376,31 @@
 }
 
 /// One message. The classes take turns, and for each class the destinations.
-fn message(number: u64, start: Duration) -> Plan {
-    let (class, repeat) = match number % 3 {
-        0 => ("update", Repeat::Safe),
+fn message(number: u64, start: Duration) -> PlannedMessage {
+    let (class, idempotency) = match number % 3 {
+        0 => ("update", Idempotency::Idempotent),
         1 => (
             "event",
-            Repeat::Keyed {
+            Idempotency::Keyed {
                 window: KEY_WINDOW,
                 zone_only: false,
             },
         ),
-        _ => ("payout", Repeat::Unsafe),
+        _ => ("payout", Idempotency::NonIdempotent),
     };
     let destination = 1 + (number / 3 % u64::from(PARTNERS)) as u16;
-    Plan {
+    PlannedMessage {
         at: start + Duration::from_millis(number * 1000 / ARRIVALS_PER_SECOND),
         name: format!("m{number:04}"),
         tenant: TENANT.into(),
         class,
-        repeat,
-        order: 0,
-        in_order: false,
-        unsafe_from: None,
+        idempotency,
+        ordering_key: 0,
+        is_ordered: false,
+        non_idempotent_from: None,
         destination,
-        left: MESSAGE_TTL_MS,
-        size: BODY_BYTES,
-        habit: Habit::Plain,
+        time_to_live_ms: MESSAGE_TTL_MS,
+        body_bytes: BODY_BYTES,
+        behavior: ClientBehavior::Regular,
     }
 }
--- a/crates/simulator/src/commands/loopback/configuration.rs
+++ b/crates/simulator/src/commands/loopback/configuration.rs
@@ -11,8 +11,8 @@
 
 use super::MESSAGE_TTL_MS;
 use crate::checker::Checker;
-use crate::peers::Stage;
-use crate::rules::facts::Rules;
+use crate::history::Limits;
+use crate::peers::PeerContext;
 use crate::script::Script;
 
 /// Space for the state directory.
@@ -30,11 +30,11 @@
 /// Microseconds of a millisecond: the settings count in these.
 const MICROS_PER_MS: u64 = 1000;
 
-/// A relay's configuration, and the rules that follow from it.
+/// A relay's configuration, and the limits that follow from it.
 pub(in crate::commands) struct RelayConfiguration {
     /// The file.
     pub file: Value,
-    pub rules: Rules,
+    pub limits: Limits,
 }
 
 /// The configuration of a simulated day, with other addresses and limits.
@@ -60,23 +60,23 @@
     let capacity: BTreeMap<u16, f64> = (1..=DESTINATIONS)
         .map(|destination| (destination, DESTINATION_CAPACITY))
         .collect();
-    let rules = Rules {
-        disk: DISK_BYTES,
+    let limits = Limits {
+        max_disk_bytes: DISK_BYTES,
         capacity,
-        ..script.rules
+        ..script.limits
     };
-    RelayConfiguration { file, rules }
+    RelayConfiguration { file, limits }
 }
 
 /// The context of peers on real sockets, where only a host learns that the relay has closed a connection.
-pub(in crate::commands) fn peer_context(rules: Rules) -> Stage<OsRuntime> {
-    Stage {
+pub(in crate::commands) fn peer_context(limits: Limits) -> PeerContext<OsRuntime> {
+    PeerContext {
         runtime: OsRuntime,
         start: OsRuntime.now(),
         relay: 0,
-        checker: Rc::new(RefCell::new(Checker::new(rules, 1))),
-        holds: Rc::new(|_| false),
-        hears: Rc::new(|_| true),
-        news: Rc::new(|_| {}),
+        checker: Rc::new(RefCell::new(Checker::new(limits, 1))),
+        is_connection_open: Rc::new(|_| false),
+        is_connection_readable: Rc::new(|_| true),
+        trace: Rc::new(|_| {}),
     }
 }
--- a/crates/simulator/src/commands/loopback/submission.rs
+++ b/crates/simulator/src/commands/loopback/submission.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use super::MESSAGE_TTL_MS;
-use crate::peers::clients::frame;
+use crate::peers::connection::frame;
 
 /// Bytes of a message's body.
 const BODY_BYTES: usize = 200;
--- a/crates/simulator/src/commands/replay.rs
+++ b/crates/simulator/src/commands/replay.rs
@@ -52,8 +52,11 @@
     );
     println!("digest {}", report.digest);
     println!("digest of effects {}", report.effects_digest);
-    println!("{}", report.broken.as_deref().unwrap_or("no rule broken"));
-    Ok(CommandOutcome::passed_if(report.broken.is_none()))
+    println!(
+        "{}",
+        report.violation_text.as_deref().unwrap_or("no rule broken")
+    );
+    Ok(CommandOutcome::passed_if(report.violation_text.is_none()))
 }
 
 fn write_trace(path: &Path, report: &Report) -> Result<(), ReplayError> {
--- a/crates/simulator/src/commands/run.rs
+++ b/crates/simulator/src/commands/run.rs
@@ -116,7 +116,9 @@
     }
     print_summary(&reports, started_at.elapsed(), plan.jobs);
     Ok(CommandOutcome::passed_if(
-        reports.values().all(|report| report.broken.is_none()),
+        reports
+            .values()
+            .all(|report| report.violation_text.is_none()),
     ))
 }
 
@@ -140,7 +142,7 @@
             return false;
         }
         let report = play(&plan.script(seed), Options::default());
-        if let Some(broken) = &report.broken {
+        if let Some(broken) = &report.violation_text {
             progress.suspend(|| println!("{broken}"));
         }
         if let Ok(mut reports) = reports.lock() {
@@ -186,8 +188,8 @@
     );
     println!(
         "{} handed in, {} taken on, {} calls, {} delivered, {} undeliverable, {} deferred, {} restarts",
-        sum(|report| report.counts.handed),
-        sum(|report| report.counts.taken),
+        sum(|report| report.counts.submitted),
+        sum(|report| report.counts.accepted),
         sum(|report| report.counts.calls),
         sum(|report| report.counts.delivered),
         sum(|report| report.counts.undeliverable),
@@ -212,8 +214,11 @@
 /// Prints how many seeds broke each rule.
 fn print_broken_rules(reports: &Reports) {
     let mut seeds_by_rule: BTreeMap<&str, u64> = BTreeMap::new();
-    for breach in reports.values().filter_map(|report| report.breach.as_ref()) {
-        *seeds_by_rule.entry(breach.rule).or_default() += 1;
+    for violation in reports
+        .values()
+        .filter_map(|report| report.violation.as_ref())
+    {
+        *seeds_by_rule.entry(violation.invariant).or_default() += 1;
     }
     if seeds_by_rule.is_empty() {
         println!("no rule broken");
--- a/crates/simulator/src/faults/listing.rs
+++ b/crates/simulator/src/faults/listing.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
+use crate::history::Observation;
 use crate::rng::SimulationRng;
-use crate::rules::facts::Seen;
 
 /// A host drains, and is removed at the end.
 #[derive(Debug)]
@@ -44,11 +44,14 @@
 
 impl Trouble for ListLags {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.discovery().lag.set(Duration::from_millis(self.0));
+        scene
+            .discovery()
+            .publication_delay
+            .set(Duration::from_millis(self.0));
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
-        scene.discovery().lag.set(Duration::ZERO);
+        scene.discovery().publication_delay.set(Duration::ZERO);
     }
 }
 
@@ -59,13 +62,13 @@
 impl Trouble for ListSilent {
     fn begins(&self, scene: &mut dyn Scene, _: Duration) {
         scene.discovery().silent.set(true);
-        scene.see(&Seen::Silent(true));
+        scene.observe(&Observation::DiscoverySilent(true));
         scene.discovery().wake();
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene.discovery().silent.set(false);
-        scene.see(&Seen::Silent(false));
+        scene.observe(&Observation::DiscoverySilent(false));
         scene.discovery().wake();
     }
 }
--- a/crates/simulator/src/kept.rs
+++ b/crates/simulator/src/kept.rs
@@ -10,9 +10,9 @@
 use tenancy::secret::Digest;
 
 use crate::faults;
+use crate::history::Idempotency;
 use crate::hosted::ADMIN;
 use crate::rng::SimulationRng;
-use crate::rules::facts::Repeat;
 use crate::script::Script;
 
 /// The folder of the store.
@@ -101,10 +101,10 @@
             .clients
             .iter_mut()
             .flatten()
-            .for_each(|plan| plan.in_order = false);
+            .for_each(|plan| plan.is_ordered = false);
         for plan in script.clients.iter_mut().flatten() {
             if rng.percent(50) {
-                (plan.class, plan.repeat) = ("payout", Repeat::Unsafe);
+                (plan.class, plan.idempotency) = ("payout", Idempotency::NonIdempotent);
             }
         }
         let struck = faults::of_kept(&mut rng);
@@ -113,7 +113,8 @@
             .faults
             .extend(struck.into_iter().map(|(fault, _)| fault));
         script.faults.sort_by_key(|fault| fault.from);
-        (script.rules.kept, script.rules.store_spoilt) = (true, spoilt);
+        script.limits.undeliverable_are_resent = true;
+        script.limits.undeliverable_store_is_damaged = spoilt;
         script.kept = Some(Kept {
             spoilt,
             rule: rng.percent(40),
--- a/crates/simulator/src/operated.rs
+++ b/crates/simulator/src/operated.rs
@@ -6,9 +6,9 @@
 use serde_json::{json, Value};
 
 use crate::faults;
-use crate::peers::clients::{Habit, Plan};
+use crate::history::Idempotency;
+use crate::peers::clients::{ClientBehavior, PlannedMessage};
 use crate::rng::SimulationRng;
-use crate::rules::facts::Repeat;
 use crate::script::Script;
 
 /// The class that comes and goes.
@@ -106,7 +106,7 @@
     #[must_use]
     pub fn draw_operated(seed: u64) -> Self {
         let (mut script, mut rng) = (Script::draw(seed), SimulationRng::new(seed, 13));
-        let changes = Changes::draw(&mut rng, script.rules.attempts);
+        let changes = Changes::draw(&mut rng, script.limits.max_attempts);
         if seed.is_multiple_of(2) {
             script.faults.extend(faults::of_upgrades(&mut rng));
         }
@@ -115,35 +115,35 @@
         let garbled = script.faults.iter().filter_map(|fault| {
             Some((fault.trouble.garbles()?, Duration::from_millis(fault.from)))
         });
-        script.rules.garbled = garbled.collect();
-        script.rules.eaten = script.faults.iter().any(|fault| fault.trouble.eats());
-        script.rules.passing = Some(RUSH);
+        script.limits.corrupted_responses = garbled.collect();
+        script.limits.requests_may_vanish = script.faults.iter().any(|fault| fault.trouble.eats());
+        script.limits.transient_class = Some(RUSH);
         (script.upgrades, script.operated) = (true, true);
         if let Some(at) = changes.hardened {
             let from = Duration::from_millis(at + IN_USE);
             let plans = script.clients.iter_mut().flatten();
             plans
                 .filter(|plan| plan.class == HARDENED.0)
-                .for_each(|plan| plan.unsafe_from = Some(from));
+                .for_each(|plan| plan.non_idempotent_from = Some(from));
         }
-        let blocks: Vec<u16> = script.rules.capacity.keys().copied().collect();
+        let blocks: Vec<u16> = script.limits.capacity.keys().copied().collect();
         let many = script.clients.len() as u64;
         for number in 0..RUSHES.0 {
-            let plan = Plan {
+            let plan = PlannedMessage {
                 at: Duration::from_millis(
                     rng.between(changes.rush.0 + IN_USE, changes.rush.1 - 100),
                 ),
                 name: format!("r{number:04}"),
                 tenant: "acme".into(),
                 class: RUSH,
-                repeat: Repeat::Unsafe,
-                order: 0,
-                in_order: false,
-                unsafe_from: None,
+                idempotency: Idempotency::NonIdempotent,
+                ordering_key: 0,
+                is_ordered: false,
+                non_idempotent_from: None,
                 destination: *rng.pick(&blocks),
-                left: RUSHES.1,
-                size: rng.below(200) as usize,
-                habit: Habit::Plain,
+                time_to_live_ms: RUSHES.1,
+                body_bytes: rng.below(200) as usize,
+                behavior: ClientBehavior::Regular,
             };
             script.clients[rng.below(many) as usize].push(plan);
         }
