--- a/crates/experiments/src/fleet_sizes.rs
+++ b/crates/experiments/src/fleet_sizes.rs
@@ -63,14 +63,14 @@
         let counts = &report.counts;
         self.messages += report.messages as f64;
         self.delivered += counts.delivered as f64;
-        self.within_objective += counts.in_aim as f64;
-        self.rejected_calls += counts.turned_away as f64;
+        self.within_objective += counts.within_objective as f64;
+        self.rejected_calls += counts.rejected_calls as f64;
         self.calls += counts.calls as f64;
-        self.connections_opened += counts.opened as f64;
-        self.max_open_at_host = self.max_open_at_host.max(counts.most_open);
-        self.host_lists += counts.lists as f64;
+        self.connections_opened += counts.host_connections as f64;
+        self.max_open_at_host = self.max_open_at_host.max(counts.max_open_connections);
+        self.host_lists += counts.discovery_polls as f64;
         self.process_starts += f64::from(self.relays) + counts.restarts as f64;
-        self.violations += u64::from(report.broken.is_some());
+        self.violations += u64::from(report.violation_text.is_some());
     }
 }
 
@@ -122,7 +122,7 @@
         }
         let script = Script::draw_vast(seed, usize::from(relays));
         let report = play(&script, Options::default());
-        if let Some(violation) = &report.broken {
+        if let Some(violation) = &report.violation_text {
             eprintln!("{relays} relays: {violation}");
         }
         let Ok(mut totals) = totals.lock() else {
--- a/crates/simulator/src/commands/loopback/test_bed.rs
+++ b/crates/simulator/src/commands/loopback/test_bed.rs
@@ -12,8 +12,8 @@
 use super::configuration::{configuration, peer_context};
 use super::error::LoopbackError;
 use super::{free_address, MEASURED_PARTNERS};
-use crate::peers::discovery::{Discovery, Line};
-use crate::peers::{read_request, Stage};
+use crate::peers::discovery::{Discovery, HostEntry};
+use crate::peers::{read_request, PeerContext};
 
 /// The capacity that discovery lists for each partner, in calls a second: more than any measurement makes.
 const LISTED_CAPACITY: u32 = 10_000;
@@ -23,7 +23,7 @@
 /// Partners that answer at once, a discovery that lists them, and the files of a relay that calls them.
 pub(in crate::commands) struct TestBed {
     /// The context of the peers.
-    pub context: Stage<OsRuntime>,
+    pub context: PeerContext<OsRuntime>,
     /// The relay's configuration file.
     pub configuration: PathBuf,
     pub state_directory: PathBuf,
@@ -40,18 +40,18 @@
         let discovery_address = free_address()?;
         let partners = (1..=MEASURED_PARTNERS)
             .map(listed_partner)
-            .collect::<Result<Vec<Line>, _>>()?;
-        let addresses: Vec<SocketAddr> = partners.iter().map(|partner| partner.dial).collect();
+            .collect::<Result<Vec<HostEntry>, _>>()?;
+        let addresses: Vec<SocketAddr> = partners.iter().map(|partner| partner.address).collect();
         let discovery = Discovery::new(partners);
         let relay = configuration(
             listen,
             discovery_address,
             &state_directory,
-            &discovery.whole(),
+            &discovery.full_snapshot(),
         );
         std::fs::write(&configuration_file, relay.file.to_string())
             .map_err(LoopbackError::WriteFile)?;
-        let context = peer_context(relay.rules);
+        let context = peer_context(relay.limits);
         for address in addresses {
             let serving = serve_partner(context.clone(), address);
             context.runtime.spawn(async move { drop(serving.await) });
@@ -69,19 +69,19 @@
 }
 
 /// The partner of a destination as discovery lists it, at a free address.
-fn listed_partner(destination: u16) -> Result<Line, LoopbackError> {
-    Ok(Line {
+fn listed_partner(destination: u16) -> Result<HostEntry, LoopbackError> {
+    Ok(HostEntry {
         host: format!("partner-{destination}"),
-        dial: free_address()?,
-        site: "a".into(),
-        block: destination,
+        address: free_address()?,
+        zone: "a".into(),
+        destination,
         health: "up",
-        share: LISTED_CAPACITY,
+        calls_per_second: LISTED_CAPACITY,
     })
 }
 
 /// Takes connections for good, and answers every call with success.
-async fn serve_partner(context: Stage<OsRuntime>, address: SocketAddr) -> io::Result<()> {
+async fn serve_partner(context: PeerContext<OsRuntime>, address: SocketAddr) -> io::Result<()> {
     let listener = context.runtime.listen(address).await?;
     loop {
         let mut stream = listener.accept().await?;
--- a/crates/simulator/src/commands/shrink.rs
+++ b/crates/simulator/src/commands/shrink.rs
@@ -33,15 +33,15 @@
 /// breaks no rule.
 #[must_use]
 pub fn shrink(script: Script, options: Options) -> Option<ShrunkScript> {
-    let rule = play(&script, options).breach?.rule;
+    let rule = play(&script, options).violation?.invariant;
     let is_broken = |script: &Script| {
         play(script, options)
-            .breach
-            .is_some_and(|breach| breach.rule == rule)
+            .violation
+            .is_some_and(|violation| violation.invariant == rule)
     };
     let script = without_faults(script, &is_broken);
     let script = without_messages(script, &is_broken);
-    let broken = play(&script, options).broken?;
+    let broken = play(&script, options).violation_text?;
     Some(ShrunkScript { script, broken })
 }
 
--- a/crates/simulator/src/faults/process.rs
+++ b/crates/simulator/src/faults/process.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{Scene, Trouble};
+use crate::history::Observation;
 use crate::rng::SimulationRng;
-use crate::rules::facts::Seen;
 
 /// SIGKILL after so many more effects, and a start so many milliseconds later.
 #[derive(Debug)]
@@ -90,14 +90,14 @@
         scene
             .machine()
             .disk(scene.relay(), |disk| disk.free_bytes = Some(self.0));
-        scene.see(&Seen::KeepsNothing(true));
+        scene.observe(&Observation::DiskFull(true));
     }
 
     fn ends(&self, scene: &mut dyn Scene) {
         scene
             .machine()
             .disk(scene.relay(), |disk| disk.free_bytes = None);
-        scene.see(&Seen::KeepsNothing(false));
+        scene.observe(&Observation::DiskFull(false));
     }
 }
 
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -10,9 +10,9 @@
 use tenancy::spec::TenantSpec;
 use tenancy::{registry_file, Registry};
 
-use crate::peers::clients::{Habit, Plan};
+use crate::history::Idempotency;
+use crate::peers::clients::{ClientBehavior, PlannedMessage};
 use crate::rng::SimulationRng;
-use crate::rules::facts::Repeat;
 
 /// Where the administration API listens.
 pub const ADMIN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8700);
@@ -40,38 +40,38 @@
 
 /// What an administrator does.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
-    /// Looks.
-    Look,
-    /// Sets parts of the specification, as JSON.
-    Set(String),
+pub enum AdminAction {
+    /// Reads it.
+    Read,
+    /// Updates parts of the specification, as JSON.
+    Update(String),
     /// Pauses.
     Pause,
     /// Resumes.
     Resume,
-    /// Removes; `refuse` ends at once what is held.
+    /// Removes it.
     Remove {
-        /// End at once what is held.
-        refuse: bool,
+        /// Reject its queued messages at once instead of finishing them.
+        reject_queued: bool,
     },
-    /// Makes anew, with a weight.
+    /// Creates it anew, with a weight.
     Create(u32),
-    /// Sends what can't be read, of a kind.
-    Rubbish(u64),
+    /// Sends something malformed, of a kind.
+    SendMalformed(u64),
 }
 
 /// Something that an administrator is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Errand {
+pub struct AdminTask {
     /// When.
     pub at: Duration,
     /// Number of the tenant.
     pub tenant: usize,
     /// What.
-    pub deed: Deed,
-    /// Meant for a state that is past, or may be.
-    pub stale: bool,
-    /// Asked again with the same key where no answer came.
+    pub action: AdminAction,
+    /// The version that it names is past, or may be.
+    pub uses_stale_version: bool,
+    /// It is sent again with the same idempotency key where no response came.
     pub insists: bool,
 }
 
@@ -83,7 +83,7 @@
     /// The tenants.
     pub tenants: Vec<TenantPlan>,
     /// What administrators do, each by itself.
-    pub admins: Vec<Vec<Errand>>,
+    pub admins: Vec<Vec<AdminTask>>,
 }
 
 impl Hosted {
@@ -101,9 +101,9 @@
         let admins = (0..ADMINS)
             .map(|_| {
                 let many = if busy { rng.between(3, 14) } else { 0 };
-                let mut errands: Vec<Errand> = (0..many).flat_map(|_| errand(rng)).collect();
-                errands.sort_by_key(|errand| errand.at);
-                errands
+                let mut tasks: Vec<AdminTask> = (0..many).flat_map(|_| draw_tasks(rng)).collect();
+                tasks.sort_by_key(|task| task.at);
+                tasks
             })
             .collect();
         Hosted {
@@ -142,7 +142,12 @@
     }
 
     /// Gives each message to its client's tenant, and adds those of the tenants that flood.
-    pub fn fill(&self, rng: &mut SimulationRng, clients: &mut [Vec<Plan>], blocks: &[u16]) {
+    pub fn fill(
+        &self,
+        rng: &mut SimulationRng,
+        clients: &mut [Vec<PlannedMessage>],
+        blocks: &[u16],
+    ) {
         for (client, plans) in clients.iter_mut().enumerate() {
             let tenant = &self.tenant_of(client).name;
             plans
@@ -162,23 +167,23 @@
                     .filter(|c| c % self.tenants.len() == tenant)
                     .collect();
                 let client = *rng.pick(&senders);
-                let (class, repeat, left) = match kind {
-                    0 => ("payout", Repeat::Unsafe, 10_000),
-                    _ => ("update", Repeat::Safe, 6_000),
+                let (class, idempotency, left) = match kind {
+                    0 => ("payout", Idempotency::NonIdempotent, 10_000),
+                    _ => ("update", Idempotency::Idempotent, 6_000),
                 };
-                clients[client].push(Plan {
+                clients[client].push(PlannedMessage {
                     at: Duration::from_millis(rng.between(from, until)),
                     name: format!("f{number:04}"),
                     tenant: self.tenants[tenant].name.clone(),
                     class,
-                    repeat,
-                    order: 0,
-                    in_order: false,
-                    unsafe_from: None,
+                    idempotency,
+                    ordering_key: 0,
+                    is_ordered: false,
+                    non_idempotent_from: None,
                     destination: block,
-                    left,
-                    size: rng.below(300) as usize,
-                    habit: Habit::Plain,
+                    time_to_live_ms: left,
+                    body_bytes: rng.below(300) as usize,
+                    behavior: ClientBehavior::Regular,
                 });
             }
         }
@@ -187,10 +192,10 @@
             for plan in clients
                 .iter_mut()
                 .flatten()
-                .filter(|plan| plan.habit == Habit::Plain)
+                .filter(|plan| plan.behavior == ClientBehavior::Regular)
             {
                 if rng.percent(2) {
-                    plan.habit = Habit::Impostor;
+                    plan.behavior = ClientBehavior::Impersonates;
                 }
             }
         }
@@ -238,24 +243,27 @@
     registry_file::encode_snapshot(&registry, 0)
 }
 
-/// An errand, or two that belong together: what is paused or removed comes back, so that the day goes on.
-fn errand(rng: &mut SimulationRng) -> Vec<Errand> {
+/// A task, or two that belong together: what is paused or removed comes back, so that the day goes on.
+fn draw_tasks(rng: &mut SimulationRng) -> Vec<AdminTask> {
     let at = rng.between(AT_WORK.0, AT_WORK.1);
     let tenant = rng.below(TENANTS) as usize;
-    let (stale, insists) = (rng.percent(15), rng.percent(50));
-    let one = |at: u64, deed| Errand {
+    let (uses_stale_version, insists) = (rng.percent(15), rng.percent(50));
+    let one = |at: u64, action| AdminTask {
         at: Duration::from_millis(at),
         tenant,
-        deed,
-        stale,
+        action,
+        uses_stale_version,
         insists,
     };
     let later = |rng: &mut SimulationRng| at + rng.between(50, 3_000);
     match rng.below(20) {
-        0..=3 => vec![one(at, Deed::Look)],
+        0..=3 => vec![one(at, AdminAction::Read)],
         4..=7 => {
             let weight = *rng.pick(&[30, 100, 300, 1000]);
-            vec![one(at, Deed::Set(format!("{{\"weight\":{weight}}}")))]
+            vec![one(
+                at,
+                AdminAction::Update(format!("{{\"weight\":{weight}}}")),
+            )]
         }
         8 => {
             let set = *rng.pick(&[
@@ -265,18 +273,21 @@
             ]);
             let clear = "{\"max_held\":null,\"max_in_flight\":null,\"rate\":null}";
             vec![
-                one(at, Deed::Set(format!("{{{set}}}"))),
-                one(later(rng), Deed::Set(clear.into())),
+                one(at, AdminAction::Update(format!("{{{set}}}"))),
+                one(later(rng), AdminAction::Update(clear.into())),
             ]
         }
-        9..=12 => vec![one(at, Deed::Pause), one(later(rng), Deed::Resume)],
+        9..=12 => vec![
+            one(at, AdminAction::Pause),
+            one(later(rng), AdminAction::Resume),
+        ],
         13..=17 => {
-            let refuse = rng.percent(50);
+            let reject_queued = rng.percent(50);
             vec![
-                one(at, Deed::Remove { refuse }),
-                one(later(rng), Deed::Create(*rng.pick(&[50, 100, 200]))),
+                one(at, AdminAction::Remove { reject_queued }),
+                one(later(rng), AdminAction::Create(*rng.pick(&[50, 100, 200]))),
             ]
         }
-        _ => vec![one(at, Deed::Rubbish(rng.below(4)))],
+        _ => vec![one(at, AdminAction::SendMalformed(rng.below(4)))],
     }
 }
--- a/crates/simulator/src/peers/hosts.rs
+++ b/crates/simulator/src/peers/hosts.rs
@@ -1,4 +1,4 @@
-//! Partners' hosts: they take calls and answer them, more or less well.
+//! Partners' hosts: they take calls and respond to them by their [behaviour](HostBehavior).
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -11,57 +11,37 @@
 use runtime::{Listener, Runtime, Stream};
 use tokio::io::AsyncWriteExt;
 
-use super::ledger::Ledger;
-use super::{read_request, until_closed, Numbered, Request, Stage};
+use super::effect_log::EffectLog;
+use super::host_behavior::{HostBehavior, Rejection};
+use super::{read_request, until_closed, Numbered, PeerContext, Request};
+use crate::history::{CallId, CallOutcome, HostIdentity, Observation, ReceivedCall};
 use crate::rng::SimulationRng;
-use crate::rules::facts::{CallName, Called, Seen, Verdict};
 
-/// A host's report on its allowance is as old as this at most.
-const REPORTED: Duration = Duration::from_millis(300);
+/// A host's report on what remains of its limit is as old as this at most.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
+/// A host's limit holds over this time ...
+const LIMIT_WINDOW: Duration = Duration::from_secs(1);
+/// ... and the wait that it asks for is longer by this.
+const WAIT_MARGIN: Duration = Duration::from_millis(50);
+/// A host that responds bytewise waits this long before each byte.
+const BYTE_INTERVAL: Duration = Duration::from_millis(40);
+/// The relay reads a response within this.
+const READ_TIME: Duration = Duration::from_millis(20);
 
-/// How a host does at present.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Mood {
-    /// Bounds of the time that it takes to answer, in milliseconds.
-    pub takes: (u64, u64),
-    /// Of a hundred calls so many end in an error.
-    pub fails: u64,
-    /// Of a hundred answers so many are spoilt.
-    pub spoils: u64,
-    /// Turns all calls away, until this if it tells a wait.
-    pub shut: Option<Option<Duration>>,
-    /// Says nothing.
-    pub hangs: bool,
-    /// Ends each connection that a call comes on.
-    pub down: bool,
-    /// Answers a byte at a time.
-    pub trickles: bool,
-    /// Closes connections soon after an answer, or just when the next call comes.
-    pub closes: bool,
-    /// Calls a second that it takes; turns the others away and tells a wait.
-    pub limit: Option<f64>,
-    /// Those turned away use the limit up too, half of them are told no wait, and answers report what is left.
-    pub spends: bool,
-    /// Connections that it holds at most.
-    pub connections: Option<usize>,
+/// What a host reports of its limit.
+#[derive(Clone, Copy)]
+struct LoadReport {
+    /// When it was measured.
+    at: Duration,
+    /// What remains, 0 to 1.
+    remaining: f64,
 }
 
-impl Default for Mood {
-    fn default() -> Self {
-        Mood {
-            takes: (5, 60),
-            fails: 0,
-            spoils: 0,
-            shut: None,
-            hangs: false,
-            down: false,
-            trickles: false,
-            closes: false,
-            limit: None,
-            spends: false,
-            connections: None,
-        }
-    }
+/// Whether a connection can be used after a response.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum AfterResponse {
+    KeepOpen,
+    Close,
 }
 
 /// A host.
@@ -74,22 +54,21 @@
     pub zone: String,
     /// Where it takes connections.
     pub address: SocketAddr,
-    /// How it does.
-    pub mood: RefCell<Mood>,
-    /// Calls a second that it could take, as its answers report.
+    /// How it treats calls.
+    pub behavior: RefCell<HostBehavior>,
+    /// Calls a second that it could take, as its responses report.
     pub capacity: f64,
     rng: RefCell<SimulationRng>,
-    taken: RefCell<VecDeque<Duration>>,
-    /// Connections that are open.
-    open: Cell<usize>,
-    /// What it reports as left of its allowance, and since when.
-    left: Cell<(Duration, f64)>,
-    /// Where it books what took effect, on days on which that is asked for.
-    pub ledger: RefCell<Option<Ledger>>,
+    /// When calls came that count against its limit, in order.
+    recent_calls: RefCell<VecDeque<Duration>>,
+    open_connections: Cell<usize>,
+    load_report: Cell<LoadReport>,
+    /// Where it records what took effect, in scenarios that need it.
+    pub effect_log: RefCell<Option<EffectLog>>,
 }
 
 impl Host {
-    /// A host that does well.
+    /// A host with the default behaviour.
     #[must_use]
     pub fn new(
         name: &str,
@@ -104,13 +83,16 @@
             block,
             zone: zone.into(),
             address,
-            mood: RefCell::default(),
+            behavior: RefCell::default(),
             capacity,
             rng: RefCell::new(rng),
-            taken: RefCell::default(),
-            open: Cell::new(0),
-            left: Cell::new((Duration::ZERO, 1.0)),
-            ledger: RefCell::default(),
+            recent_calls: RefCell::default(),
+            open_connections: Cell::new(0),
+            load_report: Cell::new(LoadReport {
+                at: Duration::ZERO,
+                remaining: 1.0,
+            }),
+            effect_log: RefCell::default(),
         })
     }
 
@@ -119,27 +101,29 @@
     /// # Errors
     ///
     /// The listener's error if the address cannot be bound.
-    pub async fn serve<R: Runtime>(self: Rc<Self>, stage: Stage<R>) -> io::Result<()>
+    pub async fn serve<R: Runtime>(self: Rc<Self>, context: PeerContext<R>) -> io::Result<()>
     where
         R::Stream: Numbered,
     {
-        let listener = stage.runtime.listen(self.address).await?;
+        let listener = context.runtime.listen(self.address).await?;
         loop {
             let stream = listener.accept().await?;
-            let (host, own) = (self.clone(), stage.clone());
-            stage.runtime.spawn(async move {
-                host.open.set(host.open.get() + 1);
-                own.see(&Seen::Opened(host.open.get()));
+            let (host, own) = (self.clone(), context.clone());
+            context.runtime.spawn(async move {
+                host.open_connections.set(host.open_connections.get() + 1);
+                own.observe(&Observation::HostConnectionAccepted(
+                    host.open_connections.get(),
+                ));
                 // A connection that breaks is the relay's to make good.
                 let _ = host.connection(&own, stream).await;
-                host.open.set(host.open.get() - 1);
+                host.open_connections.set(host.open_connections.get() - 1);
             });
         }
     }
 
     async fn connection<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         mut stream: R::Stream,
     ) -> io::Result<()>
     where
@@ -147,64 +131,74 @@
     {
         stream.set_nodelay()?;
         let mut text = BytesMut::new();
-        let crowded = self
-            .mood
-            .borrow()
-            .connections
-            .is_some_and(|most| self.open.get() > most);
-        while let Some(request) = read_request(stage, &mut stream, &mut text).await? {
-            let called = self.called(stage, &request, stream.number());
-            let name = stage
+        let max_connections = self.behavior.borrow().max_connections;
+        let is_over_limit = max_connections.is_some_and(|max| self.open_connections.get() > max);
+        while let Some(request) = read_request(context, &mut stream, &mut text).await? {
+            let call = self.received_call(context, &request, stream.number());
+            let id = context
                 .checker
                 .borrow_mut()
-                .called(stage.at(), &called, &|conn| (stage.holds)(conn));
-            let Some(name) = name else {
+                .observe_call(context.at(), &call, &|conn| {
+                    (context.is_connection_open)(conn)
+                });
+            let Some(id) = id else {
                 stream
                     .write_all(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
                     .await?;
                 continue;
             };
-            if self.mood.borrow().down {
-                self.book(stage, &called, false);
-                stage.see(&Seen::Closed(&name));
+            if self.behavior.borrow().drops_calls {
+                self.record_effect(context, &call, false);
+                context.observe(&Observation::CallConnectionClosed(&id));
                 return Ok(());
             }
-            if crowded {
+            if is_over_limit {
                 let text =
                     "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
                 return self
                     .write(
-                        stage,
+                        context,
                         &mut stream,
-                        &name,
-                        Verdict::NeverRan(Duration::ZERO),
+                        &id,
+                        CallOutcome::Rejected {
+                            retry_after: Duration::ZERO,
+                        },
                         text,
                     )
                     .await;
             }
-            let kept = self.answer(stage, &mut stream, &name, &called).await;
-            if !matches!(kept, Ok(true)) {
-                stage.see(&Seen::Closed(&name));
-                kept?;
+            let after = self.respond(context, &mut stream, &id, &call).await;
+            if !matches!(after, Ok(AfterResponse::KeepOpen)) {
+                context.observe(&Observation::CallConnectionClosed(&id));
+                after?;
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    fn called<R: Runtime>(&self, stage: &Stage<R>, request: &Request, conn: u64) -> Called {
+    fn received_call<R: Runtime>(
+        &self,
+        context: &PeerContext<R>,
+        request: &Request,
+        connection: u64,
+    ) -> ReceivedCall {
         let text = |name: &str| request.header(name).map(String::from);
         let id = text("x-trace-id").unwrap_or_default();
-        let host = (self.name.borrow().clone(), self.block, self.zone.clone());
-        (stage.news)(format_args!("{} gets {id}", host.0));
-        Called {
-            conn,
+        let host = HostIdentity {
+            name: self.name.borrow().clone(),
+            destination: self.block,
+            zone: self.zone.clone(),
+        };
+        (context.trace)(format_args!("{} gets {id}", host.name));
+        ReceivedCall {
+            connection,
             host,
-            begun: request.begun,
-            line: request.line.clone(),
-            id,
-            key: text("idempotency-key"),
-            expires: text("x-expires-in-ms").and_then(|text| text.parse().ok()),
+            first_byte_at: request.begun,
+            request_line: request.line.clone(),
+            message_id: id,
+            idempotency_key: text("idempotency-key"),
+            expires_in_ms: text("x-expires-in-ms").and_then(|text| text.parse().ok()),
             body: request.body.clone(),
         }
     }
@@ -213,219 +207,270 @@
         draw(&mut self.rng.borrow_mut())
     }
 
-    /// How long a call has to stay away, if the host is at its limit.
-    fn over_limit(&self, limit: f64, at: Duration, spends: bool) -> Option<Duration> {
-        let mut taken = self.taken.borrow_mut();
-        while taken
+    /// How long a call has to wait, if the host is at its limit.
+    fn wait_at_limit(
+        &self,
+        max_calls: f64,
+        behavior: &HostBehavior,
+        at: Duration,
+    ) -> Option<Duration> {
+        let mut recent = self.recent_calls.borrow_mut();
+        while recent
             .front()
-            .is_some_and(|first| *first + Duration::from_secs(1) < at)
+            .is_some_and(|first| *first + LIMIT_WINDOW < at)
         {
-            taken.pop_front();
+            recent.pop_front();
         }
-        if (taken.len() as f64) < limit {
-            taken.push_back(at);
+        if (recent.len() as f64) < max_calls {
+            recent.push_back(at);
             return None;
         }
-        let again = taken
+        let wait = recent
             .front()
-            .map(|first| (*first + Duration::from_millis(1050)).saturating_sub(at));
-        if spends {
-            taken.push_back(at);
-            taken.truncate(4 * limit as usize + 4);
+            .map(|first| (*first + LIMIT_WINDOW + WAIT_MARGIN).saturating_sub(at));
+        if behavior.rejections_use_limit {
+            recent.push_back(at);
+            recent.truncate(4 * max_calls as usize + 4);
         }
-        again
+        wait
     }
 
-    /// The load report of an answer: what is left is read anew every 0.3 s.
-    fn report(&self, at: Duration) -> String {
-        let mood = self.mood.borrow();
-        let limit = mood.limit.filter(|_| mood.spends);
-        let Some(limit) = limit else {
+    /// The load report of a response: what remains of the limit is measured anew every 0.3 s.
+    fn load_report(&self, at: Duration) -> String {
+        let behavior = self.behavior.borrow();
+        let limit = behavior.max_calls_per_second;
+        let Some(limit) = limit.filter(|_| behavior.rejections_use_limit) else {
             return format!("Endpoint-Load-Metrics: x0=0.6,x1={:.1}\r\n", self.capacity);
         };
-        let (since, left) = self.left.get();
-        if since + REPORTED <= at {
-            let taken = self
-                .taken
-                .borrow()
+        let report = self.load_report.get();
+        if report.at + MAX_REPORT_AGE <= at {
+            let recent = self.recent_calls.borrow();
+            let used = recent
                 .iter()
-                .filter(|call| **call + Duration::from_secs(1) >= at)
+                .filter(|call| **call + LIMIT_WINDOW >= at)
                 .count();
-            self.left.set((at, (1.0 - taken as f64 / limit).max(0.0)));
+            let remaining = (1.0 - used as f64 / limit).max(0.0);
+            self.load_report.set(LoadReport { at, remaining });
         }
-        format!("Endpoint-Load-Metrics: x0={left:.3},x1={limit:.1}\r\n")
+        format!(
+            "Endpoint-Load-Metrics: x0={:.3},x1={limit:.1}\r\n",
+            report.remaining
+        )
     }
 
-    /// A call that was not turned away takes effect, or may.
-    fn book<R: Runtime>(&self, stage: &Stage<R>, called: &Called, well: bool) {
-        if let Some(ledger) = &*self.ledger.borrow() {
-            ledger.arrives(stage, called, well);
+    /// A call that was not rejected takes effect, or may.
+    fn record_effect<R: Runtime>(
+        &self,
+        context: &PeerContext<R>,
+        call: &ReceivedCall,
+        is_success: bool,
+    ) {
+        if let Some(effect_log) = &*self.effect_log.borrow() {
+            effect_log.record_call(context, call, is_success);
         }
     }
 
-    /// Answers a call; false if the connection is of no further use.
-    async fn answer<R: Runtime>(
+    /// Responds to a call.
+    async fn respond<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
-        name: &CallName,
-        called: &Called,
-    ) -> io::Result<bool>
+        id: &CallId,
+        call: &ReceivedCall,
+    ) -> io::Result<AfterResponse>
     where
         R::Stream: Numbered,
     {
-        let mood = self.mood.borrow().clone();
-        if mood.hangs {
-            self.book(stage, called, false);
+        let behavior = self.behavior.borrow().clone();
+        if behavior.hangs {
+            self.record_effect(context, call, false);
             until_closed(stream).await;
-            return Ok(false);
+            return Ok(AfterResponse::Close);
         }
-        let refused = match mood.shut {
-            Some(until) => Some(until.map(|until| until.saturating_sub(stage.at()))),
-            None => mood
-                .limit
-                .and_then(|limit| self.over_limit(limit, stage.at(), mood.spends))
-                .map(Some),
-        };
-        if let Some(wait) = refused {
-            let silent = mood.spends && self.draw(|rng| rng.percent(50));
-            let wait = wait.filter(|_| !silent).unwrap_or_default();
-            let millis = wait.as_millis();
-            let head = if millis > 0 {
-                format!("HTTP/1.1 429 Too Many Requests\r\nX-Backoff-Ms: {millis}\r\n")
-            } else {
-                "HTTP/1.1 503 Service Unavailable\r\n".into()
-            };
-            let wait = Duration::from_millis(millis as u64);
-            let report = if mood.spends {
-                self.report(stage.at())
-            } else {
-                String::new()
-            };
-            let text = format!("{head}{report}Content-Length: 0\r\n\r\n");
-            self.write(stage, stream, name, Verdict::NeverRan(wait), &text)
-                .await?;
-            return Ok(true);
+        if let Some(wait) = self.rejection_wait(context.at(), &behavior) {
+            self.reject(context, stream, id, wait, &behavior).await?;
+            return Ok(AfterResponse::KeepOpen);
         }
-        let (takes, fails, spoils) = self.draw(|rng| {
+        let (response_ms, is_error, is_corrupted) = self.draw(|rng| {
             (
-                rng.between(mood.takes.0, mood.takes.1),
-                rng.percent(mood.fails),
-                rng.percent(mood.spoils),
+                rng.between(behavior.min_response_ms, behavior.max_response_ms),
+                rng.percent(behavior.error_percent),
+                rng.percent(behavior.corruption_percent),
             )
         });
-        if !spoils {
-            self.book(stage, called, !fails);
+        if !is_corrupted {
+            self.record_effect(context, call, !is_error);
         }
         // A relay that gives the call up closes its connection meanwhile.
         tokio::select! {
             biased;
-            () = stage.runtime.sleep(Duration::from_millis(takes)) => {}
-            () = until_closed(stream) => return Ok(false),
+            () = context.runtime.sleep(Duration::from_millis(response_ms)) => {}
+            () = until_closed(stream) => return Ok(AfterResponse::Close),
         }
-        if spoils {
-            return self.spoil(stage, stream, name, called).await;
+        if is_corrupted {
+            return self.respond_corrupted(context, stream, id, call).await;
         }
-        if fails {
+        if is_error {
             let text = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-            self.write(stage, stream, name, Verdict::MayHaveRun, text)
+            self.write(context, stream, id, CallOutcome::MayHaveExecuted, text)
                 .await?;
-            return Ok(true);
+            return Ok(AfterResponse::KeepOpen);
+        }
+        self.respond_delivered(context, stream, id, &behavior).await
+    }
+
+    /// The wait to ask for if a call is rejected now; zero for none.
+    fn rejection_wait(&self, at: Duration, behavior: &HostBehavior) -> Option<Duration> {
+        match behavior.rejection {
+            Some(Rejection::WithoutWait) => Some(Duration::ZERO),
+            Some(Rejection::Until(until)) => Some(until.saturating_sub(at)),
+            None => {
+                let limit = behavior.max_calls_per_second?;
+                self.wait_at_limit(limit, behavior, at)
+            }
         }
-        let report = self.report(stage.at());
-        let good = format!("HTTP/1.1 200 OK\r\n{report}Content-Length: 2\r\n\r\nok");
-        if mood.trickles {
-            let line = good.find('\n').unwrap_or(0) + 1;
-            for (count, byte) in good.bytes().enumerate() {
-                stage.runtime.sleep(Duration::from_millis(40)).await;
-                if count + 1 == line {
-                    stage.see(&Seen::Answers(name, Verdict::Delivered));
+    }
+
+    /// Rejects a call.
+    async fn reject<R: Runtime>(
+        &self,
+        context: &PeerContext<R>,
+        stream: &mut R::Stream,
+        id: &CallId,
+        wait: Duration,
+        behavior: &HostBehavior,
+    ) -> io::Result<()>
+    where
+        R::Stream: Numbered,
+    {
+        let hides_wait = behavior.rejections_use_limit && self.draw(|rng| rng.percent(50));
+        let millis = if hides_wait { 0 } else { wait.as_millis() };
+        let head = if millis > 0 {
+            format!("HTTP/1.1 429 Too Many Requests\r\nX-Backoff-Ms: {millis}\r\n")
+        } else {
+            "HTTP/1.1 503 Service Unavailable\r\n".into()
+        };
+        let report = if behavior.rejections_use_limit {
+            self.load_report(context.at())
+        } else {
+            String::new()
+        };
+        let outcome = CallOutcome::Rejected {
+            retry_after: Duration::from_millis(millis as u64),
+        };
+        let text = format!("{head}{report}Content-Length: 0\r\n\r\n");
+        self.write(context, stream, id, outcome, &text).await
+    }
+
+    /// Responds that a message is delivered.
+    async fn respond_delivered<R: Runtime>(
+        &self,
+        context: &PeerContext<R>,
+        stream: &mut R::Stream,
+        id: &CallId,
+        behavior: &HostBehavior,
+    ) -> io::Result<AfterResponse>
+    where
+        R::Stream: Numbered,
+    {
+        let report = self.load_report(context.at());
+        let text = format!("HTTP/1.1 200 OK\r\n{report}Content-Length: 2\r\n\r\nok");
+        if behavior.responds_bytewise {
+            let status_line_length = text.find('\n').unwrap_or(0) + 1;
+            for (sent, byte) in text.bytes().enumerate() {
+                context.runtime.sleep(BYTE_INTERVAL).await;
+                if sent + 1 == status_line_length {
+                    context.observe(&Observation::ResponseStarted {
+                        call: id,
+                        outcome: CallOutcome::Delivered,
+                    });
                 }
                 stream.write_all(&[byte]).await?;
             }
-            return Ok(true);
+            return Ok(AfterResponse::KeepOpen);
         }
-        self.write(stage, stream, name, Verdict::Delivered, &good)
+        self.write(context, stream, id, CallOutcome::Delivered, &text)
             .await?;
-        if mood.closes && self.draw(|rng| rng.percent(60)) {
-            let after = self.draw(|rng| rng.below(250));
-            // It may cross the next call, which is then never read.
-            stage.runtime.sleep(Duration::from_millis(after)).await;
-            return Ok(false);
+        if behavior.closes_after_response && self.draw(|rng| rng.percent(60)) {
+            let delay_ms = self.draw(|rng| rng.below(250));
+            // The close may cross the next call, which is then never read.
+            context.runtime.sleep(Duration::from_millis(delay_ms)).await;
+            return Ok(AfterResponse::Close);
         }
-        Ok(true)
+        Ok(AfterResponse::KeepOpen)
     }
 
+    /// Writes a response, and reports it.
     async fn write<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
-        name: &CallName,
-        verdict: Verdict,
+        id: &CallId,
+        outcome: CallOutcome,
         text: &str,
     ) -> io::Result<()>
     where
         R::Stream: Numbered,
     {
-        stage.see(&Seen::Answers(name, verdict));
+        context.observe(&Observation::ResponseStarted { call: id, outcome });
         stream.write_all(text.as_bytes()).await?;
-        self.tell_read(stage, stream.number(), name);
+        self.report_read(context, stream.number(), id);
         Ok(())
     }
 
-    /// Tells the checker once the relay has surely read the answer: it still holds the connection then.
-    fn tell_read<R: Runtime>(&self, stage: &Stage<R>, conn: u64, name: &CallName) {
-        let (own, name) = (stage.clone(), name.clone());
-        stage.runtime.spawn(async move {
-            own.runtime.sleep(Duration::from_millis(20)).await;
-            if (own.hears)(conn) {
-                own.see(&Seen::Read(&name));
+    /// Reports a response as read once the relay surely has read it: it still holds the connection then.
+    fn report_read<R: Runtime>(&self, context: &PeerContext<R>, connection: u64, id: &CallId) {
+        let (context, id) = (context.clone(), id.clone());
+        context.clone().runtime.spawn(async move {
+            context.runtime.sleep(READ_TIME).await;
+            if (context.is_connection_readable)(connection) {
+                context.observe(&Observation::ResponseRead(&id));
             }
         });
     }
 
-    /// An answer that is not as it should be. What it says in its first line is still true.
-    async fn spoil<R: Runtime>(
+    /// A corrupted response. What its status line says is still true.
+    async fn respond_corrupted<R: Runtime>(
         &self,
-        stage: &Stage<R>,
+        context: &PeerContext<R>,
         stream: &mut R::Stream,
-        name: &CallName,
-        called: &Called,
-    ) -> io::Result<bool>
+        id: &CallId,
+        call: &ReceivedCall,
+    ) -> io::Result<AfterResponse>
     where
         R::Stream: Numbered,
     {
         let kind = self.draw(|rng| rng.below(9));
-        let (verdict, text): (_, &[u8]) = match kind {
-            0 => (Verdict::MayHaveRun, b"\x01\x02\xff\r\n\r\nnoise"),
-            1 => (Verdict::Delivered, b"HTTP/1.1 200 OK\r\n\x01: \xff\r\n\r\n"),
-            2 => (Verdict::MayHaveRun, b"HTTP/1.1 500 Oh\r\nContent-Length: x\r\n\r\n"),
-            3 => (Verdict::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more"),
+        let (outcome, text): (_, &[u8]) = match kind {
+            0 => (CallOutcome::MayHaveExecuted, b"\x01\x02\xff\r\n\r\nnoise"),
+            1 => (CallOutcome::Delivered, b"HTTP/1.1 200 OK\r\n\x01: \xff\r\n\r\n"),
+            2 => (CallOutcome::MayHaveExecuted, b"HTTP/1.1 500 Oh\r\nContent-Length: x\r\n\r\n"),
+            3 => (CallOutcome::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nmore and more"),
             4 => (
-                Verdict::Delivered,
+                CallOutcome::Delivered,
                 b"HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
             ),
             5 => (
-                Verdict::Delivered,
+                CallOutcome::Delivered,
                 b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
             ),
             6 => (
-                Verdict::Delivered,
+                CallOutcome::Delivered,
                 b"HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: x0=-1,x1=nan\r\nContent-Length: 0\r\n\r\n",
             ),
-            7 => (Verdict::MayHaveRun, b"HTTP/1.1 500 Oh\r\nA: and no end"),
+            7 => (CallOutcome::MayHaveExecuted, b"HTTP/1.1 500 Oh\r\nA: and no end"),
             _ => {
-                (Verdict::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabc")
+                (CallOutcome::Delivered, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 7\r\n\r\nabc")
             }
         };
-        self.book(stage, called, verdict == Verdict::Delivered);
-        stage.see(&Seen::Answers(name, verdict));
+        self.record_effect(context, call, outcome == CallOutcome::Delivered);
+        context.observe(&Observation::ResponseStarted { call: id, outcome });
         stream.write_all(text).await?;
         if matches!(kind, 4 | 6) {
-            self.tell_read(stage, stream.number(), name);
-            return Ok(true);
+            self.report_read(context, stream.number(), id);
+            return Ok(AfterResponse::KeepOpen);
         }
         until_closed(stream).await;
-        Ok(false)
+        Ok(AfterResponse::Close)
     }
 }
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -12,24 +12,27 @@
 use serde::Serialize;
 use tokio::sync::watch;
 
-use crate::checker::{Breach, Checker, Counts};
+use crate::checker::{Checker, Counts};
 use crate::faults::{Fault, Scene, Upgrade};
+use crate::history::Observation;
 use crate::hosted::{self, OPERATOR};
+use crate::invariants::Violation;
 use crate::kept;
 use crate::machine::{
     AddressFault, Machine, PlantedFault, ProcessId, SimulatedRuntime, CONFIG_PATH,
 };
 use crate::operated;
-use crate::peers::admins::{Admin, Rogue};
-use crate::peers::clients::{until_ready, until_yes, Client};
-use crate::peers::discovery::{Discovery, Gate, Line};
-use crate::peers::hosts::{Host, Mood};
-use crate::peers::ledger::Ledger;
+use crate::peers::admins::{Admin, MisbehavingAdmin};
+use crate::peers::clients::Client;
+use crate::peers::connection::{until_ready, until_takes_clients};
+use crate::peers::control_clients::{self, ControlEndpoint, ControlSocket, DrainCommand};
+use crate::peers::discovery::{Discovery, HostEntry, PollQueue};
+use crate::peers::effect_log::EffectLog;
+use crate::peers::host_behavior::HostBehavior;
+use crate::peers::hosts::Host;
 use crate::peers::operators::Operator;
-use crate::peers::staff::{self, Door};
-use crate::peers::Stage;
+use crate::peers::PeerContext;
 use crate::rng::SimulationRng;
-use crate::rules::facts::Seen;
 use crate::script::{discovery_address, relay_address, Script};
 
 /// After the last message's time is up the world runs on for so long.
@@ -61,7 +64,7 @@
     /// Change the configuration that the relay reads, for the same end.
     pub misconfigure: Option<fn(&mut serde_json::Value)>,
     /// Let administrators deceive the checker, for the same end.
-    pub rogue: Option<Rogue>,
+    pub misbehaving_admin: Option<MisbehavingAdmin>,
 }
 
 /// On a day with several relays the clocks of their machines are less than this ahead of the world's, in milliseconds.
@@ -84,11 +87,12 @@
     pub messages: usize,
     /// What passed.
     pub counts: Counts,
-    /// The rule that was broken, when, and what happened.
+    /// The first violation of an invariant.
     #[serde(skip)]
-    pub breach: Option<Breach>,
+    pub violation: Option<Violation>,
     /// The same as text.
-    pub broken: Option<String>,
+    #[serde(rename = "broken")]
+    pub violation_text: Option<String>,
     /// The trace, if one was asked for.
     #[serde(skip)]
     pub trace: Vec<String>,
@@ -115,7 +119,7 @@
     /// The process that a new version is about to replace, or has.
     old: Option<Old>,
     /// Where operators call.
-    door: Door,
+    door: ControlEndpoint,
     /// The front opens no connection.
     shut: Rc<Cell<bool>>,
     /// Connections of clients that it holds, and since when.
@@ -140,7 +144,7 @@
     script: &'a Script,
     options: Options,
     machine: Machine,
-    stage: Stage<SimulatedRuntime>,
+    context: PeerContext<SimulatedRuntime>,
     hosts: Vec<Rc<Host>>,
     known: serde_json::Value,
     seats: Vec<Seat>,
@@ -152,18 +156,18 @@
     shown: Rc<Cell<bool>>,
 }
 
-/// Plays a script to its end or its first breach. A panic counts as a crash of the relay.
+/// Plays a script to its end or its first violation. A panic counts as a crash of the relay.
 #[must_use]
 pub fn play(script: &Script, options: Options) -> Report {
     let played = catch_unwind(AssertUnwindSafe(|| World::new(script, options).run()));
     played.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| text.to_string()));
-        let what = format!("a panic: {}", text.unwrap_or_default());
-        let breach = Breach {
-            rule: "crash",
+        let description = format!("a panic: {}", text.unwrap_or_default());
+        let violation = Violation {
+            invariant: "crash",
             at: Duration::ZERO,
-            what,
+            description,
         };
         Report {
             seed: script.seed,
@@ -173,8 +177,8 @@
             virtual_ms: 0,
             messages: script.size(),
             counts: Counts::default(),
-            broken: Some(breach.to_string()),
-            breach: Some(breach),
+            violation_text: Some(violation.to_string()),
+            violation: Some(violation),
             trace: Vec::new(),
         }
     })
@@ -185,23 +189,23 @@
         let machine = Machine::new(script.seed, options.traced);
         let runtime = machine.world_runtime();
         let (holder, hearer, noter) = (machine.handle(), machine.handle(), machine.handle());
-        let stage = Stage {
+        let context = PeerContext {
             start: runtime.now(),
             runtime,
             relay: 0,
             checker: Rc::new(RefCell::new(Checker::new(
-                script.rules.clone(),
+                script.limits.clone(),
                 script.relays,
             ))),
-            holds: Rc::new(move |conn| holder.is_held_by_initiator(conn)),
-            hears: Rc::new(move |conn| hearer.delivers_to_initiator(conn)),
-            news: Rc::new(move |line| noter.note(line)),
+            is_connection_open: Rc::new(move |conn| holder.is_held_by_initiator(conn)),
+            is_connection_readable: Rc::new(move |conn| hearer.delivers_to_initiator(conn)),
+            trace: Rc::new(move |line| noter.note(line)),
         };
         let mut hosts = Vec::new();
         let mut lines = Vec::new();
         for (number, plan) in script.hosts.iter().enumerate() {
             let capacity = script
-                .rules
+                .limits
                 .capacity
                 .get(&plan.block)
                 .copied()
@@ -215,14 +219,18 @@
                 capacity,
                 rng,
             );
-            host.mood.borrow_mut().takes = plan.takes;
+            {
+                let mut behavior = host.behavior.borrow_mut();
+                (behavior.min_response_ms, behavior.max_response_ms) = plan.takes;
+            }
             if let Some(kept) = &script.kept {
-                host.mood.borrow_mut().fails = kept.fails;
+                host.behavior.borrow_mut().error_percent = kept.fails;
             }
             if let Some(vast) = &script.vast {
-                let mut mood = host.mood.borrow_mut();
-                (mood.limit, mood.spends, mood.connections) =
-                    (Some(capacity), true, Some(vast.connections));
+                let mut behavior = host.behavior.borrow_mut();
+                behavior.max_calls_per_second = Some(capacity);
+                behavior.rejections_use_limit = true;
+                behavior.max_connections = Some(vast.connections);
             }
             lines.push(line(&host, "up", capacity));
             hosts.push(host);
@@ -235,7 +243,7 @@
             closes_discovery: watch::channel(false).0,
             down_for: Duration::from_millis(600),
             old: None,
-            door: Rc::new(Cell::new((0, door_address(0)))),
+            door: Rc::new(Cell::new(control_socket(0))),
             shut: Rc::default(),
             held: BTreeMap::new(),
             settings: script.settings.clone(),
@@ -243,12 +251,12 @@
         };
         let seats: Vec<Seat> = (0..script.relays).map(seat).collect();
         if let Some(vast) = &script.vast {
-            let gate = Gate::new(vast.each_list);
+            let gate = PollQueue::new(vast.each_list);
             seats
                 .iter()
-                .for_each(|seat| *seat.discovery.gate.borrow_mut() = Some(gate.clone()));
+                .for_each(|seat| *seat.discovery.poll_queue.borrow_mut() = Some(gate.clone()));
         }
-        let known = seats[0].discovery.whole();
+        let known = seats[0].discovery.full_snapshot();
         if script.relays > 1 {
             let mut rng = SimulationRng::new(script.seed, 5);
             machine.set_clock_offsets(
@@ -261,7 +269,7 @@
             script,
             options,
             machine,
-            stage,
+            context,
             hosts,
             known,
             seats,
@@ -273,8 +281,10 @@
 
     fn run(mut self) -> Report {
         for host in &self.hosts {
-            let served = host.clone().serve(self.stage.clone());
-            self.stage.runtime.spawn(async move { drop(served.await) });
+            let served = host.clone().serve(self.context.clone());
+            self.context
+                .runtime
+                .spawn(async move { drop(served.await) });
         }
         for relay in 0..self.seats.len() {
             self.serve_discovery(relay);
@@ -299,14 +309,14 @@
             let login = hosted.map(|hosted| hosted.tenant_of(number));
             let login = login.map(|tenant| (tenant.name.clone(), tenant.secret.clone()));
             let client = Client::new(
-                self.stage.clone(),
+                self.context.clone(),
                 relays.clone(),
                 number % relays.len(),
                 plans.clone(),
                 login,
             );
             let shut = self.seats[number % relays.len()].shut.clone();
-            self.stage.runtime.spawn(client.behind(shut).run());
+            self.context.runtime.spawn(client.behind(shut).run());
         }
         self.staff();
         self.administrate();
@@ -322,7 +332,7 @@
         let mut look = LOOK;
         loop {
             let now = self.machine.now();
-            if now >= ends || self.stage.checker.borrow().breach().is_some() {
+            if now >= ends || self.context.checker.borrow().violation().is_some() {
                 break;
             }
             if let Some((_, begins, number)) = edges.next_if(|(at, _, _)| *at <= now) {
@@ -344,12 +354,12 @@
                     let size = self
                         .machine
                         .disk(relay, |disk| disk.allocated_bytes(Path::new(FOLDER)));
-                    self.of(relay).see(&Seen::Disk(size));
+                    self.of(relay).observe(&Observation::DiskUsage(size));
                     if self.script.operated {
                         self.look_in(now, relay);
                     }
                 }
-                self.stage.see(&Seen::Pass);
+                self.context.observe(&Observation::Tick);
                 look = now + LOOK;
             }
             let until = edges
@@ -357,39 +367,39 @@
                 .map_or(ends, |(at, _, _)| *at)
                 .min(look)
                 .min(ends);
-            // After every step the breach, if there is one, is known at the top of this loop.
+            // After every step the violation, if there is one, is known at the top of this loop.
             self.machine.step(until);
             if self.machine.steps() > STEPS {
-                self.stage.see(&Seen::Endless);
+                self.context.observe(&Observation::StepLimitExceeded);
             }
         }
         self.report()
     }
 
     fn report(self) -> Report {
-        let checker = self.stage.checker.borrow();
+        let checker = self.context.checker.borrow();
         let fleet = || {
             self.script
                 .vast
                 .as_ref()?
                 .judge(self.script, &checker.counts, self.machine.now())
         };
-        let unseen = || Breach {
-            rule: "accounted for",
+        let unseen = || Violation {
+            invariant: "accounted for",
             at: self.machine.now(),
-            what: "not all records were shown by the end".into(),
+            description: "not all records were shown by the end".into(),
         };
         let kept = || (self.script.kept.is_some() && !self.shown.get()).then(unseen);
-        let breach = checker.breach().cloned().or_else(fleet).or_else(kept);
-        let broken = breach.as_ref().map(|breach| {
+        let violation = checker.violation().cloned().or_else(fleet).or_else(kept);
+        let violation_text = violation.as_ref().map(|violation| {
             format!(
-                "seed {} step {} at {breach}",
+                "seed {} step {} at {violation}",
                 self.script.seed,
                 self.machine.steps()
             )
         });
-        if let Some(broken) = &broken {
-            self.machine.note(format_args!("{broken}"));
+        if let Some(text) = &violation_text {
+            self.machine.note(format_args!("{text}"));
         }
         Report {
             seed: self.script.seed,
@@ -399,8 +409,8 @@
             virtual_ms: self.machine.now().as_millis() as u64,
             messages: self.script.size(),
             counts: checker.counts,
-            breach,
-            broken,
+            violation,
+            violation_text,
             trace: self.machine.take_trace(),
         }
     }
@@ -422,28 +432,30 @@
         if self.script.kept.is_none() {
             return;
         }
-        let ledger = Ledger::new(SimulationRng::new(self.script.seed, 9));
+        let effect_log = EffectLog::new(SimulationRng::new(self.script.seed, 9));
         self.hosts
             .iter()
-            .for_each(|host| *host.ledger.borrow_mut() = Some(ledger.clone()));
-        for block in self.script.rules.capacity.keys() {
-            let served = ledger
+            .for_each(|host| *host.effect_log.borrow_mut() = Some(effect_log.clone()));
+        for block in self.script.limits.capacity.keys() {
+            let served = effect_log
                 .clone()
-                .serve(self.stage.clone(), kept::status_address(*block));
-            self.stage.runtime.spawn(async move { drop(served.await) });
+                .serve(self.context.clone(), kept::status_address(*block));
+            self.context
+                .runtime
+                .spawn(async move { drop(served.await) });
         }
         for number in 0..kept::OPERATORS {
             let operator = Operator {
-                stage: self.stage.clone(),
+                context: self.context.clone(),
                 number,
-                ledger: ledger.clone(),
+                effect_log: effect_log.clone(),
                 rng: SimulationRng::new(self.script.seed, 10 + number as u64),
                 until: self.script.ends().max(Duration::from_secs(15)) - Duration::from_secs(1),
-                rogue: self.options.rogue,
-                strikes: self.strikes(),
-                done: self.shown.clone(),
+                misbehavior: self.options.misbehaving_admin,
+                before_change: self.strikes(),
+                all_read: self.shown.clone(),
             };
-            self.stage.runtime.spawn(operator.run());
+            self.context.runtime.spawn(operator.run());
         }
     }
 
@@ -452,7 +464,7 @@
         let Some(hosted) = &self.script.hosted else {
             return;
         };
-        for (number, errands) in self
+        for (number, tasks) in self
             .script
             .hosted
             .iter()
@@ -460,31 +472,40 @@
             .enumerate()
         {
             let strikes = self.strikes();
-            let (tenants, errands) = (hosted.tenants.clone(), errands.clone());
-            let (stage, rogue) = (self.stage.clone(), self.options.rogue);
-            let admin = Admin::new(stage, number as u64 + 1, tenants, errands, rogue, strikes);
-            self.stage.runtime.spawn(admin.run());
+            let (tenants, tasks) = (hosted.tenants.clone(), tasks.clone());
+            let (context, misbehavior) = (self.context.clone(), self.options.misbehaving_admin);
+            let admin = Admin::new(
+                context,
+                number as u64 + 1,
+                tenants,
+                tasks,
+                misbehavior,
+                strikes,
+            );
+            self.context.runtime.spawn(admin.run());
         }
     }
 
-    /// The stage as seen from a relay.
-    fn of(&self, relay: usize) -> Stage<SimulatedRuntime> {
-        Stage {
+    /// The context as seen from a relay.
+    fn of(&self, relay: usize) -> PeerContext<SimulatedRuntime> {
+        PeerContext {
             relay,
-            ..self.stage.clone()
+            ..self.context.clone()
         }
     }
 
     fn serve_discovery(&mut self, relay: usize) {
         let (close, closing) = watch::channel(false);
-        let stage = self.of(relay);
+        let context = self.of(relay);
         let seat = &mut self.seats[relay];
         seat.closes_discovery = close;
         let served =
             seat.discovery
                 .clone()
-                .serve(stage, discovery_address(relay, seat.moves), closing);
-        self.stage.runtime.spawn(async move { drop(served.await) });
+                .serve(context, discovery_address(relay, seat.moves), closing);
+        self.context
+            .runtime
+            .spawn(async move { drop(served.await) });
     }
 
     fn configure(&self, relay: usize) {
@@ -509,7 +530,7 @@
             });
         }
         if let Some(kept) = &self.script.kept {
-            let text = kept.operator_file(self.script.rules.capacity.keys().copied());
+            let text = kept.operator_file(self.script.limits.capacity.keys().copied());
             self.machine
                 .disk(relay, |disk| disk.put(OPERATOR, text.into_bytes()));
         }
@@ -545,13 +566,13 @@
 
     /// Tells the checker which process of a relay serves after one that is gone.
     fn started(&mut self, relay: usize, process: ProcessId) {
-        self.seats[relay].door.set((process, door_address(process)));
+        self.seats[relay].door.set(control_socket(process));
         self.seats[relay].touched = self.machine.now();
-        let stage = self.of(relay);
-        stage.see(&Seen::Started(process));
-        self.stage.runtime.spawn(async move {
-            until_ready(&stage, relay_address(relay)).await;
-            stage.see(&Seen::Ready);
+        let context = self.of(relay);
+        context.observe(&Observation::ProcessStarted(process));
+        self.context.runtime.spawn(async move {
+            until_ready(&context, relay_address(relay)).await;
+            context.observe(&Observation::ProcessReady);
         });
     }
 
@@ -561,22 +582,28 @@
             return;
         }
         for (relay, seat) in self.seats.iter().enumerate() {
-            let runtime = &self.stage.runtime;
-            runtime.spawn(staff::front(
+            let runtime = &self.context.runtime;
+            runtime.spawn(control_clients::probe_readiness(
                 self.of(relay),
                 relay_address(relay),
                 seat.shut.clone(),
             ));
-            runtime.spawn(staff::fetch(self.of(relay), seat.door.clone()));
-            for _ in 0..staff::IDLERS {
-                runtime.spawn(staff::idle(
+            runtime.spawn(control_clients::poll_metrics(
+                self.of(relay),
+                seat.door.clone(),
+            ));
+            for _ in 0..control_clients::IDLE_CLIENTS {
+                runtime.spawn(control_clients::keep_idle_connection(
                     self.of(relay),
                     relay_address(relay),
                     seat.shut.clone(),
                 ));
             }
-            for _ in 0..staff::LOITERERS {
-                runtime.spawn(staff::loiter(self.of(relay), seat.door.clone()));
+            for _ in 0..control_clients::SILENT_CALLERS {
+                runtime.spawn(control_clients::keep_silent_connection(
+                    self.of(relay),
+                    seat.door.clone(),
+                ));
             }
         }
     }
@@ -594,7 +621,8 @@
             .filter(|since| now >= **since + JUST_OPENED)
             .count();
         if many > 0 {
-            self.of(relay).see(&Seen::HeldInDrain(many));
+            self.of(relay)
+                .observe(&Observation::ClientConnectionsHeld(many));
         }
     }
 
@@ -610,7 +638,8 @@
         {
             if self.machine.is_alive(process) {
                 self.machine.send_signal(process, Signal::Reload);
-                self.of(relay).see(&Seen::Retuned(whole));
+                self.of(relay)
+                    .observe(&Observation::ReloadRequested { is_valid: whole });
             }
         }
     }
@@ -636,15 +665,15 @@
                 self.machine
                     .note(format_args!("process {process} is gone, and was replaced"));
                 self.seats[relay].old = None;
-                self.seats[relay].door.set((new, door_address(new)));
+                self.seats[relay].door.set(control_socket(new));
                 self.machine.kill(process);
-                let stage = self.of(relay);
+                let context = self.of(relay);
                 if let Some(Err(error)) = &how {
-                    stage.see(&Seen::EndedByItself(&Err(error.to_string())));
+                    context.observe(&Observation::ProcessExited(&Err(error.to_string())));
                 }
                 // One that left by itself had nothing out any more.
                 if how.is_none() && alive {
-                    stage.see(&Seen::Gone);
+                    context.observe(&Observation::ProcessTerminated);
                     self.started(relay, new);
                 }
             }
@@ -657,15 +686,15 @@
                 self.machine.kill(new);
                 let seat = &mut self.seats[relay];
                 (seat.old, seat.process) = (None, process);
-                let stage = self.of(relay);
+                let context = self.of(relay);
                 if let Some(Err(error)) = &how {
-                    stage.see(&Seen::EndedByItself(&Err(error.to_string())));
+                    context.observe(&Observation::ProcessExited(&Err(error.to_string())));
                 }
-                stage.see(&Seen::Gone);
+                context.observe(&Observation::ProcessTerminated);
                 self.started(relay, process);
                 if stopped {
                     self.seats[relay].life = Life::Stopping(self.seats[relay].down_for);
-                    stage.see(&Seen::ToldToStop);
+                    context.observe(&Observation::TerminationRequested);
                 }
             }
         }
@@ -679,13 +708,13 @@
             Life::Down(_) => {}
             Life::Up | Life::Stopping(_) if self.machine.is_alive(process) => {}
             Life::Up | Life::Stopping(_) => {
-                let stage = self.of(relay);
+                let context = self.of(relay);
                 if let Some(how) = self.machine.exit(process) {
-                    stage.see(&Seen::EndedByItself(
+                    context.observe(&Observation::ProcessExited(
                         &how.map_err(|error| error.to_string()),
                     ));
                 }
-                stage.see(&Seen::Gone);
+                context.observe(&Observation::ProcessTerminated);
                 self.machine.note(format_args!("process {process} is gone"));
                 self.machine.kill(process);
                 let seat = &mut self.seats[relay];
@@ -723,19 +752,21 @@
         &self.seats[self.struck].discovery
     }
 
-    fn see(&self, seen: &Seen<'_>) {
-        self.of(self.struck).see(seen);
+    fn observe(&self, observation: &Observation<'_>) {
+        self.of(self.struck).observe(observation);
     }
 
-    fn mood(&self, block: u16, change: &dyn Fn(&mut Mood)) {
+    fn host_behavior(&self, block: u16, change: &dyn Fn(&mut HostBehavior)) {
         self.of_block(block)
-            .for_each(|host| change(&mut host.mood.borrow_mut()));
+            .for_each(|host| change(&mut host.behavior.borrow_mut()));
     }
 
     fn slow(&self, block: u16, by: u64) {
         for (plan, host) in self.script.hosts.iter().zip(&self.hosts) {
             if host.block == block {
-                host.mood.borrow_mut().takes = (plan.takes.0 + by, plan.takes.1 + by);
+                let mut behavior = host.behavior.borrow_mut();
+                behavior.min_response_ms = plan.takes.0 + by;
+                behavior.max_response_ms = plan.takes.1 + by;
             }
         }
     }
@@ -749,7 +780,7 @@
         let host = &self.hosts[host];
         let line = line(host, health, host.capacity);
         // The change reaches all agents, each with its own lag.
-        let late = if self.script.rules.pushed {
+        let late = if self.script.limits.discovery_is_pushed {
             Duration::ZERO
         } else {
             ASKED
@@ -757,10 +788,13 @@
         for (relay, seat) in self.seats.iter().enumerate() {
             let told = seat
                 .discovery
-                .change(self.machine.now(), line.clone(), jump)
+                .update(self.machine.now(), line.clone(), jump)
                 + late;
-            self.of(relay)
-                .see(&Seen::Listed(&line.host, line.health == "up", told));
+            self.of(relay).observe(&Observation::HostStatusListed {
+                host: &line.host,
+                is_up: line.health == "up",
+                notified_at: told,
+            });
         }
     }
 
@@ -808,11 +842,11 @@
     }
 
     fn stop(&mut self, down: Duration) {
-        let stage = self.of(self.struck);
+        let context = self.of(self.struck);
         let seat = &mut self.seats[self.struck];
         if matches!(seat.life, Life::Up) && seat.old.is_none() {
             seat.life = Life::Stopping(down);
-            stage.see(&Seen::ToldToStop);
+            context.observe(&Observation::TerminationRequested);
             self.machine.send_signal(seat.process, Signal::Stop);
         }
     }
@@ -825,7 +859,10 @@
         self.configure(relay);
         self.read_again(relay, true);
         let now = self.machine.now();
-        self.of(relay).see(&Seen::Deaf(now, now + MOVED));
+        self.of(relay).observe(&Observation::NoticeEndpointDown {
+            from: now,
+            until: now + MOVED,
+        });
     }
 
     fn upgrade(&mut self, plan: Upgrade) {
@@ -853,18 +890,24 @@
             yes: yes.clone(),
             stopped: None,
         });
-        let stage = self.of(relay);
-        stage.see(&Seen::Upgrades([old, new]));
-        self.stage.runtime.spawn(async move {
-            until_yes(&stage, door_address(new)).await;
-            yes.set(Some(stage.at()));
+        let context = self.of(relay);
+        context.observe(&Observation::UpgradeStarted([old, new]));
+        self.context.runtime.spawn(async move {
+            until_takes_clients(&context, door_address(new)).await;
+            yes.set(Some(context.at()));
         });
     }
 
     fn drain(&mut self, drain: bool) {
+        let command = if drain {
+            DrainCommand::Drain
+        } else {
+            DrainCommand::Resume
+        };
         let seat = &self.seats[self.struck];
-        let switched = staff::switch(self.of(self.struck), seat.door.clone(), drain);
-        self.stage.runtime.spawn(switched);
+        let switched =
+            control_clients::set_draining(self.of(self.struck), seat.door.clone(), command);
+        self.context.runtime.spawn(switched);
     }
 
     fn retune(&mut self, change: &dyn Fn(&mut serde_json::Value)) {
@@ -899,18 +942,26 @@
     }
 }
 
+/// The control socket of a process.
+fn control_socket(process: ProcessId) -> ControlSocket {
+    ControlSocket {
+        process,
+        address: door_address(process),
+    }
+}
+
 /// Where a process takes operators' calls.
 fn door_address(process: ProcessId) -> SocketAddr {
     SocketAddr::from(([10, 3, 0, 1], 10_000 + (process % 50_000) as u16))
 }
 
-fn line(host: &Host, health: &'static str, capacity: f64) -> Line {
-    Line {
+fn line(host: &Host, health: &'static str, capacity: f64) -> HostEntry {
+    HostEntry {
         host: host.name.borrow().clone(),
-        dial: host.address,
-        site: host.zone.clone(),
-        block: host.block,
+        address: host.address,
+        zone: host.zone.clone(),
+        destination: host.block,
         health,
-        share: capacity as u32,
+        calls_per_second: capacity as u32,
     }
 }
