--- a/crates/relay/tests/admin.rs
+++ b/crates/relay/tests/admin.rs
@@ -159,7 +159,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn what_is_wrong_is_told_by_a_problem_and_changes_nothing() {
+fn invalid_request_is_answered_with_a_problem_and_changes_nothing() {
     let (_scene, api) = started(Vec::new(), "import = false");
     assert_eq!(api.create("acme", json!({})).status, 201);
     let json_body = ("content-type", "application/json");
--- a/crates/relay/tests/api_transcripts.rs
+++ b/crates/relay/tests/api_transcripts.rs
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn documents_that_differ_are_told_apart_by_the_pointer() {
+fn differing_documents_are_reported_by_pointer() {
     let golden = json!({"a/b": {"c": [1, 2]}, "d": 1, "e": {}});
     let actual = json!({"a/b": {"c": [1, 3]}, "e": {"f": null}});
     let mut found = Vec::new();
@@ -630,7 +630,7 @@
 }
 
 #[test]
-fn a_record_that_rests_is_told_as_it_was() {
+fn resend_of_a_settling_record_matches_golden_transcript() {
     let (partner, _) = partner();
     let silent = Host::new(|_, _| Answer::Hang);
     let hosts = vec![entry("silent", silent.address, 2, "up")];
--- a/crates/relay/tests/customers.rs
+++ b/crates/relay/tests/customers.rs
@@ -18,7 +18,7 @@
 
 /// Settings may name no tenants; then clients name none.
 #[test]
-fn without_tenants_messages_are_taken_on_delivered_and_owed_over_a_restart() {
+fn without_tenants_messages_are_accepted_delivered_and_kept_over_a_restart() {
     for listed in [true, false] {
         let host = Host::new(|_, _| ok());
         let mut scene = Scene::new(vec![entry("a", host.address, 1, "up")]);
--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -33,7 +33,7 @@
 
 /// Hands messages in, one after the other, until the new host has had so many, and gives the time of the last call
 /// to the old one after a moment.
-fn hand_in(
+fn submit(
     scene: &mut Scene,
     old: &Host,
     new: &Host,
@@ -71,7 +71,7 @@
         leave(&scene.discovery, 2, &old, &new);
         scene.start();
         assert_eq!(
-            hand_in(&mut scene, &old, &new, 5, Instant::now()),
+            submit(&mut scene, &old, &new, 5, Instant::now()),
             None,
             "killed: {killed}"
         );
@@ -90,7 +90,7 @@
     leave(&scene.discovery, 2, &old, &new);
     scene.discovery.slow.store(300, SeqCst);
     scene.start();
-    hand_in(&mut scene, &old, &new, 5, Instant::now());
+    submit(&mut scene, &old, &new, 5, Instant::now());
     assert!(old.calls().is_empty(), "{:?}", old.calls());
 }
 
@@ -141,7 +141,7 @@
     let silent = Instant::now();
     leave(&scene.discovery, 2, &old, &new);
     scene.discovery.silent.store(false, SeqCst);
-    let last = hand_in(&mut scene, &old, &new, 1, silent);
+    let last = submit(&mut scene, &old, &new, 1, silent);
     assert!(last < Some(Duration::from_secs(6) + GRACE), "{last:?}");
 }
 
@@ -159,7 +159,7 @@
         let silent = Instant::now();
         leave(&scene.discovery, 2, &old, &new);
         scene.discovery.mute.store(false, SeqCst);
-        let last = hand_in(&mut scene, &old, &new, 1, silent);
+        let last = submit(&mut scene, &old, &new, 1, silent);
         assert!(last < Some(Duration::from_secs(6) + grace), "{last:?}");
         // The rest of this one never comes: its news count as told.
         let spare = Host::new(|_, _| ok());
@@ -174,7 +174,7 @@
             3,
             "{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":\"b\"".into(),
         );
-        let last = hand_in(&mut scene, &new, &spare, 1, told);
+        let last = submit(&mut scene, &new, &spare, 1, told);
         assert!(last < Some(grace), "{last:?}");
     }
 }
@@ -191,7 +191,7 @@
     leave(&scene.discovery, 2, &old, &new);
     let told = Instant::now();
     scene.discovery.closes.store(false, SeqCst);
-    let last = hand_in(&mut scene, &old, &new, 1, told);
+    let last = submit(&mut scene, &old, &new, 1, told);
     assert!(last < Some(GRACE), "{last:?}");
 }
 
@@ -211,7 +211,7 @@
         (moved.asked_for("members HTTP") >= 4).then_some(())
     });
     moved.closes.store(false, SeqCst);
-    let last = hand_in(&mut scene, &old, &new, 1, told);
+    let last = submit(&mut scene, &old, &new, 1, told);
     assert!(last < Some(Duration::from_secs(4) + GRACE), "{last:?}");
 }
 
@@ -227,7 +227,7 @@
     until("the change", || {
         (scene.enqueue("update", 2).1 == "+OK").then_some(())
     });
-    hand_in(&mut scene, &old, &new, 1, Instant::now());
+    submit(&mut scene, &old, &new, 1, Instant::now());
     let behind = Discovery::new();
     let spare = Host::new(|_, _| ok());
     behind.set_whole(vec![
@@ -240,7 +240,7 @@
         (behind.asked_for("members HTTP") >= 3).then_some(())
     });
     let (others, seen) = (other.calls().len(), new.calls().len());
-    hand_in(&mut scene, &old, &new, seen + 5, Instant::now());
+    submit(&mut scene, &old, &new, seen + 5, Instant::now());
     assert_eq!(
         old.calls().len(),
         before,
@@ -277,7 +277,7 @@
     scene
         .discovery
         .push_text(2, serde_json::to_string_pretty(&list).expect("text"));
-    let last = hand_in(&mut scene, &old, &new, 1, Instant::now());
+    let last = submit(&mut scene, &old, &new, 1, Instant::now());
     assert!(last < Some(GRACE), "{last:?}");
     assert_eq!(
         scene.discovery.asked_for("members HTTP"),
@@ -288,7 +288,7 @@
 
 /// The rest of a list that was cut off never comes; its news count as told.
 #[test]
-fn a_list_that_is_cut_off_is_asked_for_at_once() {
+fn truncated_list_is_polled_again_at_once() {
     let (mut scene, old, new) = fleet();
     let told = Instant::now();
     scene.discovery.set_whole(vec![
@@ -299,13 +299,13 @@
         2,
         "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"a\"".into(),
     );
-    let last = hand_in(&mut scene, &old, &new, 1, told);
+    let last = submit(&mut scene, &old, &new, 1, told);
     assert!(last < Some(GRACE), "{last:?}");
 }
 
 /// A flood of lists that can't be read becomes neither one of calls nor one of lines in the log.
 #[test]
-fn spoilt_lists_without_end_are_not_asked_for_without_end() {
+fn malformed_lists_are_polled_at_a_bounded_rate() {
     let (mut scene, old, _) = fleet();
     let before = scene.discovery.asked_for("members HTTP");
     for seq in 2..200 {
@@ -321,7 +321,7 @@
 
 /// The same where whole lists are sound and each watch is not.
 #[test]
-fn watches_that_are_spoilt_at_once_are_not_opened_without_end() {
+fn watches_that_fail_at_once_are_opened_at_a_bounded_rate() {
     let (mut scene, old, _) = fleet();
     let before = scene.discovery.asked_for("members HTTP");
     scene.discovery.spoils.store(true, SeqCst);
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -52,7 +52,7 @@
 }
 
 /// A relay with a door.
-fn with_door(known: Vec<Value>) -> (Scene, SocketAddr) {
+fn with_control_socket(known: Vec<Value>) -> (Scene, SocketAddr) {
     let mut scene = Scene::new(known);
     let door = bind().local_addr().expect("bound");
     scene.config["control"] = json!(door.to_string());
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn the_door_answers_calls_and_fails_what_is_none() {
+fn control_socket_answers_commands_and_fails_anything_else() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, door) = with_door(vec![up("a", &host, 1)]);
+    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
     scene.start();
     assert!(call(door, "ready").starts_with("ok"));
     assert!(say(door, b"show-stat\r\n").ends_with("eof\n"));
@@ -104,9 +104,9 @@
 
 /// However often figures are asked for, messages are served, and each answer is whole.
 #[test]
-fn a_flood_of_callers_at_the_door_keeps_nobody_waiting() {
+fn flood_of_control_connections_delays_no_command() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, door) = with_door(vec![up("a", &host, 1)]);
+    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
     scene.start();
     let callers: Vec<_> = (0..4)
         .map(|_| {
@@ -130,12 +130,12 @@
 }
 
 #[test]
-fn figures_tell_what_became_of_messages() {
+fn metrics_count_how_messages_ended() {
     let host = Host::new(|seen, _| match seen.body.as_slice() {
         b"fails" => status("500 Broken"),
         _ => ok(),
     });
-    let (mut scene, door) = with_door(vec![
+    let (mut scene, door) = with_control_socket(vec![
         up("a", &host, 1),
         entry("b", bind().local_addr().unwrap(), 2, "draining"),
     ]);
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_drained_relay_says_no_closes_its_clients_and_goes_on_delivering() {
+fn drained_relay_is_not_ready_closes_clients_and_delivers_queued_messages() {
     let host = Host::new(|_, before| {
         if before == 0 {
             Answer::Later(2500, ok_text())
@@ -187,7 +187,7 @@
             ok()
         }
     });
-    let (mut scene, door) = with_door(vec![up("a", &host, 1)]);
+    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
     scene.start();
     let mut idle = scene.client();
     idle.send(b"*1\r\n$4\r\nPING\r\n");
@@ -228,7 +228,7 @@
 #[test]
 fn new_settings_count_at_once_and_broken_ones_change_nothing() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, door) = with_door(vec![up("a", &host, 1)]);
+    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
     scene.start();
     assert!(scene
         .enqueue("fresh", 1)
@@ -300,7 +300,7 @@
 fn a_message_keeps_the_class_it_was_taken_with_over_a_restart() {
     // Answered with errors until it is told otherwise: a class that may be repeated goes again and again.
     let host = Host::new(|_, _| status("500 Broken"));
-    let (mut scene, door) = with_door(vec![up("a", &host, 1)]);
+    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
     scene.start();
     let (id, answer) = scene.enqueue("update", 1);
     assert_eq!(answer, "+OK");
@@ -516,7 +516,7 @@
 
 /// A new version that is told to stop before the old one has heard of it takes nothing over.
 #[test]
-fn a_new_version_that_is_told_to_stop_while_it_waits_leaves_the_old_one_serving() {
+fn new_version_stopped_while_waiting_leaves_the_old_one_serving() {
     let host = Host::new(|_, _| ok());
     let scene = &mut Scene::new(vec![up("a", &host, 1)]);
     let held = Held::new(scene);
@@ -547,7 +547,7 @@
 
 /// The old version is told to stop while a call of its own is out: it brings that to its end, and the new one hears of it.
 #[test]
-fn an_old_version_that_is_told_to_stop_in_a_hand_over_brings_its_calls_to_their_end() {
+fn old_version_stopped_in_a_hand_over_completes_its_calls() {
     let host = Host::new(|_, _| Answer::Later(1500, ok_text()));
     let scene = &mut Scene::new(vec![up("a", &host, 1)]);
     let held = Held::new(scene);
@@ -573,7 +573,7 @@
 }
 
 #[test]
-fn a_drain_goes_across_and_a_third_process_is_turned_away() {
+fn drain_is_handed_over_and_a_third_process_is_rejected() {
     let host = Host::new(|_, _| Answer::Later(2500, ok_text()));
     let scene = &mut Scene::new(vec![up("a", &host, 1)]);
     let held = Held::new(scene);
@@ -610,7 +610,7 @@
 #[test]
 fn a_start_that_cannot_be_says_so_in_one_line() {
     let host = Host::new(|_, _| ok());
-    let (scene, _) = with_door(vec![up("a", &host, 1)]);
+    let (scene, _) = with_control_socket(vec![up("a", &host, 1)]);
     let fails = |name: &str, value: &str, says: &str| {
         let mut command = scene.command();
         let output = command.env(name, value).output().expect("runs");
--- a/crates/relay/tests/relay.rs
+++ b/crates/relay/tests/relay.rs
@@ -300,7 +300,7 @@
 }
 
 #[test]
-fn sigterm_with_nothing_in_hand_is_a_quick_end() {
+fn sigterm_without_messages_ends_the_process_quickly() {
     let host = Host::new(|_, _| ok());
     let mut scene = Scene::started(vec![up("a", &host, 1)]);
     scene.term();
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_told_wait_is_heeded_for_the_whole_destination() {
+fn retry_after_holds_back_the_whole_destination() {
     let told = "429 Slow\r\nX-Backoff-Ms: 900";
     let host = Host::new(move |_, before| if before == 0 { status(told) } else { ok() });
     let other = host.clone();
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn a_call_that_is_still_connecting_heeds_a_wait_told_meanwhile() {
+fn connecting_call_is_held_back_by_a_retry_after_received_meanwhile() {
     // A listener whose queue is full lets nobody in until it accepts.
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -428,7 +428,7 @@
 }
 
 #[test]
-fn turned_away_messages_go_again_even_unsafe_ones() {
+fn rejected_messages_are_retried_even_non_idempotent_ones() {
     for line in [
         "503 Full",
         "503 Full\r\nX-Egress-Full: 1",
@@ -540,7 +540,7 @@
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_unless_its_first_line_says_200() {
+fn malformed_response_may_have_executed_unless_its_status_line_is_200() {
     let host = Host::new(|_, _| ok());
     let mut scene = Scene::started(vec![up("a", &host, 1)]);
     let announced = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
@@ -715,7 +715,7 @@
 }
 
 #[test]
-fn a_silent_discovery_is_asked_anew_from_the_last_version() {
+fn silent_discovery_is_polled_again_from_the_last_version() {
     let (old, new) = (Host::new(|_, _| ok()), Host::new(|_, _| ok()));
     let mut scene = Scene::started(vec![up("a", &old, 1)]);
     scene.discovery.push(5, &[entry("z", old.address, 9, "up")]);
--- a/crates/relay/tests/restart.rs
+++ b/crates/relay/tests/restart.rs
@@ -63,7 +63,7 @@
 }
 
 /// No more calls within the rule's span than a cold destination takes, with the rule's room for chance.
-fn assert_not_pushed_over(host: &Host, since: Instant) {
+fn assert_not_overloaded(host: &Host, since: Instant) {
     let calls: Vec<Instant> = host
         .calls()
         .iter()
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_cold_destination_gets_what_is_owed_with_short_deadlines_and_is_not_pushed_over() {
+fn returning_destination_gets_recovered_messages_with_short_deadlines_and_is_not_overloaded() {
     for siblings in [1, 7, 300] {
         for (class, left) in [("update", LEFT), ("payout", LEFT), ("update", LEFT / 2)] {
             let host = Host::new(|_, _| ok());
@@ -99,7 +99,7 @@
                 "{siblings} relays, {class}: {tried} of {} were tried",
                 ids.len()
             );
-            assert_not_pushed_over(&host, back);
+            assert_not_overloaded(&host, back);
         }
     }
 }
--- a/crates/relay/tests/shutdown.rs
+++ b/crates/relay/tests/shutdown.rs
@@ -31,7 +31,7 @@
 
 /// A message that waits as its destination asked for it goes out before the process ends.
 #[test]
-fn a_process_without_clients_stays_for_the_messages_that_it_has_in_hand() {
+fn process_without_clients_stays_until_its_messages_have_ended() {
     let host = Host::new(|_, calls| match calls {
         0 => Answer::Text(
             "HTTP/1.1 429 Wait\r\nX-Backoff-Ms: 1200\r\nContent-Length: 0\r\n\r\n".into(),
--- a/crates/relay/tests/undeliverable.rs
+++ b/crates/relay/tests/undeliverable.rs
@@ -846,7 +846,7 @@
 }
 
 #[test]
-fn a_spoilt_store_stops_nothing_and_says_so() {
+fn corrupt_store_is_quarantined_and_logged_and_stops_nothing() {
     let ledger = Ledger::new();
     let host = Host::new(|_, _| Answer::Close);
     let mut desk = Desk::new(up(&host), &ledger, "", 100);
--- a/crates/simulator/tests/caught.rs
+++ b/crates/simulator/tests/caught.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn calls_that_stay_open_are_second_copies() {
+fn calls_kept_open_are_reported_as_concurrent_calls() {
     caught_with_fault("one at a time", PlantedFault::KeepCallsOpen);
 }
 
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn cold_destinations_that_pass_for_warm_are_pushed_over() {
+fn returning_destinations_treated_as_warm_are_reported_as_overloaded() {
     misconfigured("not pushed over", |config| {
         config["settings"]["rules"]["coldFrom"] = 1.0.into();
         config["settings"]["rules"]["overloadFactor"] = 20.0.into();
--- a/crates/simulator/tests/hosted.rs
+++ b/crates/simulator/tests/hosted.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_pause_that_is_undone_is_seen_by_what_is_taken_on() {
+fn undone_pause_is_reported_when_messages_are_accepted() {
     caught(
         "admission",
         200,
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn weights_that_are_not_those_that_were_told_starve_a_tenant() {
+fn weights_other_than_those_set_are_reported_as_a_starved_tenant() {
     caught(
         "below its share",
         400,
--- a/crates/simulator/tests/operated.rs
+++ b/crates/simulator/tests/operated.rs
@@ -81,6 +81,6 @@
 }
 
 #[test]
-fn a_door_that_does_not_answer_is_seen() {
+fn control_socket_that_does_not_answer_is_reported() {
     caught("door", PlantedFault::MuteControlSocket);
 }
--- a/crates/simulator/tests/seeds.rs
+++ b/crates/simulator/tests/seeds.rs
@@ -41,7 +41,7 @@
 
 /// Most of the last calls were good, so that one which failed behind the tripped fuse passed for no outage.
 #[test]
-fn a_failure_behind_a_tripped_fuse_is_an_outage() {
+fn failure_behind_an_open_circuit_breaker_is_an_outage() {
     holds([58042, 84207]);
 }
 
