--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a message is accepted, and when a rejected client may come again.
+//! Admission: whether a message is accepted, and when the client of a rejected message may retry.
 
 use crate::queued_message::QueuedMessage;
 use crate::scheduler::Capacity;
@@ -7,7 +7,8 @@
 use crate::types::{Action, Message, MessageId, Micros};
 
 impl DeliveryPolicy {
-    /// Accepts a message if its tenant may have one more, and there is room or its tenant is within its share.
+    /// Accepts a message if the scheduler admits it for its tenant and the queue has capacity for it. If the queue is
+    /// full and the tenant is within its share, queued messages are shed first.
     pub(crate) fn admit(&mut self, message: Message, actions: &mut Vec<Action>) {
         if let Err(tenant_wait) = self.scheduler.admit(self.now, message.tenant) {
             return self.reject(message.id, tenant_wait, actions);
@@ -18,14 +19,14 @@
         {
             self.shed_load(message.size, actions);
         }
-        // Perhaps nothing in the queue may be rejected to make room.
+        // Load shedding may have found no message that it may reject.
         if self.is_full(capacity, message.size) {
             return self.reject(message.id, 0, actions);
         }
         self.enqueue(message);
     }
 
-    /// Rejects a message that was not accepted. A Retry-After of zero leaves its choice to the policy.
+    /// Rejects a message that was not accepted. A `retry_after` of zero stands for the policy's own Retry-After.
     fn reject(&mut self, id: MessageId, retry_after: Micros, actions: &mut Vec<Action>) {
         let retry_after = match retry_after {
             0 => self.rejection_retry_after(),
@@ -38,7 +39,7 @@
         self.queue.len() >= capacity.messages || self.queued_bytes + size > capacity.bytes
     }
 
-    /// Adds a message to the queue.
+    /// Adds a message to the queue and computes when its latency objective ends.
     pub(crate) fn enqueue(&mut self, message: Message) {
         let class = self.class(&message);
         let stretch = message
@@ -53,7 +54,7 @@
         self.insert_message(queued, key);
     }
 
-    /// Retry-After of a rejected client.
+    /// Retry-After for the client of a rejected message, with jitter.
     pub(crate) fn rejection_retry_after(&mut self) -> Micros {
         let jitter = jitter_factor(self.random.next_fraction());
         (self.settings.max_retry_after as f64 * RETRY_AFTER_SHARE * jitter) as Micros
--- a/crates/policy/src/call.rs
+++ b/crates/policy/src/call.rs
@@ -1,21 +1,21 @@
-//! Calls in flight, and how they ended.
+//! Records of calls in flight and of ended calls.
 
 use crate::types::{AttemptOutcome, HostId, Micros, RouteKey};
 
-/// A call in flight; it may carry several messages.
+/// A call in flight, which may carry several messages.
 pub(crate) struct Call {
     pub(crate) route: RouteKey,
     pub(crate) host: HostId,
-    /// From this moment it counts as slow and as failed, though it may still be answered.
+    /// Time from which the call counts as slow, and so as failed, although it may still be answered.
     pub(crate) slow_at: Micros,
-    /// It was counted as failed when it became slow.
+    /// The call became slow and was counted as failed at that time.
     pub(crate) is_slow: bool,
-    /// Messages whose attempts have not ended.
+    /// Number of messages in the call whose attempts have not ended.
     pub(crate) pending_messages: usize,
 }
 
 impl Call {
-    /// A call that starts now, without messages; it counts as slow from `slow_at` on.
+    /// Creates a call without messages that counts as slow from `slow_at` on.
     pub(crate) fn starting(route: RouteKey, host: HostId, slow_at: Micros) -> Self {
         Call {
             route,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Marks the call as slow; returns its route and host.
+    /// Marks the call as slow and returns its route and host.
     pub(crate) fn mark_slow(&mut self) -> (RouteKey, HostId) {
         self.is_slow = true;
         (self.route, self.host)
@@ -39,8 +39,8 @@
     pub(crate) host: HostId,
     pub(crate) outcome: AttemptOutcome,
     pub(crate) elapsed: Micros,
-    /// It was counted as failed when it became slow.
+    /// The call was counted as failed when it became slow.
     pub(crate) was_slow: bool,
-    /// Class of its message; none for a probe.
+    /// Class of the message that ended the call; `None` for a probe without a message.
     pub(crate) class: Option<usize>,
 }
--- a/crates/policy/src/call_outcome.rs
+++ b/crates/policy/src/call_outcome.rs
@@ -1,4 +1,4 @@
-//! The end of a call: what its outcome says of the route and the host that it went to.
+//! Updates the state of a route and a host with the outcome of a call.
 
 use crate::call::CallEnd;
 use crate::circuit_breaker::FailureKind;
@@ -12,14 +12,14 @@
 use crate::types::{AttemptOutcome, HostId, Micros, RouteKey};
 
 impl DeliveryPolicy {
-    /// Records how a call or probe ended.
+    /// Records the outcome of a call or probe.
     pub(crate) fn record_outcome(&mut self, end: &CallEnd) {
-        // Drawn for each outcome, also for those that do not use it.
+        // Drawn for every outcome, even if unused, so that the sequence of random numbers does not depend on it.
         let chance = self.random.next_fraction();
         match end.outcome {
             AttemptOutcome::Delivered => self.record_success(end, chance),
             AttemptOutcome::Rejected { .. } => self.record_rejection(end.route),
-            // A reused connection that breaks says nothing of its host; the next call opens a new one.
+            // A broken reused connection is no evidence about its host; the next call opens a new connection.
             outcome if outcome.is_inconclusive() && !end.was_slow => {
                 self.release_probe(end.route);
             }
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The probe has proved nothing: another may start at once.
+    /// Lets another probe start at once, as the last one was inconclusive.
     fn release_probe(&mut self, key: RouteKey) {
         let now = self.now;
         let Some(route) = self.routes.get_mut(&key) else {
@@ -39,7 +39,8 @@
         }
     }
 
-    /// A slow call, which was counted as failed before, has failed: only now it may be part of an outage.
+    /// Records the failure of a slow call. It was counted as failed when it became slow, but only its actual failure
+    /// may indicate an outage.
     fn confirm_slow_failure(&mut self, key: RouteKey, chance: f64) {
         let now = self.now;
         let Some(route) = self.routes.get_mut(&key) else {
@@ -69,7 +70,7 @@
         route.shorten_backoff(now, self.replicas);
         if !route.breaker.is_closed() {
             route.breaker.state = BreakerState::Closed;
-            // Waiting fills no bucket: what has queued up must not go out at once.
+            // Tokens from the waiting time are dropped, so that the backlog is not sent in a burst.
             route.pacing.bucket.limit_to(0.0);
         }
         let sent_at = now.saturating_sub(end.elapsed);
@@ -94,15 +95,16 @@
             route.breaker.rejected_since = now;
         }
         if is_exhausted {
-            // The usage factor says how soon; not all who were rejected may come again at once.
+            // The usage factor sets the time of the next call. The random level keeps the replicas that were rejected
+            // from retrying simultaneously.
             route.pacing.bucket.limit_to(chance);
             route.backoff_until = route.backoff_until.max(route.retry_after_until);
         } else if route.backoff_until <= now {
-            // Of calls that were in flight together the first rejection counts.
+            // Of several calls that were in flight together, only the first rejection lengthens the backoff.
             route.lengthen_backoff(now, replicas, chance);
         }
-        // A few rejections are due to the limit. They are an outage after a while without a success, and at once where
-        // the allowance is unused.
+        // A few rejections are attributed to the limit. They count as an outage after `UNAVAILABLE_AFTER` without a
+        // success, or at once if the allowance is unused.
         let only_rejections = route.breaker.consecutive_rejections > CONSECUTIVE_ERRORS_TO_TRIP
             || !route.breaker.is_closed();
         let rejected_since = route.breaker.rejected_since;
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Records a failed call: ejects its host, and trips the breaker where no other host of the route is left.
+    /// Records a failed call: ejects its host, and trips the breaker if all hosts of the route are ejected.
     pub(crate) fn record_failure(&mut self, key: RouteKey, host: HostId, kind: FailureKind) {
         let now = self.now;
         let chance = self.random.next_fraction();
@@ -128,7 +130,8 @@
         let Some(route) = self.routes.get_mut(&key) else {
             return;
         };
-        // The failure of one host must not stop the others: while one is in good standing, that is used.
+        // The failure of one host must not stop calls to the others: the breaker stays closed while a host is not
+        // ejected.
         let has_alternative = route.hosts.iter().any(|id| {
             let host = self.hosts.get(id);
             host.is_some_and(|host| host.ejected_until <= now)
--- a/crates/policy/src/circuit_breaker.rs
+++ b/crates/policy/src/circuit_breaker.rs
@@ -1,4 +1,4 @@
-//! The circuit breaker of a route: when it trips, for how long, and what its window of results says of the route.
+//! The circuit breaker of a route: when it trips, for how long, and what its rolling window indicates.
 
 use crate::rolling_window::CallResult;
 use crate::route::{BreakerState, CircuitBreaker, Route};
@@ -12,16 +12,16 @@
 /// Why a call counts as failed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FailureKind {
-    /// It has been in flight for longer than the threshold of slow calls.
+    /// The call has been in flight for longer than the slow-call threshold.
     Slow,
-    /// It ended and may have been executed.
+    /// The call ended and may have been executed.
     MayHaveExecuted,
-    /// It ended and provably was not executed.
+    /// The call ended and provably was not executed.
     NotExecuted,
 }
 
 impl FailureKind {
-    /// The kind of a failure that was reported.
+    /// The kind of failure of a call that ended with this outcome.
     pub(crate) fn of_outcome(outcome: AttemptOutcome) -> Self {
         if outcome.may_have_executed() {
             FailureKind::MayHaveExecuted
@@ -32,25 +32,25 @@
 }
 
 impl CircuitBreaker {
-    /// Whether calls pass.
+    /// Whether calls pass without restriction.
     pub(crate) fn is_closed(&self) -> bool {
         self.state == BreakerState::Closed
     }
 
-    /// Counts a success, which ends a series of failures or rejections.
+    /// Counts a success and resets the counts of consecutive failures and rejections.
     pub(crate) fn count_success(&mut self, now: Micros) {
         self.window.record(now, ERROR_WINDOW, CallResult::Success);
         self.consecutive_failures = 0;
         self.consecutive_rejections = 0;
     }
 
-    /// Counts a rejection.
+    /// Counts a rejection by the destination.
     pub(crate) fn count_rejection(&mut self, now: Micros) {
         self.window.record(now, ERROR_WINDOW, CallResult::Rejected);
         self.consecutive_rejections += 1;
     }
 
-    /// Counts a failure.
+    /// Counts a failure and records whether the call may have been executed.
     pub(crate) fn count_failure(&mut self, now: Micros, kind: FailureKind) {
         self.window.record(now, ERROR_WINDOW, CallResult::Failure);
         self.consecutive_failures += 1;
@@ -60,7 +60,7 @@
         self.last_failure_not_executed = kind == FailureKind::NotExecuted;
     }
 
-    /// Whether many of the latest calls failed. A few broken answers of a healthy destination are no outage.
+    /// Whether many of the latest calls failed. A few failed calls to a healthy destination are not an outage.
     fn is_failing(&self) -> bool {
         let samples = self.window.len().min(OUTAGE_SAMPLES);
         let failed = self
@@ -69,7 +69,7 @@
         failed > 1 && failed as f64 >= OUTAGE_FAILURE_RATIO * samples as f64
     }
 
-    /// Whether a failure is part of an outage; behind a tripped breaker it is, whatever came before.
+    /// Whether a failure is part of an outage. While the breaker is not closed, every failure is.
     pub(crate) fn indicates_outage(&self) -> bool {
         self.is_failing()
             || !self.is_closed()
@@ -88,31 +88,32 @@
         !self.last_failure_not_executed && (self.is_suspect() || is_unreliable)
     }
 
-    /// Whether a call is a probe that its message may not survive.
+    /// Whether the next call is a probe that may fail after it was executed, so that its message could not be retried.
     pub(crate) fn risks_message(&self) -> bool {
         !self.is_closed() && !self.last_failure_not_executed
     }
 
-    /// Opens the breaker until the moment `until`.
+    /// Opens the breaker until `until`.
     pub(crate) fn trip(&mut self, until: Micros) {
         self.state = BreakerState::Open(until);
     }
 
-    /// A call has started: behind a breaker that is not closed it is the probe.
+    /// Records the start of a call, which is the probe if the breaker is not closed.
     pub(crate) fn record_start(&mut self) {
         if !self.is_closed() {
             self.state = BreakerState::HalfOpen;
         }
     }
 
-    /// A probe that an earlier process had in flight is not this one's: another may start.
-    pub(crate) fn forget_probe(&mut self) {
+    /// Reopens a half-open breaker from a handover, so that this process may start a probe of its own.
+    pub(crate) fn discard_probe(&mut self) {
         if self.state == BreakerState::HalfOpen {
             self.trip(0);
         }
     }
 
-    /// Whether the window trips the breaker. Where many calls succeed, two failures in a row are no rarity.
+    /// Whether the recent results trip the breaker. Two consecutive failures do so only if many of the latest calls
+    /// failed, as they are not unusual on a busy route that mostly succeeds.
     pub(crate) fn has_too_many_errors(&self) -> bool {
         let calls = self.window.len();
         let failures = self.window.count(CallResult::Failure);
@@ -125,8 +126,10 @@
 }
 
 impl Route {
-    /// How long the breaker stays open, by `chance` of 0 to 1. The probes of a large fleet alone are more than a
-    /// destination takes while it warms up: all together they stay below that, and don't come in step.
+    /// How long the breaker stays open. `chance` is a random number from 0 to 1.
+    ///
+    /// The probes of a large fleet alone can exceed the capacity of a destination that warms up. The mean duration
+    /// keeps all probes together below that capacity, and the random part keeps them from coinciding.
     pub(crate) fn open_duration(
         &self,
         replicas: f64,
--- a/crates/policy/src/diagnostics.rs
+++ b/crates/policy/src/diagnostics.rs
@@ -1,4 +1,4 @@
-//! Log text and gauges about destinations and hosts. Nothing here decides what is sent.
+//! Log text and gauges for destinations and hosts. This module does not affect what is sent.
 
 use crate::host_record::HostRecord;
 use crate::route::{BreakerState, Route};
@@ -6,7 +6,8 @@
 use crate::types::{DestinationId, HostState, Micros};
 
 impl DeliveryPolicy {
-    /// State of a destination's routes, as `key=value` for the call log; each route's values begin with `breaker`.
+    /// State of a destination's routes as `key=value` pairs for the call log. The pairs of each route begin with
+    /// `breaker`.
     #[must_use]
     pub fn describe_destination(&self, destination: DestinationId) -> String {
         let keys = self.routes_to(destination);
@@ -17,8 +18,8 @@
             .join(" ")
     }
 
-    /// Number of listed hosts that are sent nothing now: they drain or are ejected, or their route has a Retry-After or
-    /// a circuit breaker that is not closed.
+    /// Number of listed hosts that are out of regular use at `now`: draining or ejected hosts, and hosts of a route
+    /// with a pending Retry-After or a circuit breaker that is not closed.
     #[must_use]
     pub fn ejected_hosts(&self, now: Micros) -> usize {
         let is_route_paused = |route: &Route| {
@@ -38,7 +39,7 @@
     }
 }
 
-/// The state of a route for the call log, which begins with that of its circuit breaker. Rates are in calls a second.
+/// State of a route for the call log, beginning with its circuit breaker. Rates are in calls per second.
 fn describe_route(route: &Route, now: Micros) -> String {
     let state = match route.breaker.state {
         BreakerState::Closed => "closed",
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: sends waiting messages in their order, as far as there are slots, and puts them into calls.
+//! Dispatch: sends waiting messages in order while slots are free, and groups them into calls.
 
 use crate::call::Call;
 use crate::retry::RepeatRisk;
@@ -7,17 +7,17 @@
 use crate::state::DeliveryPolicy;
 use crate::types::{Action, MessageId, Micros};
 
-/// The call that a message is sent in.
+/// Which call a message is sent in.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CallMode {
-    /// A call of its own, which others may join.
+    /// A new call, which other messages may join.
     New,
-    /// The latest call.
+    /// The call that was started last.
     JoinLatest,
 }
 
 impl DeliveryPolicy {
-    /// Sends waiting messages, those with the highest cost of delay first, to the routes that take calls.
+    /// Sends waiting messages, in the order of [`Self::ordered_candidates`], to the routes that accept calls.
     pub(crate) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let candidates = self.ordered_candidates();
         let target = self.queue_target();
@@ -28,7 +28,7 @@
             if is_short_of_slots {
                 break;
             }
-            // Tenants below their quota come first once calls in flight fill the queue.
+            // Once messages that cannot be shed fill the queue, tenants below their quota take precedence.
             let is_full =
                 unsheddable.messages >= target.messages || unsheddable.bytes >= target.bytes;
             if is_full && self.scheduler.must_yield(self.now, chosen.tenant, target) {
@@ -50,8 +50,8 @@
         self.scheduler.round_ended(is_short_of_slots);
     }
 
-    /// Where the call is a probe that its message may not survive: the message with the least risk of all that may be
-    /// sent there.
+    /// If the call is a probe that may fail after it was executed, returns the message with the lowest risk of all that
+    /// may be sent to the selected host; otherwise the chosen one.
     fn replace_by_least_risky(
         &mut self,
         candidates: &[Candidate],
@@ -73,7 +73,8 @@
             .unwrap_or(chosen.id)
     }
 
-    /// Whether the host is probed without a message, as only non-idempotent ones wait for it.
+    /// Whether to probe the host without a message, because only non-idempotent messages wait for it. Takes a token for
+    /// the probe.
     fn probes_instead(&mut self, id: MessageId, selection: Selection) -> bool {
         let is_unsafe =
             self.settings.can_probe && self.repeat_risk(id) >= RepeatRisk::NonIdempotent;
@@ -88,7 +89,7 @@
         probes
     }
 
-    /// Adds messages to the latest call, as many as the kind of its host allows.
+    /// Adds messages to the latest call, up to the limit of its host's kind.
     fn fill_call(
         &mut self,
         candidates: &[Candidate],
@@ -149,7 +150,7 @@
         actions.push(Action::Send { id, host, timeout });
     }
 
-    /// Starts the latest call.
+    /// Starts `call` under the number `latest_call`.
     pub(crate) fn start_call(&mut self, call: Call) {
         if let Some(route) = self.routes.get_mut(&call.route) {
             route.breaker.record_start();
--- a/crates/policy/src/dispatch_order.rs
+++ b/crates/policy/src/dispatch_order.rs
@@ -1,4 +1,4 @@
-//! The order of dispatch: which waiting messages may be attempted, and which of them go first.
+//! Dispatch order: which waiting messages may be attempted, and in which order.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,9 @@
 use crate::types::{DestinationId, MessageId, Micros};
 
 impl DeliveryPolicy {
-    /// The messages that are to be sent, in this order, as far as there are slots: recovered ones that were not
-    /// attempted by their deadlines, the others by their cost of delay, and the whole as the tenants' shares allow.
+    /// The messages to send while slots are free, in dispatch order. Restored messages that have not been attempted
+    /// come first, by deadline; all others follow by cost of delay. The tenant scheduler then reorders the list by the
+    /// tenants' shares.
     pub(crate) fn ordered_candidates(&mut self) -> Vec<Candidate> {
         let waiting = self.waiting_messages();
         let mut candidates = self.candidates(&waiting);
@@ -25,7 +26,7 @@
         candidates
     }
 
-    /// The messages that may be attempted now, by destination.
+    /// Messages that may be attempted now, grouped by destination.
     fn waiting_messages(&self) -> BTreeMap<DestinationId, Vec<MessageId>> {
         let mut waiting: BTreeMap<DestinationId, Vec<MessageId>> = BTreeMap::new();
         for (id, queued) in &self.queue {
@@ -39,7 +40,8 @@
         waiting
     }
 
-    /// Those of the waiting messages whose destinations take calls.
+    /// The waiting messages whose destinations accept calls. Also updates the routes' counts of waiting messages and
+    /// their urgent rates.
     fn candidates(&mut self, waiting: &BTreeMap<DestinationId, Vec<MessageId>>) -> Vec<Candidate> {
         let mut candidates = Vec::new();
         for (destination, ids) in waiting {
@@ -77,7 +79,8 @@
         }
     }
 
-    /// The deadline of a restored message that was not attempted, as these go first; `Micros::MAX` for all others.
+    /// The deadline of a restored message that has not been attempted, as these are sent first; `Micros::MAX` for all
+    /// others.
     pub(crate) fn dispatch_deadline(&self, id: MessageId) -> Micros {
         let queued = &self.queue[&id];
         if queued.is_unattempted_since_restart() {
@@ -87,7 +90,7 @@
         }
     }
 
-    /// Calls a second at which the recovered messages among these are attempted before their deadlines.
+    /// Calls per second needed to attempt the recovered messages among these before their deadlines.
     fn urgent_rate(&self, ids: &[MessageId]) -> f64 {
         let mut count = 0.0;
         let mut total_time = 0.0;
@@ -101,7 +104,7 @@
         count * count / f64::max(total_time, 1.0) * SECOND as f64
     }
 
-    /// Whether no earlier message of its ordering key is queued or may still run at a host.
+    /// Whether no earlier message with the same ordering key is queued or may still be running at a host.
     fn is_next_of_its_key(&self, queued: &QueuedMessage) -> bool {
         let is_ordered = self.class(&queued.message).is_ordered;
         let key = queued.message.ordering_key.filter(|_| is_ordered);
--- a/crates/policy/src/handover.rs
+++ b/crates/policy/src/handover.rs
@@ -1,4 +1,4 @@
-//! What a process that takes over is given. Nothing here decides what is sent.
+//! The state that is handed over to a successor process. This module does not affect what is sent.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,35 @@
 use crate::state::DeliveryPolicy;
 use crate::types::{Micros, Outage, RouteKey};
 
-/// Samples of a rolling window that are handed over. All samples of a busy route would take too long to write.
+/// Maximum number of rolling-window samples per route in a handover. Writing all samples of a busy route would take too
+/// long.
 const MAX_SAMPLES: usize = 64;
 
-/// An ordering key, and until when no further message of it may be sent.
+/// An ordering key and the time until which no further message with it may be sent.
 ///
-/// Stored as part of [`HandoverSnapshot`]: the order of fields is fixed.
+/// Stored as part of [`HandoverSnapshot`]: the order of the fields is fixed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderingKeyBlock {
-    /// The ordering key.
+    /// The ordering key of the messages.
     pub key: u64,
-    /// An attempt may still be running at its host until this moment; zero if there is none.
+    /// Time until which an attempt may still be running at its host; zero if there is no such attempt.
     pub blocked_until: Micros,
 }
 
-/// What a process that takes over has to know of routes, ordering keys and classes.
+/// State of routes, ordering keys and classes for a successor process.
 ///
-/// The state directory stores it in a format that goes by position: the order of fields is fixed.
+/// The state directory stores it in a positional format: the order of the fields is fixed.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct HandoverSnapshot {
     pub(crate) routes: BTreeMap<RouteKey, Route>,
-    /// The ordering keys with what blocks them.
+    /// The ordering keys and the times until which they are blocked.
     pub ordered_keys: Vec<OrderingKeyBlock>,
-    /// Mean duration of the calls of each class.
+    /// Mean duration of the calls of each class in microseconds, by class index.
     pub(crate) class_latency: Vec<f64>,
 }
 
 impl DeliveryPolicy {
-    /// The state for a process that takes over. Messages and calls in flight are handed over apart from it.
+    /// Returns the state for a successor process. Messages and calls in flight are handed over separately.
     #[must_use]
     pub fn handover_snapshot(&self) -> HandoverSnapshot {
         let mut routes = self.routes.clone();
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Takes over from a process with the same list and numbers of hosts and classes.
+    /// Restores the state of a predecessor that had the same hosts and classes under the same numbers.
     pub fn restore_handover(&mut self, snapshot: HandoverSnapshot) {
         for (key, mut known) in snapshot.routes {
             let Some(route) = self.routes.get_mut(&key) else {
@@ -66,8 +67,8 @@
             };
             known.hosts = std::mem::take(&mut route.hosts);
             known.in_flight = 0;
-            // The probe, if it is still in flight, comes with its message.
-            known.breaker.forget_probe();
+            // A probe that is still in flight is handed over with its message.
+            known.breaker.discard_probe();
             *route = known;
         }
         for OrderingKeyBlock { key, blocked_until } in snapshot.ordered_keys {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// The outages whose recovery ramps still apply; they must be persisted.
+    /// Outages whose recovery ramps still apply. The caller must persist them.
     pub fn outages(&self) -> impl Iterator<Item = Outage> + '_ {
         let active = self
             .routes
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,4 +1,4 @@
-//! Expected latency of calls: how it is learnt, which calls are slow, and when attempts time out or are cancelled.
+//! Expected latency of calls: how it is learned, which calls are slow, and when attempts time out or are cancelled.
 
 use crate::call::{Call, CallEnd};
 use crate::circuit_breaker::FailureKind;
@@ -12,7 +12,7 @@
 use crate::types::{Action, Idempotency, Micros};
 
 impl DeliveryPolicy {
-    /// Mean duration of a call with this message at the route, in microseconds.
+    /// Expected duration of a call with this message on the route, in microseconds.
     pub(crate) fn expected_latency(&self, queued: &QueuedMessage, route: &Route) -> f64 {
         let class = usize::from(queued.message.class);
         let class_latency = self
@@ -22,7 +22,8 @@
         class_latency * route.relative_latency
     }
 
-    /// Updates the moving averages of the call's class and of its route, which are relative to each other.
+    /// Updates the moving averages of the call's class and route. The average of the route is a multiple of that of the
+    /// class.
     pub(crate) fn record_latency(&mut self, end: &CallEnd) {
         let class_latency = end
             .class
@@ -41,12 +42,13 @@
         route.relative_latency = average.clamp(MIN_RELATIVE_LATENCY, MAX_RELATIVE_LATENCY);
     }
 
-    /// How long a call with this message may be in flight before it counts as slow, and so as failed.
+    /// How long a call with this message may be in flight before it counts as slow, and therefore as failed.
     pub(crate) fn slow_call_threshold(&self, queued: &QueuedMessage, route: &Route) -> Micros {
         (SLOW_CALL_FACTOR * self.expected_latency(queued, route)) as Micros + SLOW_CALL_MARGIN
     }
 
-    /// Counts slow calls as failed while they are in flight: a hang is detected before the first time-out.
+    /// Counts slow calls as failed while they are still in flight, so that a hang is detected before the first
+    /// time-out.
     pub(crate) fn record_slow_calls(&mut self) {
         let now = self.now;
         let slow: Vec<_> = self
@@ -60,26 +62,29 @@
         }
     }
 
-    /// Time-out of an attempt: as long as it may help, with time for another one where that is allowed.
+    /// Time-out of an attempt: all of the time left if the message may not be repeated; otherwise short enough to leave
+    /// time for another attempt.
     pub(crate) fn attempt_timeout(&self, queued: &QueuedMessage, expected_latency: f64) -> Micros {
         let class = self.class(&queued.message);
         let time_left = queued.message.deadline.saturating_sub(self.now);
-        let patience = TIMEOUT_FACTOR * expected_latency * (queued.attempts.len() as f64 + 1.0);
-        let patience = patience.max(class.latency_objective as f64) as Micros;
-        let patience = patience.max(time_left / TIME_LEFT_DIVISOR).min(time_left);
+        let min_timeout = TIMEOUT_FACTOR * expected_latency * (queued.attempts.len() as f64 + 1.0);
+        let min_timeout = min_timeout.max(class.latency_objective as f64) as Micros;
+        let usual_timeout = min_timeout
+            .max(time_left / TIME_LEFT_DIVISOR)
+            .min(time_left);
         let timeout = match (class.idempotency, queued.first_possible_execution()) {
             (Idempotency::NonIdempotent, _) => time_left,
-            // Another attempt must fit in while the key is remembered.
+            // Leaves time for another attempt while hosts remember the key.
             (Idempotency::Keyed { window, .. }, None) if window < time_left => {
-                patience.min(window / KEY_WINDOW_DIVISOR)
+                usual_timeout.min(window / KEY_WINDOW_DIVISOR)
             }
-            _ => patience,
+            _ => usual_timeout,
         };
         timeout.max(1)
     }
 
-    /// Once few slots are free, cancels the slow attempt that has been in flight longest; only then, as it may still be
-    /// answered.
+    /// Cancels the slow attempt that has been in flight longest if at most one slot is free. With more free slots it is
+    /// left in flight, as it may still be answered.
     pub(crate) fn free_slots(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.can_cancel || self.calls.len() + 1 < self.settings.max_calls {
             return;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,18 +1,18 @@
-//! Decides when and where to send, queue, retry, reject or fail each message. It does no I/O: events go in, actions
-//! come out.
+//! Decides when and where to send, queue, retry, reject or fail each message. The crate does no I/O: it consumes events
+//! and produces actions.
 //!
-//! [`DeliveryPolicy::handle`] plays a round. Each deciding module adds its methods to [`DeliveryPolicy`] or to a record:
+//! [`DeliveryPolicy::handle`] runs one round. Each decision module adds methods to [`DeliveryPolicy`] or to a record:
 //!
-//! - `policy` joins the decisions; `wakeup_timer` says when the next round is needed without an event.
-//! - `admission` accepts messages; `load_shedding` rejects queued ones to make room.
-//! - `dispatch_order` and `message_value` order the waiting messages; `selection` finds each a route and a host;
-//!   `dispatch` puts them into calls.
-//! - `call_outcome`, `circuit_breaker`, `rate_limit` and `recovery` follow from how calls end; `latency` expects when
-//!   they do.
-//! - `retry` ends attempts, and answers messages that are given up.
-//! - `tuning` has the constants of all of them.
+//! - `policy` runs the decisions of a round in order; `wakeup_timer` schedules the next round without an event.
+//! - `admission` accepts messages; `load_shedding` rejects queued ones to free capacity.
+//! - `dispatch_order` and `message_value` order the waiting messages; `selection` chooses a route and a host for each;
+//!   `dispatch` groups them into calls.
+//! - `call_outcome`, `circuit_breaker`, `rate_limit` and `recovery` act on the outcomes of calls; `latency` estimates
+//!   their duration.
+//! - `retry` ends attempts, and answers messages that will not be delivered.
+//! - `tuning` contains the constants of all of these modules.
 //!
-//! The other modules are records and tables, which decide nothing: `state`, `tables`, `routing`, `route`,
+//! The other modules are records and tables and make no decisions: `state`, `tables`, `routing`, `route`,
 //! `host_record`, `call`, `queued_message`, `rolling_window`, `token_bucket`, `handover`, `diagnostics`.
 
 mod admission;
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: which queued messages are rejected to make room.
+//! Load shedding: which queued messages are rejected to free capacity.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -12,33 +12,33 @@
 };
 use crate::types::{Action, DestinationId, MessageId, Micros};
 
-/// When a destination is expected to take queued messages, in seconds.
+/// Forecast of when a destination accepts queued messages. Times are in seconds.
 struct ServiceForecast {
-    /// Until the next message may be sent.
+    /// Time until the next message may be sent.
     delay: f64,
-    /// Between one message and the next.
+    /// Time between one message and the next.
     interval: f64,
 }
 
 impl ServiceForecast {
-    /// When the next message may be sent, seen from `now`.
+    /// Absolute time at which the next message may be sent; at most [`MAX_FORECAST_SECONDS`] after `now`.
     fn next_send_at(&self, now: Micros) -> Micros {
         now + (self.delay.min(MAX_FORECAST_SECONDS) * SECOND as f64) as Micros
     }
 }
 
-/// A message that may be rejected to make room.
+/// A message that may be rejected to free capacity.
 struct SheddingCandidate {
     id: MessageId,
-    /// It was recovered, and no attempt has reached a host or is in flight.
+    /// The message was recovered, and no attempt has reached a host or is in flight.
     is_unattempted: bool,
-    /// The deadline of an unattempted one, otherwise the value when its turn is expected.
+    /// The deadline of an unattempted message; otherwise its value at the time at which it is expected to be sent.
     priority: f64,
 }
 
 impl SheddingCandidate {
-    /// The order in which messages are rejected: the lowest priority first, unattempted recovered ones last, and of
-    /// equals the latest.
+    /// The order of rejection: lowest priority first, with unattempted recovered messages last. Of equals, the message
+    /// with the highest identifier comes first.
     fn rejection_order(&self, other: &Self) -> Ordering {
         self.is_unattempted
             .cmp(&other.is_unattempted)
@@ -48,13 +48,13 @@
 }
 
 impl DeliveryPolicy {
-    /// What the queue may hold at the end of a round: its capacity without the headroom.
+    /// Maximum size of the queue at the end of a round: its capacity minus the headroom.
     pub(crate) fn queue_target(&self) -> Capacity {
         let without_headroom =
-            |most: usize| most - (most / QUEUE_HEADROOM_DIVISOR).max(1).min(most);
+            |capacity: usize| capacity - (capacity / QUEUE_HEADROOM_DIVISOR).max(1).min(capacity);
         let bytes = match self.settings.max_queued_bytes {
             0 => usize::MAX,
-            most => without_headroom(most),
+            capacity => without_headroom(capacity),
         };
         Capacity {
             messages: without_headroom(self.settings.max_queued),
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Messages and bytes of the queue that cannot be rejected, as they are in flight or may have been executed.
+    /// Number and bytes of queued messages that cannot be rejected because they are in flight or may have been
+    /// executed.
     pub(crate) fn unsheddable_size(&self) -> Capacity {
         self.total_size(|queued| !is_sheddable(queued))
     }
@@ -71,8 +72,9 @@
         self.queue.len() <= target.messages && self.queued_bytes + wanted_bytes <= target.bytes
     }
 
-    /// Rejects messages until the queue has its headroom, the least valuable at their expected turn first; messages for
-    /// destinations that are down would fill it otherwise. Of unattempted recovered ones only a part is rejected.
+    /// Rejects messages until the queue has its headroom, starting with those that will have the lowest value when they
+    /// are expected to be sent. Without this, messages for destinations that are down would fill the queue. Only a part
+    /// of the unattempted recovered messages is rejected.
     pub(crate) fn shed_load(&mut self, wanted_bytes: usize, actions: &mut Vec<Action>) {
         let target = self.queue_target();
         if self.meets_target(target, wanted_bytes) {
@@ -87,11 +89,12 @@
             }
             self.recovered_shed += usize::from(candidate.is_unattempted);
             let retry_after = self.rejection_retry_after();
-            self.give_up(candidate.id, retry_after, actions);
+            self.answer_undelivered(candidate.id, retry_after, actions);
         }
     }
 
-    /// Whether the share of recovered messages and the tenant's share of the queue allow the rejection.
+    /// Whether the candidate may be rejected: the rejected share of recovered messages stays within its bound, and the
+    /// tenant exceeds its share of the queue.
     fn may_shed(&self, candidate: &SheddingCandidate, target: Capacity) -> bool {
         let is_kept = candidate.is_unattempted
             && RECOVERED_SHED_DIVISOR * (self.recovered_shed + 1) > self.recovered_count;
@@ -99,7 +102,7 @@
         !is_kept && self.scheduler.exceeds_share(tenant, target)
     }
 
-    /// The messages that may be rejected, in the order in which they are.
+    /// The messages that may be rejected, in the order of rejection.
     fn shedding_candidates(&self) -> Vec<SheddingCandidate> {
         let mut forecasts: BTreeMap<DestinationId, ServiceForecast> = BTreeMap::new();
         let mut candidates = Vec::new();
@@ -108,7 +111,7 @@
             let forecast = forecasts
                 .entry(destination)
                 .or_insert_with(|| self.forecast(destination));
-            // A message that cannot be rejected takes its turn all the same.
+            // A message that cannot be rejected still uses up a sending interval.
             forecast.delay += forecast.interval;
             if !is_sheddable(queued) {
                 continue;
@@ -129,7 +132,7 @@
         candidates
     }
 
-    /// When the destination is expected to take messages, by the rates of its routes.
+    /// Forecasts when the destination accepts messages, from the rates of its routes.
     fn forecast(&self, destination: DestinationId) -> ServiceForecast {
         let mut rate = 0.0;
         let mut is_down = true;
--- a/crates/policy/src/message_value.rs
+++ b/crates/policy/src/message_value.rs
@@ -1,4 +1,4 @@
-//! What the delivery of a message is worth, by the time at which it happens.
+//! The value of delivering a message as a function of the time of delivery.
 
 use crate::queued_message::QueuedMessage;
 use crate::state::DeliveryPolicy;
@@ -6,7 +6,7 @@
 use crate::types::{Micros, ValueDecay};
 
 impl DeliveryPolicy {
-    /// Value of a delivery at this moment; zero from the deadline on.
+    /// Value of a delivery at the time `at`; zero from the deadline on.
     pub(crate) fn value_at(&self, queued: &QueuedMessage, at: Micros) -> f64 {
         let class = self.class(&queued.message);
         let deadline = queued.message.deadline;
@@ -23,7 +23,8 @@
         queued.value * share
     }
 
-    /// Value that is lost by waiting until [`DELAY_HORIZON`], with a small cost as the latency objective comes near.
+    /// Value that is lost by waiting for another [`DELAY_HORIZON`], plus a small cost that grows as the latency
+    /// objective approaches.
     pub(crate) fn cost_of_delay(&self, queued: &QueuedMessage) -> f64 {
         let value = self.value_at(queued, self.now);
         let time_left = queued.objective_at.saturating_sub(self.now) as f64 / SECOND as f64;
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! The state machine that joins the decisions: events in, actions out.
+//! The state machine that turns the events of a round into actions.
 
 use crate::call::CallEnd;
 use crate::state::DeliveryPolicy;
@@ -6,7 +6,7 @@
 use crate::types::{Action, AttemptOutcome, Event, HostEntry, HostId, Micros, WeightSource};
 
 impl DeliveryPolicy {
-    /// Takes the events of one round and appends the actions that follow from them.
+    /// Runs one round at the time `now`: processes its events and appends the resulting actions.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -18,7 +18,7 @@
             self.handle_event(event, actions);
         }
         self.record_slow_calls();
-        self.give_up_undeliverable(actions);
+        self.answer_undeliverable_messages(actions);
         self.dispatch(actions);
         self.shed_load(0, actions);
         self.free_slots(actions);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Records how a probe ended that carried no message.
+    /// Records the outcome of a probe that carried no message.
     fn end_probe(
         &mut self,
         host: HostId,
@@ -97,7 +97,7 @@
         });
     }
 
-    /// Takes over entries of the list of hosts, and the limits that they advertise.
+    /// Applies entries of discovery's host list and the limits that they advertise.
     fn update_hosts(&mut self, entries: Vec<HostEntry>) {
         let has_weights = self.settings.weight_source != WeightSource::Absent;
         for entry in entries {
@@ -106,16 +106,16 @@
                 route.record_limit(f64::from(entry.weight), 1.0, self.replicas);
             }
         }
-        self.forget_removed_hosts();
+        self.purge_removed_hosts();
     }
 
-    /// Discovery has answered: its list is watched, and need not be polled.
+    /// Records that discovery has answered: the host list is watched and is not polled.
     fn confirm_subscription(&mut self) {
         self.is_subscribed = true;
         self.poll_backoff = MIN_POLL_BACKOFF;
     }
 
-    /// Discovery failed: polls again after a backoff.
+    /// Records a failure of discovery and schedules the next poll after a backoff.
     fn back_off_discovery(&mut self) {
         self.is_subscribed = false;
         self.poll_at = self.now + self.poll_backoff;
@@ -123,7 +123,7 @@
         self.poll_backoff = (self.poll_backoff * 2).min(longest.max(MIN_POLL_BACKOFF));
     }
 
-    /// Asks for the list of hosts again while it is not watched.
+    /// Requests the host list again if it is not watched and the next poll is due.
     fn subscribe_if_due(&mut self, actions: &mut Vec<Action>) {
         if self.is_subscribed || self.poll_at > self.now {
             return;
--- a/crates/policy/src/queued_message.rs
+++ b/crates/policy/src/queued_message.rs
@@ -1,17 +1,17 @@
-//! The records of queued messages, their attempts and the order of keys.
+//! Records of queued messages, their attempts and their ordering keys.
 
 use std::collections::VecDeque;
 
 use crate::types::{Message, MessageId, Micros, PastAttempt};
 
-/// What is known of an attempt.
+/// State of an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// It has not ended.
+    /// The attempt has not ended.
     InFlight,
-    /// It provably was not executed.
+    /// The attempt ended and provably was not executed.
     NotExecuted,
-    /// It may have been executed, or may yet be.
+    /// The attempt ended; it may have been executed or may still be.
     MayHaveExecuted,
 }
 
@@ -29,18 +29,18 @@
 /// One attempt to deliver a message.
 pub(crate) struct Attempt {
     pub(crate) sent_at: Micros,
-    /// Zone of the host it went to.
+    /// Zone of the called host.
     pub(crate) zone: u8,
-    /// The call it is part of; 0 for an attempt of an earlier process.
+    /// Number of the call that contains the attempt; 0 for an attempt of an earlier process.
     pub(crate) call: u64,
     pub(crate) state: AttemptState,
     pub(crate) is_cancelled: bool,
-    /// How long it was expected to hold its slot; 0 where it joined another message's call.
+    /// How long the attempt was expected to hold its slot; 0 if it joined the call of another message.
     pub(crate) expected_duration: Micros,
 }
 
 impl Attempt {
-    /// An attempt of an earlier process, which has ended.
+    /// Creates the record of an attempt of an earlier process that has ended.
     pub(crate) fn from_past(past: &PastAttempt) -> Self {
         Attempt {
             sent_at: past.sent_at,
@@ -53,36 +53,36 @@
     }
 }
 
-/// How a message came from an earlier process that made no attempt which reached a host.
+/// How a message came from an earlier process, if none of its attempts has reached a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Recovery {
-    /// It did not, or an attempt has reached a host since.
+    /// The message is not from an earlier process, or an attempt has reached a host.
     None,
-    /// A restart found it.
+    /// The message was restored after a restart.
     Restored,
-    /// A process handed it over that was still running.
+    /// The message was handed over by a process that was still running.
     Adopted,
 }
 
 /// A message in the queue, waiting or in flight.
 pub(crate) struct QueuedMessage {
     pub(crate) message: Message,
-    /// Its value falls after this moment.
+    /// Time after which the value of the message decreases.
     pub(crate) objective_at: Micros,
     pub(crate) attempts: Vec<Attempt>,
-    /// No attempt starts before this moment.
+    /// Earliest time of the next attempt.
     pub(crate) not_before: Micros,
-    /// It needs no final answer any more; it stays while attempts are in flight.
+    /// The message needs no further final answer; it stays in the queue while attempts are in flight.
     pub(crate) is_settled: bool,
-    /// Its streamed answer has started.
+    /// The streamed answer of the message has started.
     pub(crate) response_started: bool,
     pub(crate) value: f64,
-    /// The earlier process that accepted it, until an attempt reaches a host.
+    /// How the message came from an earlier process; reset once an attempt reaches a host.
     pub(crate) recovery: Recovery,
 }
 
 impl QueuedMessage {
-    /// A message without attempts.
+    /// Creates a queued message without attempts.
     pub(crate) fn new(message: Message, objective_at: Micros, value: f64) -> Self {
         QueuedMessage {
             message,
@@ -96,24 +96,24 @@
         }
     }
 
-    /// Whether an attempt has not ended.
+    /// Whether any attempt has not ended.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether it needs an attempt: no final answer was given or started, and none is in flight.
+    /// Whether the message needs an attempt: no final answer was given or started, and no attempt is in flight.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.is_settled && !self.response_started && !self.is_in_flight()
     }
 
-    /// Whether it was recovered and no attempt has reached a host or is in flight.
+    /// Whether the message was recovered and no attempt has reached a host or is in flight.
     pub(crate) fn is_unattempted(&self) -> bool {
         self.recovery != Recovery::None && !self.is_in_flight()
     }
 
-    /// Whether that was by a restart, which has cost it time.
+    /// Whether the message is unattempted and was restored after a restart, which has delayed it.
     pub(crate) fn is_unattempted_since_restart(&self) -> bool {
         self.recovery == Recovery::Restored && !self.is_in_flight()
     }
@@ -124,7 +124,7 @@
         Some(last).filter(|last| last.state == AttemptState::InFlight && !last.is_cancelled)
     }
 
-    /// The first attempt that may have been executed, or may yet be.
+    /// The first attempt that may have been executed or may still be, in flight included.
     pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
@@ -136,6 +136,6 @@
 #[derive(Default)]
 pub(crate) struct OrderedKey {
     pub(crate) queue: VecDeque<MessageId>,
-    /// An attempt may still be running at its host until this moment.
+    /// Time until which an attempt may still be running at its host.
     pub(crate) blocked_until: Micros,
 }
--- a/crates/policy/src/rate_limit.rs
+++ b/crates/policy/src/rate_limit.rs
@@ -14,12 +14,12 @@
 use crate::types::{HostId, Micros, ReportField, RouteKey, WeightSource};
 
 impl AdvertisedLimit {
-    /// Seconds between two calls of a replica at which all together use the limit.
+    /// Seconds between two calls of a replica if all replicas use the limit evenly.
     pub(crate) fn even_interval(&self, replicas: f64) -> f64 {
         replicas / self.per_second.unwrap_or(replicas)
     }
 
-    /// Calls a second that this replica may use; infinite where the destination reports no allowance.
+    /// Calls per second that this replica may make; infinite if the destination reports no allowance.
     fn replica_rate(&self, replicas: f64) -> f64 {
         match (self.per_second, self.remaining_allowance) {
             (Some(limit), Some(_)) => limit / replicas * self.usage_factor,
@@ -27,8 +27,9 @@
         }
     }
 
-    /// Takes over the share of the allowance that is left. Where rejected calls use it up too, a fleet that asks for too much gets
-    /// nothing, and reports come late to those that send little: the factor falls at once and rises slowly.
+    /// Records the reported share of the allowance that is left and adapts the usage factor, which falls at once and
+    /// rises slowly. If rejected calls also consume the allowance, a fleet that exceeds it gets nothing accepted, and
+    /// replicas that send little receive reports late.
     fn record_allowance(&mut self, left: f64) {
         self.remaining_allowance = Some(left);
         self.usage_factor = if left < EXHAUSTED_ALLOWANCE {
@@ -43,7 +44,7 @@
 }
 
 impl Route {
-    /// This replica's successes a second over the latest [`RATE_SPAN_SECONDS`].
+    /// Successes per second of this replica over the last [`RATE_SPAN_SECONDS`].
     pub(crate) fn success_rate(&self, now: Micros) -> f64 {
         let span = RATE_SPAN_SECONDS * SECOND;
         self.breaker
@@ -52,7 +53,7 @@
             / RATE_SPAN_SECONDS as f64
     }
 
-    /// Calls a second that this replica may surely use: its share of the limit, or its own best rate.
+    /// Calls per second that this replica can safely make: its share of the limit, or its own best rate.
     fn fair_rate(&self, replicas: f64) -> f64 {
         let best = self.pacing.best_rate;
         let rate = match self.limit.per_second {
@@ -62,14 +63,15 @@
         rate.max(MIN_RATE)
     }
 
-    /// Whether this replica uses half of its even share of the limit or more, so that the limit is the likely cause of a rejection.
+    /// Whether this replica uses more than half of its even share of the limit, so that the limit is the likely cause
+    /// of a rejection. At most [`MAX_BUSY_REPLICAS`] replicas share the limit here.
     pub(crate) fn uses_even_share(&self, now: Micros, replicas: f64) -> bool {
         let limit = self.limit.per_second.unwrap_or(0.0);
         self.success_rate(now) * replicas.min(MAX_BUSY_REPLICAS) * 2.0 > limit
     }
 
-    /// Takes over a limit for all replicas by its weight of 0 to 1. One beyond the accepted bounds is ignored, and the
-    /// first one sets the rate.
+    /// Averages a limit for all replicas into the known one with a weight from 0 to 1. Limits outside of the accepted
+    /// bounds are ignored. The first limit also bounds the rate.
     pub(crate) fn record_limit(&mut self, limit: f64, weight: f64, replicas: f64) {
         if !(MIN_RATE..=MAX_RATE).contains(&limit) {
             return;
@@ -83,7 +85,7 @@
         self.limit.per_second = Some(known + weight * (bounded - known));
     }
 
-    /// Longest backoff by the limit: [`MAX_BACKOFF_FACTOR`] times the interval of an even share.
+    /// Longest backoff that the limit permits: [`MAX_BACKOFF_FACTOR`] times the interval of an even share.
     fn backoff_bound(&self, replicas: f64) -> Micros {
         (self.limit.even_interval(replicas) * MAX_BACKOFF_FACTOR * SECOND as f64) as Micros
     }
@@ -97,7 +99,8 @@
         (seconds * SECOND as f64) as Micros
     }
 
-    /// Backs off after a rejection, and cuts rate and concurrency. `chance` of 0 to 1 spreads the replicas' backoffs.
+    /// Lengthens the backoff after a rejection and reduces rate and concurrency. `chance`, a random number from 0 to 1,
+    /// spreads the backoffs of the replicas.
     pub(crate) fn lengthen_backoff(&mut self, now: Micros, replicas: f64, chance: f64) {
         let first = self.first_backoff(replicas);
         let longest = self
@@ -111,7 +114,7 @@
         let rate = pacing.rate.min(success_rate.max(fair));
         pacing.rate = (rate * REJECTION_DECREASE).max(fair / MAX_BACKOFF_FACTOR);
         pacing.concurrency_limit = (pacing.concurrency_limit * REJECTION_DECREASE).max(1.0);
-        // Replicas with the same Retry-After are spread over a whole backoff.
+        // The end of a Retry-After may be the same for many replicas: their calls are spread over a whole backoff.
         let spread = if self.retry_after_until > now {
             chance
         } else {
@@ -128,7 +131,7 @@
         self.backoff_until = now + self.pacing.backoff;
     }
 
-    /// Raises rate and concurrency after a success.
+    /// Raises the rate, up to the limit with its tolerance, and the concurrency limit after a success.
     pub(crate) fn raise_rate(&mut self, now: Micros, replicas: f64, weight_source: WeightSource) {
         let tolerance = match weight_source {
             WeightSource::Rough => ROUGH_LIMIT_TOLERANCE,
@@ -148,7 +151,7 @@
 }
 
 impl DeliveryPolicy {
-    /// Takes over the load report of an answer.
+    /// Records the limit and the allowance of a load report.
     pub(crate) fn record_load_report(&mut self, host: HostId, values: &[f32]) {
         let settings = &self.settings;
         let left = settings.reported_value(ReportField::AllowanceLeft, values);
@@ -158,7 +161,7 @@
         let Some(route) = key.and_then(|key| self.routes.get_mut(&key)) else {
             return;
         };
-        // A limit that is far from the known one has changed; noise is small.
+        // Noise is small: the further a reported limit is from the known one, the likelier it has changed.
         let known = route.limit.per_second.unwrap_or(limit).max(MIN_RATE);
         let weight =
             (LIMIT_WEIGHT_FACTOR * (limit - known).abs() / known).clamp(AVERAGE_WEIGHT, 1.0);
@@ -169,33 +172,35 @@
         }
     }
 
-    /// Calls a second to a route back from an outage: its capacity grows while it warms up, and each replica takes its
-    /// share. Infinite if there was no outage. Where failures were none, messages are held back for the whole warm-up.
+    /// Calls per second to a route that recovers from an outage: this replica's share of the capacity, which grows
+    /// while the destination warms up. Infinite if there was no outage. Failures that are wrongly taken for an outage
+    /// therefore hold back messages for the whole warm-up.
     pub(crate) fn recovery_ramp(&self, route: &Route) -> f64 {
         let recovery = &route.recovery;
         if !recovery.is_active {
             return f64::INFINITY;
         }
         let rules = &self.settings.rules;
-        // Messages that came during the outage are this replica's share of what all replicas have queued.
+        // The arrival rate during the outage indicates this replica's share of the messages that all replicas have
+        // queued.
         let down_until = recovery.recovered_at.unwrap_or(self.now);
         let down_for = down_until.saturating_sub(recovery.down_since);
         let down_for = down_for.max(MIN_OUTAGE);
         let arrivals = route.waiting_messages as f64 * SECOND as f64 / down_for as f64;
         let best_rate = route.pacing.best_rate * self.replicas;
         let capacity = route.limit.per_second.unwrap_or(best_rate).max(1.0);
-        let part = (capacity / self.replicas).max(arrivals.min(capacity));
+        let replica_capacity = (capacity / self.replicas).max(arrivals.min(capacity));
         let warm_up = rules.warm_up.max(1) as f64;
         let warmed_up = match recovery.recovered_at {
             Some(at) => ((self.now - at) as f64 / warm_up).min(1.0),
             None => 0.0,
         };
         let share = rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * warmed_up;
-        rules.overload_factor * part * share
+        rules.overload_factor * replica_capacity * share
     }
 
-    /// Refills the token bucket of a route and returns its rate in calls a second. Ends the recovery ramp of a route
-    /// that has warmed up.
+    /// Refills the token bucket of a route and returns its rate in calls per second. Ends the recovery ramp if the
+    /// destination has warmed up.
     pub(crate) fn refill(&mut self, key: RouteKey) -> f64 {
         let now = self.now;
         let warm_up = self.settings.rules.warm_up;
@@ -222,7 +227,7 @@
         } else {
             (rate * BUCKET_DEPTH_SECONDS).max(1.0)
         };
-        // Nothing is filled in during a Retry-After: all replicas with the same one would send at its end.
+        // No tokens accumulate during a Retry-After. Otherwise all replicas with the same one would send at its end.
         let paused_until = route.retry_after_until;
         let bucket = &mut route.pacing.bucket;
         bucket.refill(now, paused_until, rate, depth);
--- a/crates/policy/src/recovery.rs
+++ b/crates/policy/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: outages and what follows them, and messages, calls and state of an earlier process.
+//! Recovery from outages, and restoration of the messages, calls and outages of an earlier process.
 
 use crate::call::Call;
 use crate::queued_message::{AttemptState, Recovery};
@@ -10,8 +10,8 @@
 use crate::types::{HostId, Message, MessageId, Micros, Outage, PastAttempt};
 
 impl Route {
-    /// Whether a route without hosts must be retained: calls, a Retry-After, a backoff and an outage
-    /// outlast a change of the list.
+    /// Whether a route without hosts must be retained: calls in flight, a Retry-After, a backoff and a recent outage
+    /// remain in effect when the host list changes.
     pub(crate) fn must_be_retained(&self, now: Micros) -> bool {
         let last_call = self.breaker.window.latest_at();
         let is_recent = last_call.is_some_and(|at| at + OUTAGE_RETENTION > now);
@@ -20,7 +20,8 @@
         self.in_flight > 0 || has_outage || paused_until > now
     }
 
-    /// Starts the recovery ramp. `chance` of 0 to 1 spreads the turns of all replicas that saw the outage.
+    /// Records an outage that began at `since` and activates the recovery ramp. `chance`, a random number from 0 to 1,
+    /// spreads the next calls of all replicas that detected the outage.
     pub(crate) fn record_outage(&mut self, since: Micros, chance: f64) {
         if !self.recovery.is_active {
             self.recovery.down_since = since;
@@ -30,7 +31,8 @@
         self.recovery.recovered_at = None;
     }
 
-    /// At a success: an outage that few calls met, as they had no answer or were held back, counts from the first error.
+    /// Checks at a success for an outage that few calls encountered because they got no answer or were held back. Such
+    /// an outage counts from the first error.
     pub(crate) fn detect_unseen_outage(&mut self, now: Micros, chance: f64) {
         let breaker = &self.breaker;
         let was_rejecting = breaker.consecutive_rejections > 0
@@ -48,8 +50,9 @@
         }
     }
 
-    /// At a success of a call sent at `sent_at`: the outage is over, unless the call is older than it. Where the last
-    /// success came just before, a full queue was taken for an outage, and no ramp is needed.
+    /// Ends the outage at a success, unless the successful call was sent before the outage began (`sent_at`). No ramp
+    /// follows if the last success before the outage was less than [`MIN_SUCCESS_GAP_OF_OUTAGE`] ago: then a full queue
+    /// at the destination looked like an outage.
     pub(crate) fn end_outage(&mut self, now: Micros, sent_at: Micros, last_success: Micros) {
         let recovery = &mut self.recovery;
         let is_down = recovery.is_active && recovery.recovered_at.is_none();
@@ -63,17 +66,18 @@
 }
 
 impl DeliveryPolicy {
-    /// Accepts a message from before a restart.
+    /// Restores a message that was accepted before a restart.
     pub(crate) fn restore_message(&mut self, message: Message, attempts: &[PastAttempt]) {
         self.enqueue_with_attempts(message, attempts);
         self.mark_recovered(message.id, Recovery::Restored);
-        // A call that the end of a process cut off may still be running at its host.
+        // A call that was cut off by the end of the process may still be running at its host.
         let may_still_run = attempts.last().is_some_and(|past| past.may_have_executed);
         let key = message.ordering_key.filter(|_| may_still_run);
         if let Some(order) = key.and_then(|key| self.ordered_keys.get_mut(&key)) {
             order.blocked_until = self.now + self.settings.rules.ordering_delay;
         }
-        // The destination may have come back unseen: the ramp keeps what waits for it from going out at once.
+        // The destination may have recovered while this process was down: the ramp keeps the backlog from being sent in
+        // a burst.
         let now = self.now;
         for key in self.routes_to(message.destination) {
             let Some(route) = self.routes.get_mut(&key) else {
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Marks a message without attempts as recovered.
+    /// Marks a message without attempts as recovered and counts it.
     fn mark_recovered(&mut self, id: MessageId, recovery: Recovery) {
         let queued = self.queue.get_mut(&id);
         if let Some(queued) = queued.filter(|queued| queued.attempts.is_empty()) {
@@ -95,7 +99,8 @@
         }
     }
 
-    /// Takes over a message from a process that ends. A call in flight at `host` holds its slot until its end.
+    /// Takes over a message from a process that shuts down. `host` is where its call is still in flight, if it is; the
+    /// call occupies a slot until it ends.
     pub(crate) fn adopt_message(
         &mut self,
         message: Message,
@@ -126,7 +131,8 @@
         });
     }
 
-    /// Restores an outage from before a restart, or all that waits would go out at once. One that lasts gets a probe.
+    /// Restores an outage from before a restart; without it, the backlog would be sent in a burst. The breaker opens
+    /// for an outage that has not ended, so that the next call is a probe.
     pub(crate) fn restore_outage(&mut self, outage: Outage) {
         let now = self.now;
         let chance = self.random.next_fraction();
@@ -137,7 +143,7 @@
             route.record_outage(outage.started_at.min(now), chance);
             route.recovery.recovered_at = outage.recovered_at.map(|at| at.min(now));
             if route.recovery.recovered_at.is_none() {
-                // Most of a large fleet may have started just now.
+                // In a large fleet, most replicas may be starting at the same time.
                 let open_for = route.open_duration(self.replicas, &self.settings.rules, chance);
                 let open_until = if self.replicas > SMALL_FLEET {
                     now + open_for
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retry: how attempts end, whether a message may be sent again, and its final answer if it is not delivered.
+//! Retry: the end of attempts, whether a message may be sent again, and its final answer if it is not delivered.
 
 use crate::call::CallEnd;
 use crate::queued_message::{AttemptState, QueuedMessage, Recovery};
@@ -8,7 +8,7 @@
     Action, AttemptEnd, AttemptOutcome, Idempotency, Message, MessageId, Micros, RouteKey,
 };
 
-/// What another attempt risks, the least first.
+/// Risk of another attempt, from the lowest to the highest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RepeatRisk {
     Idempotent,
@@ -19,7 +19,7 @@
 }
 
 impl DeliveryPolicy {
-    /// Records what became of an attempt, and when the next may start.
+    /// Records the outcome of an attempt and sets the earliest time of the next one.
     pub(crate) fn end_attempt(&mut self, end: AttemptEnd) {
         let outcome = end.outcome;
         let Some(queued) = self.queue.get_mut(&end.id) else {
@@ -65,9 +65,10 @@
         }
     }
 
-    /// Takes one message out of a call; with the last one the call's outcome counts.
+    /// Removes one message from a call. When the last message ends, the call ends and its outcome is recorded.
     fn end_call(&mut self, call_id: u64, class: usize, end: AttemptEnd) {
-        // Drawn for each message, also for those without a Retry-After.
+        // Drawn for every message, even without a Retry-After, so that the sequence of random numbers does not depend
+        // on it.
         let chance = self.random.next_fraction();
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
@@ -94,8 +95,8 @@
         });
     }
 
-    /// Honours the Retry-After of any message of a call, whatever became of the others; zero is none. A long one is an
-    /// outage.
+    /// Honours the Retry-After of any message of a call, regardless of the outcomes of the others; zero means none. One
+    /// above [`UNAVAILABLE_AFTER`] counts as an outage.
     fn record_retry_after(&mut self, key: RouteKey, retry_after: Micros, chance: f64) {
         let now = self.now;
         let Some(route) = self.routes.get_mut(&key).filter(|_| retry_after > 0) else {
@@ -108,8 +109,9 @@
         }
     }
 
-    /// Gives the final answer without a delivery: a rejection only where provably nothing was executed.
-    pub(crate) fn give_up(
+    /// Gives the final answer to a message that was not delivered: a rejection if provably no attempt was executed, a
+    /// failure otherwise.
+    pub(crate) fn answer_undelivered(
         &mut self,
         id: MessageId,
         retry_after: Micros,
@@ -125,8 +127,8 @@
         self.settle(id);
     }
 
-    /// Answers messages whose deadline is near, and at once those that may not be sent any more.
-    pub(crate) fn give_up_undeliverable(&mut self, actions: &mut Vec<Action>) {
+    /// Answers messages whose deadline is near, and those not in flight that may not be sent again.
+    pub(crate) fn answer_undeliverable_messages(&mut self, actions: &mut Vec<Action>) {
         let latest_answer = self.now + self.answer_margin();
         let may_be_sent = |queued: &QueuedMessage| {
             self.may_attempt(queued) && !self.scheduler.abandons_messages(queued.message.tenant)
@@ -141,22 +143,22 @@
             .map(|queued| queued.message)
             .collect();
         for Message { id, deadline, .. } in due {
-            // One that ends before its deadline has used up its attempts: its client may come again.
+            // A message that ends before its deadline may not be attempted again, but its client may submit it later.
             let retry_after = if deadline <= latest_answer {
                 0
             } else {
                 self.rejection_retry_after()
             };
-            self.give_up(id, retry_after, actions);
+            self.answer_undelivered(id, retry_after, actions);
         }
     }
 
-    /// How long before its deadline a message gets its final answer at the latest.
+    /// Minimum time before its deadline at which a message gets its final answer.
     pub(crate) fn answer_margin(&self) -> Micros {
         ANSWER_MARGIN_ROUNDS * self.settings.tick
     }
 
-    /// Whether idempotency and the limit of attempts allow another attempt.
+    /// Whether idempotency, the limit of attempts and the slots allow another attempt.
     pub(crate) fn may_attempt(&self, queued: &QueuedMessage) -> bool {
         let idempotency = self.class(&queued.message).idempotency;
         let soon = self.now + self.answer_margin();
@@ -168,7 +170,7 @@
         is_safe && queued.attempts.len() < self.settings.max_attempts && self.settings.max_calls > 0
     }
 
-    /// What an attempt with this message risks.
+    /// The risk of an attempt with this message.
     pub(crate) fn repeat_risk(&self, id: MessageId) -> RepeatRisk {
         let Some(queued) = self.queue.get(&id) else {
             return RepeatRisk::UnknownMessage;
@@ -183,8 +185,8 @@
     }
 }
 
-/// Pause of a message after its attempt with this number. A class that always fails somewhere, or a call that can't be
-/// made, must not be repeated without a pause.
+/// Pause of a message after this number of attempts. Without a pause, a message whose class always fails at some host,
+/// or whose call cannot be made, would be retried in a tight loop.
 fn retry_backoff(outcome: AttemptOutcome, attempt_count: usize) -> Micros {
     match outcome {
         AttemptOutcome::Error | AttemptOutcome::Reset | AttemptOutcome::Obsolete => {
--- a/crates/policy/src/rolling_window.rs
+++ b/crates/policy/src/rolling_window.rs
@@ -1,4 +1,4 @@
-//! A rolling window of call results: a queue of samples in order of time. It holds no threshold.
+//! A rolling window of call results in chronological order. Thresholds are left to its users.
 
 use std::collections::VecDeque;
 
@@ -6,32 +6,32 @@
 
 use crate::types::Micros;
 
-/// How a call counts for its route.
+/// How a call counts for the circuit breaker of its route.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum CallResult {
-    /// It was delivered.
+    /// The message was delivered.
     Success,
-    /// The destination rejected it unseen.
+    /// The destination rejected the call without executing it.
     Rejected,
-    /// It failed, or counts as failed since it became slow.
+    /// The call failed, or became slow and so counts as failed.
     Failure,
 }
 
-/// One call of the window.
+/// A call in the window.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct Sample {
     at: Micros,
     result: CallResult,
 }
 
-/// The results of recent calls, the oldest first.
+/// The results of recent calls, oldest first.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct RollingWindow {
     samples: VecDeque<Sample>,
 }
 
 impl RollingWindow {
-    /// Adds a result and drops samples that are older than `span`.
+    /// Adds a result and removes samples that are older than `span`.
     pub(crate) fn record(&mut self, now: Micros, span: Micros, result: CallResult) {
         self.samples.push_back(Sample { at: now, result });
         while self
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Number of samples.
+    /// Number of samples in the window.
     pub(crate) fn len(&self) -> usize {
         self.samples.len()
     }
@@ -56,7 +56,7 @@
             .count()
     }
 
-    /// Number of samples with this result that are no older than `span`.
+    /// Number of samples with this result that are not older than `span`.
     pub(crate) fn count_within(&self, result: CallResult, span: Micros, now: Micros) -> usize {
         let recent = self.samples.iter().filter(|sample| sample.at + span >= now);
         recent.filter(|sample| sample.result == result).count()
@@ -72,12 +72,12 @@
             .count()
     }
 
-    /// When the latest call ended.
+    /// Time of the latest sample.
     pub(crate) fn latest_at(&self) -> Option<Micros> {
         self.samples.back().map(|sample| sample.at)
     }
 
-    /// When the latest call with this result ended.
+    /// Time of the latest sample with this result.
     pub(crate) fn last_at(&self, result: CallResult) -> Option<Micros> {
         self.samples
             .iter()
@@ -85,7 +85,7 @@
             .map(|sample| sample.at)
     }
 
-    /// Takes out the latest sample with this result.
+    /// Removes the latest sample with this result.
     pub(crate) fn remove_last(&mut self, result: CallResult) {
         if let Some(index) = self
             .samples
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Drops all but the latest `count` samples.
+    /// Removes all but the latest `count` samples.
     pub(crate) fn keep_latest(&mut self, count: usize) {
         self.samples
             .drain(..self.samples.len().saturating_sub(count));
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,4 +1,4 @@
-//! What is known of a route. The modules that decide on it add the methods that compare.
+//! The record of a route. The decision modules add methods to it.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,17 +10,17 @@
 /// State of a circuit breaker.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) enum BreakerState {
-    /// Calls pass.
+    /// Calls pass without restriction.
     #[default]
     Closed,
-    /// One probe request is in flight.
+    /// A probe is in flight.
     HalfOpen,
-    /// No call passes until this moment.
+    /// No call passes before this time; the first one after it is a probe.
     Open(Micros),
 }
 
-// HandoverSnapshot stores routes in a format that goes by position: the order of all fields below is fixed, and a
-// struct among them stands for its fields.
+// HandoverSnapshot stores routes in a positional format: the order of all fields below is fixed, including the fields
+// of nested structs.
 
 /// Circuit breaker over a rolling window of call results.
 #[derive(Clone, Default, Serialize, Deserialize)]
@@ -28,56 +28,57 @@
     pub(crate) state: BreakerState,
     pub(crate) window: RollingWindow,
     pub(crate) consecutive_failures: u32,
-    /// When the first of the consecutive failures counted.
+    /// Time of the first of the consecutive failures.
     pub(crate) failing_since: Micros,
     pub(crate) consecutive_rejections: u32,
-    /// Since when rejections cannot be put down to the advertised limit.
+    /// Time of the first consecutive rejection, or of the latest rejection at an exhausted allowance: later rejections
+    /// cannot be attributed to the advertised limit.
     pub(crate) rejected_since: Micros,
-    /// The last rejection can be put down to the limit.
+    /// The last rejection can be attributed to the limit.
     pub(crate) is_limit_likely: bool,
-    /// The last failure proves that nothing was executed.
+    /// The last failed call provably was not executed; true before the first failure.
     pub(crate) last_failure_not_executed: bool,
 }
 
-/// What the destination says of its limit.
+/// The rate limit that a destination advertises.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct AdvertisedLimit {
-    /// Calls a second for all replicas together, as listed or reported.
+    /// Calls per second for all replicas together, as listed by discovery or reported; `None` if unknown.
     pub(crate) per_second: Option<f64>,
-    /// Share of the allowance that the last answer left.
+    /// Share of the allowance left, from 0 to 1, by the last load report; `None` if it had none.
     pub(crate) remaining_allowance: Option<f64>,
-    /// What this replica may use, as a multiple of its even share of the limit.
+    /// Maximum use by this replica, as a multiple of its even share of the limit.
     pub(crate) usage_factor: f64,
 }
 
-/// How fast this replica calls the route.
+/// Rate, backoff and concurrency of this replica's calls to the route.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Pacing {
-    /// Calls a second, at most.
+    /// Maximum calls per second.
     pub(crate) rate: f64,
-    /// Least time between calls after rejections; zero if there were none lately.
+    /// Minimum time between calls after rejections; zero if there were none recently.
     pub(crate) backoff: Micros,
-    /// Best rate of successes so far, in calls a second; it decays.
+    /// Highest rate of successes so far, in calls per second; it decays with each success.
     pub(crate) best_rate: f64,
     pub(crate) bucket: TokenBucket,
-    /// Calls in flight at most.
+    /// Maximum number of calls in flight.
     pub(crate) concurrency_limit: f64,
 }
 
-/// An outage that this replica has seen, and the recovery from it.
+/// An outage that this replica has detected, and the recovery from it.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Recovery {
-    /// The recovery ramp applies.
+    /// The recovery ramp applies: during the outage and while the destination warms up.
     pub(crate) is_active: bool,
     pub(crate) down_since: Micros,
-    /// The first success after the outage.
+    /// Time of the first success after the outage; `None` while it lasts.
     pub(crate) recovered_at: Option<Micros>,
 }
 
-/// What is known of a route.
+/// State of a route: a destination, or one of its hosts.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Route {
-    /// Its hosts, in ascending order.
+    /// Ready hosts of the route, in ascending order.
     pub(crate) hosts: Vec<HostId>,
     pub(crate) breaker: CircuitBreaker,
     /// End of the Retry-After of the destination.
@@ -86,19 +87,19 @@
     pub(crate) backoff_until: Micros,
     pub(crate) limit: AdvertisedLimit,
     pub(crate) pacing: Pacing,
-    /// Calls in flight.
+    /// Number of calls in flight.
     pub(crate) in_flight: usize,
-    /// Duration of its calls, as a multiple of that of the same class elsewhere.
+    /// Duration of calls to this route, as a multiple of the mean duration of calls of the same class.
     pub(crate) relative_latency: f64,
-    /// Messages that wait for its destination.
+    /// Number of messages that wait for the destination.
     pub(crate) waiting_messages: usize,
-    /// Calls a second at which recovered messages are attempted in time; zero if there are none.
+    /// Calls per second needed to attempt recovered messages in time; zero if there are none.
     pub(crate) urgent_rate: f64,
     pub(crate) recovery: Recovery,
 }
 
 impl Route {
-    /// A route of which nothing is known.
+    /// Creates the state of a route that has not been called and has no known limit.
     pub(crate) fn initial() -> Self {
         let mut route = Route {
             relative_latency: 1.0,
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,4 +1,4 @@
-//! Look-ups in the table of hosts, routes and classes.
+//! Look-ups and updates in the tables of hosts, routes and classes.
 
 use std::collections::BTreeSet;
 
@@ -9,14 +9,14 @@
     Class, DestinationId, DestinationKind, HostEntry, HostId, HostState, Message, RouteKey,
 };
 
-/// The kind of a host whose kind the settings do not have.
+/// The kind of a host whose kind is not in the settings.
 const DEFAULT_KIND: DestinationKind = DestinationKind {
     has_host_routes: false,
     max_messages_per_call: 1,
 };
 
 impl DeliveryPolicy {
-    /// Known hosts that a full list leaves out, as removed.
+    /// Entries that mark as removed the known hosts missing from a full list.
     pub(crate) fn unlisted_hosts(&self, entries: &[HostEntry]) -> Vec<HostEntry> {
         let listed: BTreeSet<HostId> = entries.iter().map(|entry| entry.host).collect();
         let known = self.hosts.values().map(|host| host.entry);
@@ -29,7 +29,7 @@
             .collect()
     }
 
-    /// Enters a host into the table, with its present state; returns its route if it is ready.
+    /// Adds or updates a host and its route; returns the route if the host is ready.
     pub(crate) fn place_host(&mut self, entry: HostEntry) -> Option<RouteKey> {
         let old_key = self.route_of(entry.host);
         if let Some(route) = old_key.and_then(|key| self.routes.get_mut(&key)) {
@@ -54,8 +54,8 @@
         Some(key)
     }
 
-    /// Forgets removed hosts once no call to them is in flight, and their routes once nothing of them must be kept.
-    pub(crate) fn forget_removed_hosts(&mut self) {
+    /// Deletes removed hosts once no call to them is in flight, and their routes once they need not be retained.
+    pub(crate) fn purge_removed_hosts(&mut self) {
         for id in std::mem::take(&mut self.removed_hosts) {
             let Some(host) = self.hosts.get(&id) else {
                 continue;
@@ -79,17 +79,17 @@
         }
     }
 
-    /// The class of a message; the last one if the settings do not have it.
+    /// The class of a message; the last class if its index is not in the settings.
     pub(crate) fn class(&self, message: &Message) -> &Class {
         &self.settings.classes[self.class_index(message)]
     }
 
-    /// Index of the class of a message.
+    /// Index of the class of a message, as used by [`Self::class`].
     pub(crate) fn class_index(&self, message: &Message) -> usize {
         usize::from(message.class).min(self.settings.classes.len() - 1)
     }
 
-    /// The kind of a host.
+    /// The kind of a host; [`DEFAULT_KIND`] if it is not in the settings.
     pub(crate) fn kind(&self, entry: &HostEntry) -> DestinationKind {
         self.settings
             .kinds
@@ -98,7 +98,7 @@
             .unwrap_or(DEFAULT_KIND)
     }
 
-    /// The route of a listed host.
+    /// The route of a known host.
     pub(crate) fn route_of(&self, host: HostId) -> Option<RouteKey> {
         let entry = &self.hosts.get(&host)?.entry;
         let host = self.kind(entry).has_host_routes.then_some(host);
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,20 +1,20 @@
 //! The interface to the tenant scheduler, which shares the queue, the slots and the rate among tenants.
 //!
-//! The policy decides on hosts, retries and rejections; the order among tenants is decided behind
-//! [`TenantScheduler`]. Nothing here decides anything.
+//! The policy decides on hosts, retries and rejections; implementations of [`TenantScheduler`] decide on the order
+//! among tenants. This module makes no decisions.
 
 use crate::types::{DestinationId, Message, MessageId, Micros, TenantId, TenantTerms};
 
-/// What a queue has room for.
+/// A number of messages and of bytes in the queue: its capacity, or a part in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Messages.
+    /// Number of messages.
     pub messages: usize,
-    /// Bytes of messages.
+    /// Total size of the messages in bytes.
     pub bytes: usize,
 }
 
-/// A waiting message whose destination takes calls now.
+/// A waiting message whose destination accepts calls now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// The message.
@@ -23,75 +23,76 @@
     pub tenant: TenantId,
     /// Its destination.
     pub destination: DestinationId,
-    /// The value that is lost by waiting.
+    /// The value that is lost by waiting; see `DELAY_HORIZON`.
     pub cost_of_delay: f64,
-    /// How long its call is expected to hold a slot.
+    /// How long its call is expected to hold a slot; zero if no route is known.
     pub expected_duration: Micros,
 }
 
 /// Shares the queue, the slots and the rate among tenants.
 pub trait TenantScheduler {
-    /// Sets a tenant's terms; none when it is removed, which takes effect once no message of it is queued.
+    /// Sets a tenant's terms. `None` removes the tenant once no message of it is queued.
     fn update_tenant(&mut self, now: Micros, tenant: TenantId, terms: Option<TenantTerms>);
 
-    /// Whether one more message of the tenant may be accepted; the error is its Retry-After, 0 for the policy's own.
+    /// Checks whether another message of the tenant may be accepted.
     ///
     /// # Errors
     ///
-    /// How long the tenant's client should stay away, 0 for as long as the policy advises.
+    /// The Retry-After for the client, or 0 to use the policy's own.
     fn admit(&self, now: Micros, tenant: TenantId) -> Result<(), Micros>;
 
-    /// A message was added to the queue.
+    /// Records that a message was added to the queue.
     fn message_queued(&mut self, now: Micros, message: &Message);
 
-    /// A message was taken out of the queue.
+    /// Records that a message was removed from the queue.
     fn message_removed(&mut self, message: &Message);
 
     /// Whether the tenant's queued messages exceed its share of this capacity.
     fn exceeds_share(&self, tenant: TenantId, capacity: Capacity) -> bool;
 
-    /// Whether the tenant has to leave the rest of the capacity to others, as it has its share.
+    /// Whether the tenant has used its share and must leave the rest of the capacity to others.
     fn must_yield(&mut self, now: Micros, tenant: TenantId, capacity: Capacity) -> bool;
 
-    /// Puts candidates, which come with the highest cost of delay first, in the order in which they are to be sent,
-    /// and drops those that may not be.
+    /// Sorts candidates into the order in which they are to be sent and removes those that must not be sent. The input
+    /// is sorted by urgency: the highest cost of delay first.
     fn order_candidates(&mut self, now: Micros, candidates: &mut Vec<Candidate>);
 
-    /// Whether one more call of the tenant may start.
+    /// Whether another call of the tenant may start.
     fn may_start_call(&self, tenant: TenantId) -> bool;
 
-    /// A message was sent in a call that is expected to hold its slot for `cost`, 0 where it joined another's.
+    /// Records that a message was sent in a call that is expected to hold its slot for `cost`; 0 if it joined the call
+    /// of another message.
     fn call_started(&mut self, message: &Message, cost: Micros);
 
-    /// An attempt ended after `elapsed`, whose `cost` was given when it started.
+    /// Records that an attempt ended after `elapsed`. `cost` is the value that was passed to [`Self::call_started`].
     fn call_ended(&mut self, message: &Message, cost: Micros, elapsed: Micros);
 
-    /// A round has ended; `short_of_slots` says whether candidates were left for want of slots alone.
+    /// Records the end of a round. `short_of_slots` is true if candidates were left over only because no slot was free.
     fn round_ended(&mut self, short_of_slots: bool);
 
-    /// Whether the tenant's waiting messages end at once.
+    /// Whether the tenant's waiting messages are answered at once instead of being sent.
     fn abandons_messages(&self, tenant: TenantId) -> bool;
 
-    /// The tenant's messages in the relay.
+    /// Counts the tenant's messages in the relay.
     fn usage(&self, tenant: TenantId) -> TenantUsage;
 
-    /// When the tenant's rate limiter is full again; a moment in the past if it is.
+    /// Time at which the tenant's rate limiter is full again; a time in the past if it is full now.
     fn rate_used_until(&self, tenant: TenantId) -> Micros;
 
-    /// Restores that moment from an earlier process.
+    /// Restores the value of [`Self::rate_used_until`] from an earlier process.
     fn restore_rate_used_until(&mut self, tenant: TenantId, until: Micros);
 }
 
-/// A tenant's messages in the relay.
+/// Numbers of a tenant's messages in the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TenantUsage {
-    /// Messages in the queue, those in flight included.
+    /// Messages in the queue, including those in flight.
     pub queued: usize,
     /// Messages in flight.
     pub in_flight: usize,
 }
 
-/// A scheduler for a relay without tenants: it admits all and keeps the policy's order.
+/// A scheduler for a relay without tenants: it admits all messages and keeps the policy's order.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoTenants;
 
--- a/crates/policy/src/selection.rs
+++ b/crates/policy/src/selection.rs
@@ -1,4 +1,4 @@
-//! Selection: whether a route takes a call now, and which host of which route a message goes to.
+//! Selection: whether a route accepts a call now, and which route and host a message is sent to.
 
 use crate::host_record::HostRecord;
 use crate::queued_message::{QueuedMessage, Recovery};
@@ -11,15 +11,15 @@
 };
 use crate::types::{HostId, HostState, Idempotency, MessageId, Micros, RouteKey};
 
-/// Where a message goes.
+/// The route and the host that a message is sent to.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Selection {
     pub(crate) route: RouteKey,
     pub(crate) host: HostId,
 }
 
-/// Whether a call is for recovered messages that have not been attempted yet. These go out despite an open breaker
-/// or a backoff, or they would reach their deadlines behind it; a Retry-After holds for them too.
+/// Whether a call is for recovered messages that have not been attempted yet. These are sent despite an open breaker or
+/// a backoff, as they could reach their deadlines waiting for it. They still wait for a Retry-After.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Urgency {
     Normal,
@@ -27,7 +27,7 @@
 }
 
 impl Urgency {
-    /// The urgency of a route or destination at which recovered messages are to be attempted at `rate` calls a second.
+    /// The urgency for a route or destination that needs `rate` calls per second for its recovered messages.
     pub(crate) fn of_rate(rate: f64) -> Self {
         if rate > 0.0 {
             Urgency::Recovered
@@ -38,7 +38,7 @@
 }
 
 impl QueuedMessage {
-    /// Recovered if not even a connection was tried for it since the restart.
+    /// `Recovered` if the message was restored after a restart and has no attempt at all, not even a failed connection.
     pub(crate) fn urgency(&self) -> Urgency {
         if self.recovery == Recovery::Restored && self.attempts.is_empty() {
             Urgency::Recovered
@@ -48,34 +48,36 @@
     }
 }
 
-/// Whether a route takes a call.
+/// Whether a route accepts a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Readiness {
     Ready,
-    /// Not before this moment; `Micros::MAX` until something happens.
+    /// No call before this time; `Micros::MAX` if this depends on an event.
     NotBefore(Micros),
 }
 
-/// Slots of a healthy route at most.
+/// Maximum number of slots of a healthy route.
 fn healthy_slots(max_calls: usize) -> f64 {
     (max_calls as f64 * HEALTHY_SLOT_SHARE - HEALTHY_SLOT_MARGIN).floor()
 }
 
-/// Slots of a route at most while its breaker is not closed and some call in flight does not hang.
+/// Maximum number of slots of a route while its breaker is not closed and at least one call in flight is not hung.
 fn probe_slots(max_calls: usize) -> f64 {
     let share = (max_calls as f64 * SUSPECT_SLOT_SHARE).floor();
     share.max(MIN_SUSPECT_SLOTS)
 }
 
 impl Route {
-    /// Whether hung calls hold all slots of a route whose breaker is not closed. Only a repeatable message may be the probe
-    /// then: its attempt times out, and does not hold a slot to its deadline as well.
+    /// Whether the calls in flight hold all probe slots of a route whose breaker is not closed. A further probe starts
+    /// only if all of them are hung, and only with a repeatable message: its attempt times out, while a non-idempotent
+    /// one could hold another slot until its deadline.
     fn needs_slot_beyond_hung_calls(&self, max_calls: usize) -> bool {
         !self.breaker.is_closed() && self.in_flight as f64 >= probe_slots(max_calls)
     }
 
-    /// Until when the breaker or the limits of concurrency allow no further call; `Micros::MAX` until a call ends.
-    /// `probe_slots` is the most calls in flight while the breaker is not closed.
+    /// Time until which the breaker or the concurrency limits block further calls; `Micros::MAX` until a call ends,
+    /// `None` if nothing blocks them. `probe_slots` is the maximum number of calls in flight while the breaker is not
+    /// closed.
     fn blocked_until(
         &self,
         now: Micros,
@@ -83,7 +85,7 @@
         probe_slots: f64,
         urgency: Urgency,
     ) -> Option<Micros> {
-        let most = if self.breaker.is_suspect() {
+        let max_slots = if self.breaker.is_suspect() {
             (max_calls as f64 * SUSPECT_SLOT_SHARE).floor()
         } else {
             healthy_slots(max_calls)
@@ -95,14 +97,16 @@
             BreakerState::Open(until) if until > now && !is_urgent => return Some(until),
             BreakerState::Open(_) => lacks_probe_slot,
             BreakerState::HalfOpen => !is_urgent || lacks_probe_slot,
-            BreakerState::Closed => in_flight >= most.min(self.pacing.concurrency_limit).max(1.0),
+            BreakerState::Closed => {
+                in_flight >= max_slots.min(self.pacing.concurrency_limit).max(1.0)
+            }
         };
         is_full.then_some(Micros::MAX)
     }
 }
 
 impl DeliveryPolicy {
-    /// Whether the route takes a call now.
+    /// Whether the route accepts a call now, and if not, when. Refills its token bucket.
     pub(crate) fn readiness(&mut self, key: RouteKey, urgency: Urgency) -> Readiness {
         let now = self.now;
         let rate = self.refill(key);
@@ -130,8 +134,9 @@
         Readiness::Ready
     }
 
-    /// Calls that a route may have in flight while its breaker is not closed. Where all of them hang, as many as a healthy
-    /// route: unsafe calls hang to their deadlines, and must not keep a destination that is back from its probe.
+    /// Maximum number of calls in flight on a route while its breaker is not closed. If all of them are hung, the limit
+    /// of a healthy route applies: non-idempotent calls hang until their deadlines and must not prevent the probe of a
+    /// destination that has recovered.
     fn probe_slots(&self, key: RouteKey, route: &Route) -> f64 {
         let max_calls = self.settings.max_calls;
         let usual = probe_slots(max_calls);
@@ -146,7 +151,7 @@
         }
     }
 
-    /// The cheapest host that the message may go to now; of equals the first.
+    /// The host with the lowest cost that the message may be sent to now; the first one of equals.
     pub(crate) fn select(&mut self, id: MessageId) -> Option<Selection> {
         let queued = self.queue.get(&id)?;
         let destination = queued.message.destination;
@@ -182,7 +187,8 @@
     fn may_use_route(&self, queued: &QueuedMessage, route: &Route) -> bool {
         let class = self.class(&queued.message);
         let is_repeatable = class.idempotency != Idempotency::NonIdempotent;
-        // The end of the process cuts off calls, which then may have been executed: only repeatable ones risk that.
+        // The end of the process cuts off calls, which may then have been executed. Only calls with repeatable messages
+        // may risk that.
         let time_needed = if is_repeatable {
             (SHUTDOWN_MARGIN_FACTOR * self.expected_latency(queued, route)) as Micros
         } else {
@@ -194,12 +200,14 @@
         if !is_repeatable && route.needs_slot_beyond_hung_calls(self.settings.max_calls) {
             return false;
         }
-        // While time is left, non-idempotent messages wait where calls fail after they may have been executed.
+        // Non-idempotent messages avoid routes whose calls fail after they may have been executed, while enough time is
+        // left to wait.
         let reserve = (class.time_to_live as f64 * RISKY_TIME_RESERVE) as Micros;
         is_repeatable || !route.breaker.is_risky() || queued.message.deadline <= self.now + reserve
     }
 
-    /// Whether the message waits and may go to this host: it is ready, and its key is known there.
+    /// Whether the message waits and may be sent to this host: the host is ready and remembers the message's
+    /// idempotency key, the tenant may start a call, and another attempt is allowed.
     pub(crate) fn may_use_host(&self, queued: &QueuedMessage, host: HostId) -> bool {
         let Some(host) = self.hosts.get(&host) else {
             return false;
@@ -216,7 +224,7 @@
         is_ready && is_key_known && has_quota && queued.is_waiting() && self.may_attempt(queued)
     }
 
-    /// What a call to the host costs: ejection, failures, load and fees.
+    /// Cost of a call to the host, from its ejection, failures, load and fees, in units of one call in flight.
     fn host_cost(&self, host: &HostRecord, route: &Route, key: RouteKey) -> f64 {
         let zone = host.entry.zone;
         let zone_fee = self
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of the policy. Nothing here decides what is sent: the deciding modules add the methods that do.
+//! The state of the policy. This module makes no decisions; the decision modules add methods to [`DeliveryPolicy`].
 
 use std::collections::BTreeMap;
 
@@ -11,58 +11,58 @@
 use crate::tuning::{initial_latency, MIN_POLL_BACKOFF};
 use crate::types::{HostId, MessageId, Micros, RouteKey, Settings};
 
-/// The decisions of one relay. It does no I/O and reads no clock: its caller passes events and the time.
+/// The delivery decisions of one relay. It does no I/O and reads no clock: the caller passes events and the time.
 pub struct DeliveryPolicy {
     pub(crate) settings: Settings,
-    /// Shares queue, slots and rate among tenants.
+    /// Shares the queue, the slots and the rate among tenants.
     pub(crate) scheduler: Box<dyn TenantScheduler>,
-    /// Replicas of the relay, this one included.
+    /// Number of replicas of the relay, including this one.
     pub(crate) replicas: f64,
     pub(crate) random: RandomFractions,
-    /// The time of this round.
+    /// Time of the current round.
     pub(crate) now: Micros,
     /// Messages that wait or are in flight.
     pub(crate) queue: BTreeMap<MessageId, QueuedMessage>,
-    /// Bytes of these messages.
+    /// Total size of the messages in `queue`, in bytes.
     pub(crate) queued_bytes: usize,
-    /// Messages that a restart found without an attempt, or a hand-over.
+    /// Number of messages without an attempt that a restart or a hand-over recovered.
     pub(crate) recovered_count: usize,
-    /// Those of them that were rejected to make room.
+    /// How many of the recovered messages were rejected to free capacity.
     pub(crate) recovered_shed: usize,
     pub(crate) hosts: BTreeMap<HostId, HostRecord>,
-    /// Hosts that left the list and are not yet forgotten.
+    /// Hosts that are no longer listed but still known, as calls or state of their routes must be kept.
     pub(crate) removed_hosts: Vec<HostId>,
     pub(crate) routes: BTreeMap<RouteKey, Route>,
-    /// Calls in flight by number.
+    /// Calls in flight, by number.
     pub(crate) calls: BTreeMap<u64, Call>,
-    /// Number of the latest call.
+    /// Number of the last started call.
     pub(crate) latest_call: u64,
     /// Ordering keys with queued messages, or with an attempt that may still be running.
     pub(crate) ordered_keys: BTreeMap<u64, OrderedKey>,
-    /// Mean duration of the calls of each class in microseconds, at a route whose relative latency is 1.
+    /// Mean duration of the calls of each class in microseconds, on a route with a relative latency of 1.
     pub(crate) class_latency: Vec<f64>,
-    /// Discovery's list is watched, and need not be polled.
+    /// Discovery's host list is watched and is not polled.
     pub(crate) is_subscribed: bool,
-    /// The list of hosts is still to be confirmed, and no call starts.
+    /// The host list is not confirmed yet; until then no call starts.
     pub(crate) hosts_unconfirmed: bool,
-    /// When discovery is polled next, while it is not watched.
+    /// Time of the next poll of discovery while its list is not watched.
     pub(crate) poll_at: Micros,
     /// Pause after the next failure of discovery.
     pub(crate) poll_backoff: Micros,
-    /// When the latest timer is due.
+    /// When the last timer that was set is due; `None` once it has fired.
     pub(crate) timer_at: Option<Micros>,
-    /// When the process ends.
+    /// When the process ends; `Micros::MAX` until a shutdown is announced.
     pub(crate) shutdown_at: Micros,
 }
 
 impl DeliveryPolicy {
-    /// A relay with an empty queue, for which tenants make no difference.
+    /// Creates the policy of a relay with an empty queue that does not distinguish tenants.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         DeliveryPolicy::with_scheduler(settings, seed, Box::new(NoTenants))
     }
 
-    /// A relay with an empty queue, shared among tenants.
+    /// Creates the policy of a relay with an empty queue that `scheduler` shares among tenants.
     pub fn with_scheduler(
         settings: Settings,
         seed: u64,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Takes over settings. What is known of a class holds on while the class stays the same.
+    /// Replaces the settings. The learned latency of a class is kept if the class is unchanged.
     pub(crate) fn change_settings(&mut self, settings: Settings) {
         let old = std::mem::replace(&mut self.settings, settings);
         self.class_latency.resize(self.settings.classes.len(), 0.0);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// What tenants have in the relay, and have used of their rates.
+    /// Access to the tenant scheduler, which reports the usage and the rate limiters of tenants.
     pub fn scheduler(&mut self) -> &mut dyn TenantScheduler {
         &mut *self.scheduler
     }
--- a/crates/policy/src/tables.rs
+++ b/crates/policy/src/tables.rs
@@ -1,5 +1,5 @@
-//! The tables of queued messages and calls in flight: insertion, removal and sums. Nothing here decides what is
-//! sent.
+//! The tables of queued messages and calls in flight: insertion, removal and totals. This module does not decide what
+//! is sent.
 
 use crate::call::Call;
 use crate::queued_message::{Attempt, AttemptState, QueuedMessage};
@@ -8,14 +8,14 @@
 use crate::types::{HostId, Message, MessageId, Micros, PastAttempt, RouteKey};
 
 impl DeliveryPolicy {
-    /// Messages without a final answer.
+    /// Messages without a final answer whose streamed answer has not started.
     pub(crate) fn open_messages(&self) -> impl Iterator<Item = &QueuedMessage> {
         self.queue
             .values()
             .filter(|queued| !queued.is_settled && !queued.response_started)
     }
 
-    /// Messages and bytes of those in the queue that meet a condition.
+    /// Number and total bytes of the queued messages that meet `condition`.
     pub(crate) fn total_size(&self, condition: impl Fn(&QueuedMessage) -> bool) -> Capacity {
         let mut total = Capacity {
             messages: 0,
@@ -28,7 +28,7 @@
         total
     }
 
-    /// What the queue has room for.
+    /// The configured capacity of the queue.
     pub(crate) fn queue_capacity(&self) -> Capacity {
         let bytes = self.settings.max_queued_bytes;
         Capacity {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds a message to the queue, and to the order of its key if it has one.
+    /// Adds a message to the queue, and to the order of the key `ordered_by` if there is one.
     pub(crate) fn insert_message(&mut self, queued: QueuedMessage, ordered_by: Option<u64>) {
         let Message { id, size, .. } = queued.message;
         self.queued_bytes += size;
@@ -51,7 +51,7 @@
         self.queue.insert(id, queued);
     }
 
-    /// Accepts a message of an earlier process, with what its attempts allow.
+    /// Adds a message to the queue together with its past attempts.
     pub(crate) fn enqueue_with_attempts(&mut self, message: Message, attempts: &[PastAttempt]) {
         self.enqueue(message);
         if let Some(queued) = self.queue.get_mut(&message.id) {
@@ -61,14 +61,14 @@
         }
     }
 
-    /// The streamed answer of a message has started.
+    /// Records that the streamed answer of a message has started.
     pub(crate) fn start_response(&mut self, id: MessageId) {
         if let Some(queued) = self.queue.get_mut(&id) {
             queued.response_started = true;
         }
     }
 
-    /// The message needs no final answer any more; it stays only while attempts are in flight.
+    /// Marks a message as needing no further final answer, and removes it unless an attempt is in flight.
     pub(crate) fn settle(&mut self, id: MessageId) {
         let Some(queued) = self.queue.get_mut(&id) else {
             return;
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Takes a message out of the queue and out of the order of its key. Keys without messages are forgotten now and
-    /// then, once they are not blocked.
+    /// Removes a message from the queue and from the order of its key. When too many keys have accumulated, drops those
+    /// without messages that are not blocked.
     pub(crate) fn remove_message(&mut self, id: MessageId) -> Option<Message> {
         let key = self.queue.get(&id)?.message.ordering_key;
         if let Some(order) = key.and_then(|key| self.ordered_keys.get_mut(&key)) {
@@ -99,7 +99,7 @@
         Some(message)
     }
 
-    /// Records an attempt of the message in the latest call.
+    /// Adds an attempt of the message to the latest call and returns the message.
     pub(crate) fn add_attempt(
         &mut self,
         id: MessageId,
@@ -122,7 +122,7 @@
         Some(queued.message)
     }
 
-    /// Adds the latest call to those in flight.
+    /// Adds `call` to the calls in flight, under the number `latest_call`.
     pub(crate) fn add_call(&mut self, call: Call) {
         if let Some(host) = self.hosts.get_mut(&call.host) {
             host.in_flight += 1;
@@ -133,7 +133,7 @@
         self.calls.insert(self.latest_call, call);
     }
 
-    /// Takes out a call that has ended.
+    /// Removes a call that has ended.
     pub(crate) fn remove_call(&mut self, id: u64, route: RouteKey, host: HostId) {
         self.calls.remove(&id);
         if let Some(route) = self.routes.get_mut(&route) {
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A token bucket. Rate and depth are its caller's choice.
+//! A token bucket. The caller passes the rate and the depth to each refill.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 
 const SECOND: f64 = 1e6;
 
-/// Tokens, and when they were last counted. The count may be negative.
+/// A token bucket. The number of tokens may be negative.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct TokenBucket {
     pub(crate) tokens: f64,
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// A bucket with this number of tokens.
+    /// Creates a bucket with this number of tokens.
     pub(crate) fn with_tokens(tokens: f64) -> Self {
         TokenBucket {
             tokens,
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Adds what came in at `rate` tokens a second since the last refill, up to `depth`. Time before
-    /// `paused_until` adds nothing. An infinite rate fills the bucket.
+    /// Adds `rate` tokens per second for the time since the last refill, up to `depth`. Time before `paused_until` adds
+    /// nothing. An infinite rate fills the bucket.
     pub(crate) fn refill(&mut self, now: Micros, paused_until: Micros, rate: f64, depth: f64) {
         let start = self.refilled_at.max(paused_until.min(now));
         let elapsed = (now - start) as f64 / SECOND;
@@ -35,17 +35,17 @@
         self.refilled_at = now;
     }
 
-    /// Takes one token.
+    /// Removes one token, even if none is left.
     pub(crate) fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Drops what is above `most`.
-    pub(crate) fn limit_to(&mut self, most: f64) {
-        self.tokens = self.tokens.min(most);
+    /// Reduces the number of tokens to `max` if there are more.
+    pub(crate) fn limit_to(&mut self, max: f64) {
+        self.tokens = self.tokens.min(max);
     }
 
-    /// Time until there is a whole token, at `rate` tokens a second.
+    /// Time until the bucket contains a whole token, at `rate` tokens per second.
     pub(crate) fn time_to_token(&self, rate: f64) -> Micros {
         ((1.0 - self.tokens) / rate * SECOND) as Micros
     }
--- a/crates/policy/src/tuning.rs
+++ b/crates/policy/src/tuning.rs
@@ -1,4 +1,4 @@
-//! The constants of all decisions, with their reasons.
+//! The constants of all decisions and the reasons for their values.
 
 use crate::types::{Class, Micros};
 
@@ -11,185 +11,200 @@
 pub(crate) const ERROR_WINDOW: Micros = 10 * SECOND;
 /// Ratio of errors in the window above which the breaker trips.
 pub(crate) const ERROR_RATIO_TO_TRIP: f64 = 0.5;
-/// Least number of calls in the window for that ratio; the usual 20 never come within the window.
+/// Minimum number of calls in the window for that ratio to apply. The customary 20 calls are never reached within the
+/// window.
 pub(crate) const MIN_CALLS_TO_TRIP: usize = 4;
-/// Consecutive failures that trip below the minimum of calls, where many of the latest calls failed.
+/// Consecutive failures that trip the breaker even below that minimum, if many of the latest calls failed.
 pub(crate) const CONSECUTIVE_ERRORS_TO_TRIP: u32 = 2;
-/// Consecutive failures that are an outage at any ratio: one in a thousand where one call in ten fails by itself.
+/// Consecutive failures that indicate an outage at any failure ratio. Where one call in ten fails independently, a run
+/// of three has a probability of one in a thousand.
 pub(crate) const CONSECUTIVE_FAILURES_OF_OUTAGE: u32 = 3;
 /// How long a breaker stays open: short against deadlines of many seconds, long against one call.
 pub(crate) const OPEN_DURATION: Micros = 3 * SECOND / 2;
-/// In a large fleet a breaker stays open for its mean duration times this to one more, by chance.
+/// In a large fleet a breaker stays open for its mean duration times a random factor between this and this plus one.
 pub(crate) const MIN_OPEN_FACTOR: f64 = 0.5;
-/// Least multiple of its limit that a destination back from an outage is taken to bear.
+/// Minimum assumed capacity of a destination right after an outage, as a multiple of its limit.
 pub(crate) const MIN_INITIAL_CAPACITY: f64 = 0.1;
-/// How long a host that failed is ejected where another one serves.
+/// How long a host is ejected after a failure if another host of the route can serve.
 pub(crate) const EJECTION_DURATION: Micros = 3 * SECOND;
-/// Threshold of slow calls as a multiple of the expected latency: few calls that succeed take longer. A call in flight
+/// Slow-call threshold as a multiple of the expected latency, which few successful calls exceed. A call in flight
 /// beyond the threshold counts as failed.
 pub(crate) const SLOW_CALL_FACTOR: f64 = 5.0;
-/// Added to the threshold of slow calls: for a very short expected latency the factor alone would be too strict.
+/// Added to the slow-call threshold: for a very short expected latency the factor alone would be too strict.
 pub(crate) const SLOW_CALL_MARGIN: Micros = SECOND / 4;
-/// Number of the latest calls by which an outage is judged.
+/// Number of latest calls that are examined for an outage.
 pub(crate) const OUTAGE_SAMPLES: usize = 12;
-/// Ratio of failures among them that is an outage.
+/// Minimum ratio of failures among these calls that indicates an outage.
 pub(crate) const OUTAGE_FAILURE_RATIO: f64 = 0.4;
-/// Rejections alone over this time, a probe among them, are an outage and not a limit.
+/// A period of only rejections, including that of a probe, is attributed to an outage instead of the limit from this
+/// duration on.
 pub(crate) const UNAVAILABLE_AFTER: Micros = 13 * SECOND / 10;
-/// Least time between two successes with an outage between them: within less, rejections and failures are none.
+/// Minimum time between two successes that an outage separates. Rejections and failures within a shorter gap are not an
+/// outage.
 pub(crate) const MIN_SUCCESS_GAP_OF_OUTAGE: Micros = 3 * SECOND / 2;
-/// Least duration that is assumed for an outage, also for what is left of it: most replicas see its start late.
+/// Minimum duration that is assumed for an outage, and for the rest of one that is in progress: most replicas detect
+/// its start late.
 pub(crate) const MIN_OUTAGE: Micros = 5 * SECOND;
-/// How long after its last call the recovery ramp of a removed route is retained.
+/// How long the recovery ramp of a removed route is retained after its last call.
 pub(crate) const OUTAGE_RETENTION: Micros = 6 * ERROR_WINDOW;
-/// The probes of this number of replicas alone harm no destination.
+/// Largest number of replicas whose probes alone cannot overload a destination.
 pub(crate) const SMALL_FLEET: f64 = 6.0;
 
 // Retry
 
-/// Pause before the next attempt after an error, for each attempt so far.
+/// Pause before the next attempt after an error, multiplied by the number of attempts so far.
 pub(crate) const RETRY_BACKOFF: Micros = SECOND / 5;
-/// Rounds before its deadline at which a message gets its final answer at the latest.
+/// Minimum number of rounds before its deadline at which a message gets its final answer.
 pub(crate) const ANSWER_MARGIN_ROUNDS: u64 = 2;
-/// Least time-out of a repeatable attempt, as a multiple of the expected latency and of the attempts with this one.
+/// Minimum time-out of a repeatable attempt, as a multiple of the expected latency times the number of attempts,
+/// including this one.
 pub(crate) const TIMEOUT_FACTOR: f64 = 10.0;
-/// The time left before the deadline over this is another lower bound of that time-out.
+/// The time left before the deadline divided by this is another lower bound of that time-out.
 pub(crate) const TIME_LEFT_DIVISOR: Micros = 3;
-/// The window of an idempotency key over this is the longest time-out of the first attempt with the key.
+/// The window of an idempotency key divided by this is the maximum time-out of the first attempt with the key.
 pub(crate) const KEY_WINDOW_DIVISOR: Micros = 2;
 
 // Limits and pacing
 
-/// Weight of a reported limit, as a multiple of its relative distance from the limit known before.
+/// Weight of a reported limit, as a multiple of its relative difference from the known limit.
 pub(crate) const LIMIT_WEIGHT_FACTOR: f64 = 2.0;
-/// Lowest limit that is accepted, in calls a second; a route is never given up.
+/// Lowest accepted limit, in calls per second. It is above zero so that calls to a route never stop completely.
 pub(crate) const MIN_RATE: f64 = 0.3;
-/// Highest limit that is accepted, in calls a second.
+/// Highest accepted limit, in calls per second.
 pub(crate) const MAX_RATE: f64 = 1e6;
-/// One report moves the limit by this factor at most, up or down.
+/// Maximum factor by which one report changes the limit, up or down.
 pub(crate) const MAX_LIMIT_STEP: f64 = 2.0;
 /// Highest rate of this replica as a multiple of the limit.
 pub(crate) const LIMIT_TOLERANCE: f64 = 1.1;
-/// The same where the listed weights are rough.
+/// Highest rate of this replica as a multiple of the limit if the listed weights are rough.
 pub(crate) const ROUGH_LIMIT_TOLERANCE: f64 = 1.5;
-/// Depth of a route's token bucket in seconds of its rate, one call at least; without a recovery ramp.
+/// Depth of a route's token bucket in seconds of its rate, if no recovery ramp applies; at least one call.
 pub(crate) const BUCKET_DEPTH_SECONDS: f64 = 0.6;
-/// Share of the allowance left below which a rejection is due to the limit; reports are noisy.
+/// A rejection is due to the limit if less than this share of the allowance is left. It is above zero because reports
+/// are noisy.
 pub(crate) const EXHAUSTED_ALLOWANCE: f64 = 0.1;
-/// Share of the allowance left below which it is low.
+/// The allowance is low if less than this share of it is left.
 pub(crate) const LOW_ALLOWANCE: f64 = 0.3;
-/// Share of the allowance left above which a rejection is not due to the limit.
+/// A rejection is not due to the limit if more than this share of the allowance is left.
 pub(crate) const UNUSED_ALLOWANCE: f64 = 0.9;
-/// Usage factor of a limit whose allowance is exhausted.
+/// Usage factor while the allowance is exhausted.
 pub(crate) const EXHAUSTED_USAGE_FACTOR: f64 = 0.7;
-/// Highest usage factor where the allowance is low.
+/// Highest usage factor while the allowance is low.
 pub(crate) const LOW_USAGE_FACTOR: f64 = 0.95;
 /// Highest usage factor.
 pub(crate) const MAX_USAGE_FACTOR: f64 = 4.0;
-/// Growth of the usage factor with each report, for all of the allowance above the low one.
+/// Relative growth of the usage factor with each report, multiplied by the share of the allowance left above the low
+/// one.
 pub(crate) const USAGE_FACTOR_GROWTH: f64 = 0.1;
-/// Least first backoff; above it is the interval of an even share of the limit.
+/// Shortest first backoff, in seconds. Between the bounds, the first backoff is the interval of an even share of the
+/// limit.
 pub(crate) const FIRST_BACKOFF_MIN_SECONDS: f64 = 0.25;
-/// Longest first backoff.
+/// Longest first backoff, in seconds.
 pub(crate) const FIRST_BACKOFF_MAX_SECONDS: f64 = 2.0;
-/// A rejection multiplies the backoff by this; with the divisor, one call in three is rejected under load.
+/// A rejection multiplies the backoff by this. Together with [`BACKOFF_DIVISOR`], one call in three is rejected under
+/// load.
 pub(crate) const BACKOFF_MULTIPLIER: Micros = 3;
 /// A success divides the backoff by this.
 pub(crate) const BACKOFF_DIVISOR: Micros = 2;
 /// Longest backoff.
 pub(crate) const MAX_BACKOFF: Micros = 20 * SECOND;
-/// Longest backoff against the interval of an even share: all replicas together then use 0.7 of the limit.
+/// Longest backoff as a multiple of the interval of an even share, at which all replicas together use 0.7 of the limit.
 pub(crate) const MAX_BACKOFF_FACTOR: f64 = 1.4;
-/// Factor of the rate and of the concurrency limit after a rejection; gentle, as a second one soon cuts again.
+/// A rejection multiplies the rate and the concurrency limit by this. The decrease is small because a second rejection
+/// soon reduces them again.
 pub(crate) const REJECTION_DECREASE: f64 = 0.8;
-/// Growth of the rate with each success, as a share of the fair rate.
+/// Increase of the rate with each success, as a share of the fair rate.
 pub(crate) const RATE_GROWTH: f64 = 0.06;
-/// Factor of the best rate with each success.
+/// A success multiplies the best rate by this, so that the best rate decays.
 pub(crate) const BEST_RATE_DECAY: f64 = 0.99;
-/// Span over which this replica's own rate of successes is measured, in seconds.
+/// Time span over which this replica's rate of successes is measured, in seconds.
 pub(crate) const RATE_SPAN_SECONDS: u64 = 3;
-/// Replicas at most that are taken to be busy with one destination at a time.
+/// Maximum number of replicas that are assumed to be busy with one destination at a time.
 pub(crate) const MAX_BUSY_REPLICAS: f64 = 3.0;
 
 // Expected latency
 
-/// Weight of a new sample in a moving average of a route.
+/// Weight of a new sample in the moving average of a route.
 pub(crate) const AVERAGE_WEIGHT: f64 = 0.15;
-/// Share of that weight in the moving average of a class, to which several routes add.
+/// Share of that weight that applies to the moving average of a class, to which several routes contribute.
 pub(crate) const CLASS_WEIGHT_SHARE: f64 = 0.3;
-/// Least latency of a route as a multiple of that of a class.
+/// Lowest relative latency of a route, as a multiple of that of a class.
 pub(crate) const MIN_RELATIVE_LATENCY: f64 = 0.2;
-/// Greatest latency of a route as a multiple of that of a class.
+/// Highest relative latency of a route, as a multiple of that of a class.
 pub(crate) const MAX_RELATIVE_LATENCY: f64 = 50.0;
-/// Expected latency of a class of which nothing is known: its latency objective divided by this.
+/// The expected latency of a class without samples is its latency objective divided by this.
 pub(crate) const OBJECTIVE_TO_LATENCY: f64 = 6.0;
 
 // Slots and selection
 
-/// Calls that a new route may have in flight.
+/// Initial concurrency limit of a route.
 pub(crate) const INITIAL_CONCURRENCY: f64 = 4.0;
-/// Most slots of a healthy route, as a share of all.
+/// Maximum share of all slots that a healthy route may hold.
 pub(crate) const HEALTHY_SLOT_SHARE: f64 = 0.75;
-/// Taken off the slots of a healthy route before they are rounded down: a share that is whole counts as one less.
+/// Subtracted from the number of slots of a healthy route before rounding down, so that a whole number becomes one
+/// less.
 pub(crate) const HEALTHY_SLOT_MARGIN: f64 = 0.01;
-/// Most slots of a suspect route, as a share of all; a hang of half would stop the others' work.
+/// Maximum share of all slots that a suspect route may hold. If half of all slots hung, calls to other routes would
+/// stall.
 pub(crate) const SUSPECT_SLOT_SHARE: f64 = 0.25;
-/// Slots that a route whose breaker is not closed has at least.
+/// Minimum number of slots for a route whose breaker is not closed.
 pub(crate) const MIN_SUSPECT_SLOTS: f64 = 2.0;
 /// Ratio of failures above which non-idempotent messages wait.
 pub(crate) const RISKY_FAILURE_RATIO: f64 = 0.2;
-/// They wait until this share of their time to live is left.
+/// Non-idempotent messages wait at such a route until this share of their time to live is left.
 pub(crate) const RISKY_TIME_RESERVE: f64 = 0.25;
-/// Time left before a shutdown that a repeatable attempt needs, as a multiple of the expected latency.
+/// Time before a shutdown that an attempt with a repeatable message needs, as a multiple of the expected latency.
 pub(crate) const SHUTDOWN_MARGIN_FACTOR: f64 = 2.0;
-/// Cost of an ejected host, in calls.
+/// Cost of an ejected host, in units of one call in flight.
 pub(crate) const EJECTED_HOST_COST: f64 = 100.0;
-/// Cost of each consecutive failure of a host, in calls.
+/// Cost of each consecutive failure of a host, in units of one call in flight.
 pub(crate) const FAILURE_COST: f64 = 5.0;
-/// Consecutive failures at most that have a cost.
+/// Maximum number of consecutive failures that add to the cost.
 pub(crate) const MAX_COSTED_FAILURES: u32 = 5;
-/// Cost of a point of fees, in calls.
+/// Cost of one point of fees, in units of one call in flight.
 pub(crate) const FEE_COST: f64 = 10.0;
 
 // Queue and dispatch order
 
-/// The share of the queue that is kept free for the arrivals of one round is one over this.
+/// One part in this many of the queue is kept free for the arrivals of one round.
 pub(crate) const QUEUE_HEADROOM_DIVISOR: usize = 10;
-/// The share of recovered messages that may be rejected to make room is one over this: after two restarts most are
-/// attempted still.
+/// At most one in this many recovered messages may be rejected to free capacity. Most of them are then attempted even
+/// after two restarts.
 pub(crate) const RECOVERED_SHED_DIVISOR: usize = 4;
-/// Share of a message's value that delay costs at its latency objective, less where that is further away.
+/// Additional cost of delay at the latency objective, as a share of the message's value. It is lower while the
+/// objective is further away.
 pub(crate) const EARLY_OBJECTIVE_COST: f64 = 0.02;
-/// How far ahead the cost of delay is judged.
+/// Delay for which the cost of delay is computed.
 pub(crate) const DELAY_HORIZON: Micros = 3 * SECOND;
-/// How far ahead it is forecast at most when a queued message is sent.
+/// Maximum forecast of the time until a queued message is sent, in seconds.
 pub(crate) const MAX_FORECAST_SECONDS: f64 = 60.0;
-/// Least backoff of a route in such a forecast.
+/// Minimum backoff of a route that such a forecast assumes.
 pub(crate) const FORECAST_MIN_BACKOFF: Micros = SECOND / 20;
-/// Least rate of a destination in such a forecast, in calls a second.
+/// Minimum rate of a destination that such a forecast assumes, in calls per second.
 pub(crate) const FORECAST_MIN_RATE: f64 = 0.1;
-/// Time before their deadlines by which recovered messages are attempted, for a stall of the process.
+/// Recovered messages are attempted at least this long before their deadlines, in case the process stalls.
 pub(crate) const STALL_RESERVE: Micros = SECOND / 4;
-/// Retry-After of rejected clients, as a share of the longest that they heed.
+/// Retry-After for the clients of rejected messages, as a share of the longest Retry-After that they honour.
 pub(crate) const RETRY_AFTER_SHARE: f64 = 0.75;
 
 // Timer and discovery
 
-/// When a ready route for which messages wait is checked again, if no event comes before.
+/// Time after which a ready route with waiting messages is checked again if no event occurs earlier.
 pub(crate) const READY_ROUTE_RECHECK: Micros = SECOND / 2;
-/// First pause after discovery failed; it doubles.
+/// First pause after a failure of discovery; it doubles with each further failure.
 pub(crate) const MIN_POLL_BACKOFF: Micros = SECOND / 2;
-/// The longest poll interval over this is the interval of polls while none is answered.
+/// The longest poll interval divided by this is the interval between polls that are not answered.
 pub(crate) const POLL_INTERVAL_DIVISOR: Micros = 2;
-/// The longest poll interval over this is the longest pause after discovery failed.
+/// The longest poll interval divided by this is the longest pause after a failure of discovery.
 pub(crate) const POLL_BACKOFF_DIVISOR: Micros = 4;
 
-/// Moves a duration by up to a tenth, by `chance` of 0 to 1, so that replicas which saw the same don't act in step.
+/// Factor from 0.9 to 1.1 for a duration, so that replicas that observed the same event do not act simultaneously.
+/// `chance` is a random number from 0 to 1.
 pub(crate) fn jitter_factor(chance: f64) -> f64 {
     0.9 + 0.2 * chance
 }
 
-/// Expected latency of a class of which nothing is known, in microseconds.
+/// Expected latency of a class without samples, in microseconds.
 pub(crate) fn initial_latency(class: &Class) -> f64 {
     class.latency_objective as f64 / OBJECTIVE_TO_LATENCY
 }
--- a/crates/policy/src/types/action.rs
+++ b/crates/policy/src/types/action.rs
@@ -1,59 +1,59 @@
-//! What the policy decides: the actions that its caller carries out.
+//! The actions that the policy returns and its caller carries out.
 
 use super::ids::{HostId, MessageId, Micros};
 
-/// What the caller has to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Call a host with a message.
+    /// Send a message to a host.
     Send {
-        /// The message.
+        /// The message to send.
         id: MessageId,
-        /// The host.
+        /// The host to call.
         host: HostId,
-        /// The attempt times out after this.
+        /// Time after which the attempt times out.
         timeout: Micros,
     },
-    /// Probe a host.
+    /// Probe a host without a message, and report the result as `Event::ProbeEnded`.
     Probe(HostId),
-    /// Send a timer event after a while.
+    /// Send [`Event::TimerFired`](super::Event::TimerFired) after a delay.
     SetTimer {
-        /// From now.
+        /// Time until the timer fires.
         delay: Micros,
-        /// Comes back in the event.
+        /// Value to return in the event.
         token: u64,
     },
     /// Answer that the message was not delivered and not executed; the client may safely submit it again.
     Reject {
-        /// The message.
+        /// The rejected message.
         id: MessageId,
-        /// Retry-After, zero for none.
+        /// Retry-After for the client; zero for none.
         retry_after: Micros,
     },
     /// Answer that the message failed; it may have been executed.
     Fail(MessageId),
-    /// Cancel an attempt.
+    /// Cancel an attempt that is in flight.
     Cancel {
-        /// The message.
+        /// The message of the attempt.
         id: MessageId,
-        /// Which attempt.
+        /// Number of the attempt, from 0.
         attempt: u8,
     },
     /// Close idle connections to a host.
     CloseIdleConnections(HostId),
-    /// Watch the list of hosts, or stop.
+    /// Start to watch the list of hosts, or stop if false.
     Subscribe(bool),
     /// Poll the full list of hosts once.
     PollDiscovery,
     /// Send a message to one peer, or to all.
     SendToPeers {
-        /// Number of the peer; all if none.
+        /// Number of the peer; `None` for all peers.
         to: Option<u16>,
-        /// The content.
+        /// Content of the message.
         content: Vec<u8>,
     },
     /// Write a line to the log.
     Log(String),
-    /// End the process: the policy cannot go on.
+    /// End the process for the given reason, as the policy cannot continue.
     Abort(String),
 }
--- a/crates/policy/src/types/event.rs
+++ b/crates/policy/src/types/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the policy: the events that it takes.
+//! The events that the policy processes.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,34 +11,34 @@
 /// How a call or probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// Delivered.
+    /// The message was delivered.
     Delivered,
-    /// Answered with an error; may have been executed.
+    /// The host answered with an error; the call may have been executed.
     Error,
-    /// Rejected unseen, perhaps with a Retry-After that must be honoured.
+    /// The destination rejected the call without executing it, perhaps with a Retry-After that must be honoured.
     Rejected {
-        /// The Retry-After; zero if none.
+        /// Retry-After of the destination; zero if none.
         retry_after: Micros,
     },
-    /// No answer in time; may have been executed, or still be.
+    /// No answer arrived in time; the call may have been executed or may still be running.
     Timeout,
-    /// No connection; not executed.
+    /// No connection could be opened; the call was not executed.
     ConnectFailed,
-    /// The connection was reset; may have been executed.
+    /// The connection was reset; the call may have been executed.
     Reset,
-    /// A reused connection broke before anything came back; may have been executed, but
-    /// says more about the connection than about its host.
+    /// A reused connection broke before any response; the call may have been executed. The failure is more likely due
+    /// to the connection than to the host.
     ConnectionLost,
-    /// Cancelled; may have been executed.
+    /// The attempt was cancelled; the call may have been executed.
     Cancelled,
-    /// Not sent, as it was obsolete; not executed.
+    /// The attempt was obsolete and was not sent; it was not executed.
     Obsolete,
-    /// Nothing was written, as its host may not be called any more, or not yet; it does not count as an attempt.
+    /// Nothing was written because the host may not be called any more, or not yet. It does not count as an attempt.
     NotStarted,
 }
 
 impl AttemptOutcome {
-    /// False where the outcome proves that the call was not executed.
+    /// Whether the call may have been executed; false if the outcome proves that it was not.
     #[must_use]
     pub fn may_have_executed(self) -> bool {
         !matches!(
@@ -71,7 +71,7 @@
         )
     }
 
-    /// Whether the outcome says nothing of the host: it comes of a reused connection or of the relay itself.
+    /// Whether the outcome is no evidence about the host, because a reused connection or the relay itself caused it.
     #[must_use]
     pub fn is_inconclusive(self) -> bool {
         matches!(
@@ -87,102 +87,102 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The message.
+    /// Message of the attempt.
     pub id: MessageId,
-    /// Which attempt, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u8,
-    /// Where it went.
+    /// Host that was called.
     pub host: HostId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// Time since sending.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// The message needs no final answer any more.
+    /// The message needs no further final answer.
     pub is_final: bool,
-    /// Values in the order of the settings' `report_fields`.
+    /// Values in the order of [`Settings::report_fields`]; empty if the answer had no load report.
     pub load_report: Vec<f32>,
 }
 
-/// What happened since the last round.
+/// Something that happened since the last round.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The list of hosts: a full snapshot, or what changed.
+    /// The host list was updated, by a full snapshot or by changed entries.
     HostsUpdated {
-        /// The entries replace the list instead of changing it.
+        /// The entries are a full snapshot: hosts that are not among them are removed.
         is_full: bool,
         /// The list comes from the cache of an earlier process.
         cached: bool,
-        /// The hosts.
+        /// The hosts with their present states.
         entries: Vec<HostEntry>,
     },
-    /// A poll of discovery failed, or the watch ended.
+    /// A poll of discovery failed, or the watch of the host list ended.
     DiscoveryFailed,
-    /// Whether the list of hosts is still to be confirmed; no call starts until then.
+    /// Whether the host list is unconfirmed. No call starts while it is.
     HostsUnconfirmed(bool),
     /// A message was submitted; it needs one final answer.
     MessageReceived(Message),
     /// A message that was accepted before a restart and still needs its final answer.
     MessageRestored {
-        /// The message.
+        /// The restored message.
         message: Message,
         /// Its attempts so far, in order; none is in flight.
         attempts: Vec<PastAttempt>,
     },
-    /// A message that was given up before and is sent again; it needs one final answer.
+    /// An undeliverable message is sent again; it needs one final answer.
     MessageResent {
-        /// The message.
+        /// The message to resend.
         message: Message,
-        /// Attempts that still count, in order; none is in flight.
+        /// Past attempts that still count, in order; none is in flight.
         attempts: Vec<PastAttempt>,
     },
-    /// A message that is taken over from a process that shuts down; it needs one final answer.
+    /// A message was handed over by a process that shuts down; it needs one final answer.
     MessageAdopted {
-        /// The message.
+        /// The adopted message.
         message: Message,
         /// Its attempts so far, in order.
         attempts: Vec<PastAttempt>,
-        /// The host where the last of them is still in flight, if it is.
+        /// Host at which the last attempt is still in flight; `None` if no attempt is.
         in_flight_at: Option<HostId>,
     },
-    /// An outage that this replica saw before a restart.
+    /// An outage that this replica detected before a restart.
     OutageRestored(Outage),
-    /// The settings from now on. What a class's number means for the messages that have it does not change; a number
-    /// that no message has may mean another class.
+    /// The settings changed. The index of a class keeps its meaning while messages have it; an index that no message
+    /// has may be reused for another class.
     SettingsChanged(Box<Settings>),
-    /// The process ends at this moment; no call should be in flight then.
+    /// The process is shutting down; no call should be in flight when it ends.
     ShuttingDown {
-        /// When.
+        /// Time at which the process ends.
         at: Micros,
     },
-    /// The answer of a streamed message has started.
+    /// The streamed answer of a message has started.
     ResponseStarted {
-        /// The message.
+        /// Message that is being answered.
         id: MessageId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client has withdrawn the message.
     MessageWithdrawn(MessageId),
-    /// A tenant's terms from now on; none when it is gone.
+    /// A tenant's terms changed; `None` if the tenant was removed.
     TenantChanged(TenantId, Option<TenantTerms>),
-    /// A timer that the policy has set is due.
+    /// A timer that the policy has set is due; the value is its token.
     TimerFired(u64),
-    /// A probe ended.
+    /// A probe that carried no message ended.
     ProbeEnded {
-        /// Where it went.
+        /// Host that was probed.
         host: HostId,
-        /// How it ended.
+        /// Outcome of the probe.
         outcome: AttemptOutcome,
-        /// Time since sending.
+        /// Time since the probe was sent.
         elapsed: Micros,
-        /// Values in the order of the settings' `report_fields`.
+        /// Values in the order of [`Settings::report_fields`]; empty if the answer had no load report.
         load_report: Vec<f32>,
     },
     /// A message from a peer; the policy ignores it.
     PeerMessage {
         /// Number of the peer.
         from: u16,
-        /// The content.
+        /// Content of the message.
         content: Vec<u8>,
     },
 }
--- a/crates/policy/src/types/host.rs
+++ b/crates/policy/src/types/host.rs
@@ -1,31 +1,31 @@
-//! Hosts as discovery lists them.
+//! Hosts in discovery's list.
 
 use super::ids::{DestinationId, HostId};
 
-/// State of a host as discovery lists it; it says nothing of the host's health.
+/// State of a host in discovery's list, which is independent of the host's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// May be sent to.
+    /// Messages may be sent to the host.
     Ready,
-    /// No new call may start there.
+    /// No new call to the host may start.
     Draining,
-    /// It is not listed any more.
+    /// The host is not listed any more.
     Removed,
 }
 
-/// A host as discovery lists it.
+/// An entry of discovery's host list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HostEntry {
-    /// The host.
+    /// Identifier of the host.
     pub host: HostId,
-    /// Its destination.
+    /// Destination that the host belongs to.
     pub destination: DestinationId,
-    /// Index of its kind in the settings.
+    /// Index of the host's kind in [`Settings::kinds`](super::Settings::kinds).
     pub kind: u8,
-    /// Its zone.
+    /// Zone of the host.
     pub zone: u8,
-    /// Its state.
+    /// Whether calls to the host may start.
     pub state: HostState,
-    /// See [`WeightSource`].
+    /// Listed weight; [`WeightSource`](super::WeightSource) defines its meaning.
     pub weight: f32,
 }
--- a/crates/policy/src/types/message.rs
+++ b/crates/policy/src/types/message.rs
@@ -1,48 +1,48 @@
-//! Messages, and what is known of them and of destinations from before a restart.
+//! Messages, and records of attempts and outages from before a restart.
 
 use super::ids::{DestinationId, MessageId, Micros, TenantId};
 
 /// A submitted message.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Message {
-    /// Its identifier.
+    /// Identifier of the message.
     pub id: MessageId,
-    /// Index of its class in the settings.
+    /// Index of the message's class in [`Settings::classes`](super::Settings::classes).
     pub class: u16,
-    /// Its destination.
+    /// Destination whose hosts may receive the message.
     pub destination: DestinationId,
-    /// Its deadline.
+    /// Time by which the message must have its final answer.
     pub deadline: Micros,
-    /// Its ordering key, if it has one.
+    /// Ordering key, if any; see [`Class::is_ordered`](super::Class::is_ordered).
     pub ordering_key: Option<u64>,
-    /// Expected work, if known.
+    /// Expected work of the call, if known; it extends the latency objective.
     pub expected_work: Option<Micros>,
-    /// Its tenant.
+    /// Tenant that submitted the message.
     pub tenant: TenantId,
     /// The client has submitted it before.
     pub is_resubmitted: bool,
-    /// Bytes that it takes in the queue; zero where they do not count.
+    /// Size of the message in the queue, in bytes; zero if bytes are not counted.
     pub size: usize,
 }
 
 /// An attempt that was made before a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PastAttempt {
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Micros,
-    /// Zone of the host it went to.
+    /// Zone of the called host.
     pub zone: u8,
-    /// It may have been executed; false if it provably was not.
+    /// The attempt may have been executed; false if it provably was not.
     pub may_have_executed: bool,
 }
 
-/// An outage of a destination that this replica has seen.
+/// An outage of a destination that this replica has detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outage {
-    /// The destination.
+    /// Destination that was down.
     pub destination: DestinationId,
-    /// When it was first seen.
+    /// Time of the start of the outage, as this replica has detected it.
     pub started_at: Micros,
-    /// The first success after; none while it lasts.
+    /// Time of the first success after the outage; `None` while it lasts.
     pub recovered_at: Option<Micros>,
 }
--- a/crates/policy/src/types/mod.rs
+++ b/crates/policy/src/types/mod.rs
@@ -1,4 +1,4 @@
-//! The interface of the policy: settings and events in, actions out.
+//! The interface of the policy: its settings, the events that it processes and the actions that it returns.
 
 mod action;
 mod event;
--- a/crates/policy/src/types/tenant.rs
+++ b/crates/policy/src/types/tenant.rs
@@ -3,47 +3,47 @@
 /// A tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Messages a second, over all replicas, that have their full value.
+    /// Messages per second, over all replicas, that have their full value.
     pub quota_per_second: f64,
-    /// Its weight against those of others; 1 by default.
+    /// Weight of the tenant relative to other tenants; 1 by default.
     pub share: f64,
 }
 
-/// How much a tenant may submit; more is rejected.
+/// Limit on the messages that a tenant may submit; messages above it are rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Messages a second in the long run, above 0.
+    /// Sustained rate in messages per second; above 0.
     pub per_second: f64,
-    /// Messages that may be submitted at once, 1 at least.
+    /// Maximum number of messages that may be submitted at once; at least 1.
     pub burst: f64,
 }
 
 /// State of a tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TenantState {
-    /// Its messages are accepted and sent.
+    /// Messages are accepted and sent.
     #[default]
     Active,
-    /// Nothing is accepted and no new attempt starts; queued messages wait until their deadlines.
+    /// No message is accepted and no new attempt starts; queued messages wait until their deadlines.
     Paused,
-    /// Nothing is accepted; queued messages are still sent.
+    /// No message is accepted; queued messages are still sent.
     Draining,
-    /// Nothing is accepted; calls in flight go on to their ends, all other messages end at once.
+    /// No message is accepted; calls in flight run to completion, and all other messages end at once.
     Terminating,
 }
 
-/// What a tenant is entitled to.
+/// The limits and the state that apply to a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantTerms {
-    /// Its weight against those of others, 1 at least.
+    /// Weight of the tenant relative to other tenants; at least 1.
     pub weight: u32,
-    /// How much it may submit; any amount if none.
+    /// Rate limit for submissions; `None` for no limit.
     pub rate: Option<RateLimit>,
-    /// Messages in the queue at most.
+    /// Maximum number of the tenant's messages in the queue.
     pub max_queued: usize,
-    /// Messages in flight at most.
+    /// Maximum number of the tenant's messages in flight.
     pub max_in_flight: usize,
-    /// Its state.
+    /// Whether messages are accepted and sent.
     pub state: TenantState,
 }
 
--- a/crates/policy/src/wakeup_timer.rs
+++ b/crates/policy/src/wakeup_timer.rs
@@ -1,4 +1,4 @@
-//! The wake-up timer: the next moment at which the policy has something to do without an event.
+//! The wake-up timer: the next time at which the policy must run a round without an event.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::types::{Action, Micros};
 
 impl DeliveryPolicy {
-    /// Sets one timer, for the next moment at which something can change by itself.
+    /// Sets a timer for the next time-dependent change, unless an earlier timer is already pending.
     pub(crate) fn set_timer(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let next = self
@@ -31,7 +31,7 @@
         });
     }
 
-    /// When discovery is polled; `Micros::MAX` while it is watched.
+    /// When discovery is polled next; `Micros::MAX` while its list is watched.
     fn next_poll(&self) -> Micros {
         if self.is_subscribed {
             Micros::MAX
@@ -40,7 +40,7 @@
         }
     }
 
-    /// When the next call in flight becomes slow.
+    /// When the next call in flight becomes slow; `Micros::MAX` if none will.
     fn next_slow_call(&self) -> Micros {
         self.calls
             .values()
@@ -49,7 +49,7 @@
             .fold(Micros::MAX, Micros::min)
     }
 
-    /// When the next message reaches its deadline, or may be attempted as far as it and its key are concerned.
+    /// When the next message is due for its final answer, or a pause of a message or of its ordering key ends.
     fn next_message_change(&self) -> Micros {
         let mut next = Micros::MAX;
         for queued in self.open_messages() {
@@ -62,7 +62,8 @@
         next
     }
 
-    /// When the next pause of a waiting message or of its ordering key ends; `Micros::MAX` if there is none.
+    /// When the pause of a waiting message or of its ordering key ends, whichever is first; `Micros::MAX` if there is
+    /// none.
     fn next_attempt_allowed(&self, queued: &QueuedMessage) -> Micros {
         let key = queued.message.ordering_key;
         let order = key.and_then(|key| self.ordered_keys.get(&key));
@@ -73,7 +74,7 @@
             .fold(Micros::MAX, Micros::min)
     }
 
-    /// When the next route that messages wait for takes a call.
+    /// When the next route that messages wait for accepts a call.
     fn next_ready_route(&mut self) -> Micros {
         let destinations: BTreeSet<_> = self
             .open_messages()
