--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,5 @@
-//! Which messages are accepted, and where they may go. The harness checks its rules in every test as well.
+//! Tests of admission, host selection and discovery. The harness also checks the rules in `support/rules.rs` in every
+//! test.
 
 mod support;
 
@@ -98,7 +99,11 @@
     assert_eq!(harness.sent.len(), 1);
     harness.end_attempt(first, AttemptOutcome::Delivered);
     harness.advance(SECOND);
-    assert_eq!(harness.sent.len(), 5, "four of six in the second call");
+    assert_eq!(
+        harness.sent.len(),
+        5,
+        "the second call should carry four of the six waiting messages"
+    );
 }
 
 #[test]
@@ -111,7 +116,7 @@
     let mut policy = DeliveryPolicy::new(settings, 7);
     let mut now = 100 * SECOND;
     handle(&mut policy, now, vec![host_list()]);
-    // Each of three is in flight: there is nothing to make room with.
+    // All three messages are in flight, so none of them can be shed.
     for id in 1..=3 {
         now += SECOND;
         let received = Event::MessageReceived(message(id, IDEMPOTENT, now));
--- a/crates/policy/tests/circuit_breaker.rs
+++ b/crates/policy/tests/circuit_breaker.rs
@@ -1,5 +1,5 @@
-//! Which failures open a breaker or count as an outage, and which do not. The harness checks its rules in every test as
-//! well.
+//! Tests of which failures open a breaker or count as an outage. The harness also checks the rules in
+//! `support/rules.rs` in every test.
 
 mod support;
 
@@ -9,7 +9,7 @@
     PolicyHarness, SentMessage, IDEMPOTENT, MILLISECOND, NON_IDEMPOTENT, SECOND,
 };
 
-/// `failure` where `fails`, and a delivery otherwise.
+/// Returns `failure` if `fails`, and a delivery otherwise.
 fn failure_if(fails: bool, failure: AttemptOutcome) -> AttemptOutcome {
     if fails {
         failure
@@ -18,7 +18,7 @@
     }
 }
 
-/// How many of these messages were delivered.
+/// Counts the messages among `ids` that were delivered.
 fn count_delivered(harness: &PolicyHarness, ids: &[MessageId]) -> usize {
     let delivered = |id: &&MessageId| harness.delivered.contains_key(id);
     ids.iter().filter(delivered).count()
@@ -110,12 +110,15 @@
         let mut ids = Vec::new();
         for n in 0..100 {
             ids.push(harness.receive(IDEMPOTENT, 1, None));
-            // Two in a row now and then.
+            // Two consecutive failures in every twenty calls.
             let outcome = failure_if(n > 10 && n % 20 < 2, failure);
             run_with_outcome(&mut harness, 100 * MILLISECOND, outcome);
         }
         let waiting = ids.len() - count_delivered(&harness, &ids);
-        assert!(waiting <= 3, "{waiting} of 100 waited after {failure:?}");
+        assert!(
+            waiting <= 3,
+            "{waiting} of 100 not delivered after {failure:?}"
+        );
     }
 }
 
@@ -140,7 +143,7 @@
     assert!(delivered >= 54, "{delivered} of 60 delivered");
 }
 
-/// Delivers the messages in flight, those of slow calls two seconds after they were sent.
+/// Delivers the messages in flight, but those of slow calls only two seconds after they were sent.
 fn end_calls_but_slow_ones(harness: &mut PolicyHarness, slow_calls: &[SentMessage]) {
     for InFlightAttempt { id, .. } in harness.in_flight() {
         let slow_call = slow_calls.iter().find(|sent| sent.id == id);
@@ -167,8 +170,8 @@
     assert_eq!(count_delivered(&harness, &healthy), 20);
 }
 
-/// Calls that hang to their deadlines hold all slots that a suspect destination has. Once it is back, a repeatable message
-/// has to find out.
+/// Non-idempotent calls that hang until their deadlines hold all slots of a suspect destination. A repeatable message
+/// must still probe it, or its recovery would not be detected before those deadlines.
 #[test]
 fn destination_whose_slots_are_held_by_hung_calls_is_probed() {
     let mut harness = PolicyHarness::new(settings(), vec![host(1, 1)]);
@@ -178,7 +181,10 @@
     for _ in 0..30 {
         harness.advance(SECOND / 10);
     }
-    assert!(harness.in_flight().len() >= 3, "they hold the slots");
+    assert!(
+        harness.in_flight().len() >= 3,
+        "the hung calls should hold the probe slots"
+    );
     let waiting = harness.receive(IDEMPOTENT, 1, None);
     for _ in 0..40 {
         harness.advance(SECOND / 10);
@@ -186,9 +192,15 @@
             harness.end_attempt(waiting, AttemptOutcome::Delivered);
         }
     }
-    assert!(harness.delivered.contains_key(&waiting), "it is delivered");
+    assert!(
+        harness.delivered.contains_key(&waiting),
+        "the repeatable message should be delivered"
+    );
     let is_answered = |id: &MessageId| harness.answers.contains_key(id);
-    assert!(!hung.iter().any(is_answered), "while the calls hang");
+    assert!(
+        !hung.iter().any(is_answered),
+        "the hung messages should have no answer yet"
+    );
 }
 
 #[test]
@@ -202,11 +214,11 @@
     }
     run(&mut harness, SECOND, first_host_fails);
     let delivered = harness.delivered.len();
-    assert!(delivered >= 19, "{delivered} of 20");
+    assert!(delivered >= 19, "{delivered} of 20 delivered");
 }
 
-/// The behaviour of the eight destinations, each with a host of its number: 8 is healthy, 1 and 2 never answer, and the
-/// others fail in different ways.
+/// Outcome of a call to one of eight hosts, each of which is the only host of the destination with its number. Host 8
+/// is healthy, 1 and 2 never answer, and the others fail in different ways.
 fn outcome_of_host(now: Micros, host: u32) -> Option<AttemptOutcome> {
     let second = now / SECOND;
     match host {
@@ -286,11 +298,11 @@
     let delivered = harness.delivered.len() - delivered_before;
     assert_eq!(
         delivered, 10,
-        "calls in four seconds; the ramp of an outage keeps two of them back"
+        "deliveries in four seconds; the recovery ramp of an outage would hold back two of them"
     );
 }
 
-/// Outages after 20 deliveries and this number of failures in a row.
+/// Number of outages after 20 deliveries and this number of consecutive failures.
 fn outages_after_failures(failures: usize) -> usize {
     let mut harness = PolicyHarness::new(settings(), vec![host(1, 1)]);
     for _ in 0..20 {
--- a/crates/policy/tests/random.rs
+++ b/crates/policy/tests/random.rs
@@ -1,4 +1,5 @@
-//! Seeded random events, with settings drawn across what a site may allow. The harness checks its rules.
+//! Seeded random events with random settings from the range that a site may use. The harness checks the rules in
+//! `support/rules.rs`.
 
 mod support;
 
@@ -8,7 +9,7 @@
 };
 use support::{settings, PolicyHarness, TestRng, KEYED, MILLISECOND, SECOND};
 
-/// Hosts have numbers that are no indices.
+/// Distance between host identifiers, so that they cannot be mistaken for indices.
 const HOST_ID_STEP: HostId = 7919;
 const HOST_COUNT: u64 = 9;
 
@@ -64,7 +65,7 @@
     (0..HOST_COUNT).map(host_entry).collect()
 }
 
-/// The outcome of a call; one to a host that fails more often may be any.
+/// A random outcome of a call. A third of the calls, chosen at random, may fail.
 fn random_outcome(rng: &mut TestRng, host: HostId) -> AttemptOutcome {
     let may_fail = (u64::from(host / HOST_ID_STEP) + rng.below(3)).is_multiple_of(3);
     match rng.below(if may_fail { 8 } else { 3 }) {
@@ -89,8 +90,8 @@
     harness.end_attempt(attempt.id, outcome);
 }
 
-/// Discovery's list changes or fails, or a client withdraws a message.
-fn play_rare_event(harness: &mut PolicyHarness, rng: &mut TestRng, ids: &[MessageId]) {
+/// Changes the host list, lets discovery fail, or withdraws a message.
+fn apply_rare_event(harness: &mut PolicyHarness, rng: &mut TestRng, ids: &[MessageId]) {
     match rng.below(6) {
         0 => {
             let entry = host_entry(rng.below(HOST_COUNT));
@@ -107,7 +108,7 @@
     }
 }
 
-fn play_random_events(seed: u64) {
+fn run_random_events(seed: u64) {
     let mut rng = TestRng(seed.wrapping_mul(0x9e37_79b9) + 1);
     let settings = random_settings(&mut rng);
     let mut harness = PolicyHarness::new(settings, all_hosts());
@@ -126,7 +127,7 @@
                     harness.end_attempt(*id, AttemptOutcome::Cancelled);
                 }
             }
-            8 => play_rare_event(&mut harness, &mut rng, &ids),
+            8 => apply_rare_event(&mut harness, &mut rng, &ids),
             _ => harness.advance(rng.below(900) * MILLISECOND),
         }
     }
@@ -135,5 +136,5 @@
 
 #[test]
 fn rules_hold_under_random_events() {
-    (0..800).for_each(play_random_events);
+    (0..800).for_each(run_random_events);
 }
--- a/crates/policy/tests/random_fractions.rs
+++ b/crates/policy/tests/random_fractions.rs
@@ -1,10 +1,10 @@
-//! The sequence of random fractions is part of the behaviour: it must stay bit for bit.
+//! The sequence of random fractions is part of the behaviour and must stay identical bit for bit.
 
 use policy::random::RandomFractions;
 
 #[test]
-fn sequence_equals_that_of_the_first_implementation() {
-    // The numbers were printed by the SplitMix64 written out by hand that the library has replaced.
+fn sequence_equals_reference_splitmix64() {
+    // Printed by a hand-written implementation of SplitMix64, which the library replaces.
     let expected: [(u64, [u64; 6]); 3] = [
         (
             0,
--- a/crates/policy/tests/rate_limit.rs
+++ b/crates/policy/tests/rate_limit.rs
@@ -1,4 +1,5 @@
-//! How replicas share a limit, and how they back off. The harness checks its rules in every test as well.
+//! Tests of how replicas share a limit and back off. The harness also checks the rules in `support/rules.rs` in every
+//! test.
 
 mod support;
 
@@ -31,7 +32,7 @@
         })
     });
     let delivered = harness.delivered.len();
-    assert!(delivered >= 50, "{delivered} of 60");
+    assert!(delivered >= 50, "{delivered} of 60 delivered");
 }
 
 #[test]
@@ -56,17 +57,17 @@
     }
     run_with_outcome(&mut harness, 15 * SECOND, AttemptOutcome::Delivered);
     let delivered = harness.delivered.len();
-    assert!(delivered >= 50, "{delivered} of 60");
+    assert!(delivered >= 50, "{delivered} of 60 delivered");
 }
 
-/// How a destination answers a call, and the share of its allowance that it reports.
+/// The outcome of a call and the share of the allowance that the destination reports with it.
 struct ReportedAnswer {
     outcome: AttemptOutcome,
     allowance_left: f32,
 }
 
-/// One of ten replicas receives twelve messages. For nine seconds all calls end with the answer for the time since the
-/// start.
+/// Runs one of ten replicas with twelve messages for nine seconds. Each call ends with the answer that `answer_at`
+/// returns for the time since the start.
 fn run_for_nine_seconds(answer_at: impl Fn(Micros) -> ReportedAnswer) -> PolicyHarness {
     let settings = Settings {
         replicas: 10,
@@ -98,21 +99,21 @@
     assert_eq!(
         harness.delivered.len(),
         20,
-        "an even share is a call in five seconds"
+        "an even share of the limit is one call in five seconds"
     );
 }
 
-/// A destination that reports the same share of its allowance and the same limit with each answer.
+/// A destination that reports a constant allowance and limit with each answer.
 struct ReportingDestination {
     allowance_left: f32,
-    /// Calls a second, as discovery lists it.
+    /// Limit in calls per second, as listed by discovery.
     listed_limit: f32,
-    /// Calls a second, as it reports it.
+    /// Limit in calls per second, as reported by the destination.
     reported_limit: f32,
 }
 
 impl ReportingDestination {
-    /// Calls that one of a hundred replicas with a full queue makes in twenty seconds.
+    /// Counts the calls that one of a hundred replicas with 90 queued messages makes in twenty seconds.
     fn count_calls(&self) -> usize {
         let listed = HostEntry {
             weight: self.listed_limit,
@@ -135,7 +136,7 @@
         harness.sent.len()
     }
 
-    /// It rejects calls while its allowance is exhausted, half of them with a Retry-After.
+    /// Outcome of a call: a rejection if the allowance is exhausted, with a Retry-After for half of the messages.
     fn outcome(&self, id: MessageId) -> AttemptOutcome {
         if self.allowance_left < 0.05 {
             AttemptOutcome::Rejected {
@@ -147,7 +148,8 @@
     }
 }
 
-/// Calls to a destination with a limit of 50 a second. An even share is half a call a second, ten in the time.
+/// Counts the calls to a destination with a limit of 50 calls per second. An even share is half a call per second, so
+/// ten calls in twenty seconds.
 fn count_calls_with_remaining_allowance(allowance_left: f32) -> usize {
     let destination = ReportingDestination {
         allowance_left,
@@ -159,21 +161,21 @@
 
 #[test]
 fn hundred_replicas_together_stay_below_an_exhausted_limit() {
-    // The first four calls are made before the first report.
+    // The first four calls start before the first report arrives.
     let exhausted = count_calls_with_remaining_allowance(0.0);
     assert!(
         exhausted <= 4 + 6,
-        "{exhausted} calls each at a limit of which nothing is left"
+        "{exhausted} calls per replica with an exhausted allowance"
     );
     let low = count_calls_with_remaining_allowance(0.25);
     assert!(
         (8..=16).contains(&low),
-        "{low} calls each with a quarter left: about an even share"
+        "{low} calls per replica with a quarter left; expected about an even share of ten"
     );
     let unused = count_calls_with_remaining_allowance(0.9);
     assert!(
         unused >= 3 * 10,
-        "{unused} calls each with nearly all left: others leave their shares"
+        "{unused} calls per replica with nearly all left; the unused shares of others should be used"
     );
 }
 
@@ -187,7 +189,7 @@
     let calls = destination.count_calls();
     assert!(
         calls <= 26,
-        "{calls} calls each at a quarter of the listed limit; an even share is twenty"
+        "{calls} calls per replica at a quarter of the listed limit; an even share is twenty"
     );
 }
 
@@ -209,7 +211,7 @@
     let delivered = harness.delivered.len();
     assert!(
         delivered >= 10,
-        "{delivered} of 12 once the limit allowed calls"
+        "{delivered} of 12 delivered once the limit allowed calls"
     );
 }
 
@@ -229,7 +231,7 @@
         }
     });
     let first_delivery = harness.delivered.values().min().copied();
-    let recovered_at = first_delivery.expect("some are delivered");
+    let recovered_at = first_delivery.expect("no message was delivered");
     let ramp = recovered_at..recovered_at + 3 * SECOND / 2;
     let calls = harness
         .sent
@@ -254,14 +256,18 @@
     let next = harness.sent.get(1).map_or(Micros::MAX, |sent| sent.at);
     assert!(
         next > paused_until + SECOND,
-        "one of a hundred called {} ms after the end of the wait",
+        "one of a hundred replicas called {} ms after the end of the Retry-After",
         (next - paused_until) / MILLISECOND
     );
-    assert_eq!(harness.delivered.len(), 1, "but it must get its turn");
+    assert_eq!(
+        harness.delivered.len(),
+        1,
+        "the message should still be delivered"
+    );
 }
 
-/// The moments of the calls that one of a hundred replicas makes in twelve seconds, with twenty messages for a
-/// destination with this limit to which no connection can be opened.
+/// Times of the calls that one of a hundred replicas makes in twelve seconds. It has twenty messages for a destination
+/// with this limit, to which no connection can be opened.
 fn calls_of_replica(seed: u64, limit: f32) -> Vec<Micros> {
     let mut policy = DeliveryPolicy::new(settings_of_hundred_replicas(), seed);
     let mut now = 100 * SECOND;
@@ -305,12 +311,12 @@
     calls
 }
 
-/// The calls of all replicas failed at one instant, and the destination stays down: the probes of any second and a
-/// half are no more than its initial capacity, but for chance.
+/// Calls of all replicas fail at the same time and the destination stays down. Within any 1.5 seconds, the number of
+/// probes must not exceed the destination's initial capacity, apart from random variation.
 #[test]
 fn probes_of_hundred_replicas_stay_below_initial_capacity() {
     let limit = 60.0;
-    // Two seconds after the start all breakers are open.
+    // All breakers are open from two seconds after the start.
     let mut probes: Vec<Micros> = (0..100)
         .flat_map(|replica| calls_of_replica(replica * 7919 + 1, limit))
         .filter(|at| *at > 102 * SECOND)
@@ -320,11 +326,11 @@
         let span = *start..start + 3 * SECOND / 2;
         probes.iter().filter(|at| span.contains(at)).count()
     };
-    let most = probes.iter().map(count_from).max().unwrap_or(0);
+    let max_probes = probes.iter().map(count_from).max().unwrap_or(0);
     let capacity = 2.0 * 0.2 * f64::from(limit) * 1.5;
     let tolerance = 4.0 * capacity.sqrt();
     assert!(
-        (10..=(capacity + tolerance) as usize).contains(&most),
-        "{most} probes, capacity for {capacity}"
+        (10..=(capacity + tolerance) as usize).contains(&max_probes),
+        "{max_probes} probes within 1.5 seconds with capacity for {capacity}"
     );
 }
--- a/crates/policy/tests/recovery.rs
+++ b/crates/policy/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! Recovery from outages, restarts and hand-overs. The harness checks its rules in every test as well.
+//! Tests of recovery from outages, restarts and hand-overs. The harness also checks the rules in `support/rules.rs` in
+//! every test.
 
 mod support;
 
@@ -12,7 +13,7 @@
     MILLISECOND, NON_IDEMPOTENT, SECOND,
 };
 
-/// Calls a second that the hosts of the tests advertise.
+/// Limit that the hosts of the tests advertise, in calls per second.
 const ADVERTISED_LIMIT: f64 = 20.0;
 
 /// An attempt in zone 0 that may have been executed.
@@ -63,23 +64,23 @@
     for start in calls.iter().filter(|at| **at >= recovered_at) {
         let span = *start..start + rules.overload_duration;
         let sent = calls.iter().filter(|at| span.contains(at)).count() as f64;
-        // Capacity in the mean of the span: it grows evenly.
+        // Mean capacity during the span: the capacity grows linearly, so this is the one in its middle.
         let middle = start + rules.overload_duration / 2 - recovered_at;
         let warmed_up = (middle as f64 / rules.warm_up as f64).min(1.0);
         let initial_share = rules.initial_capacity_share;
         let capacity = ADVERTISED_LIMIT * (initial_share + (1.0 - initial_share) * warmed_up);
         let share = rules.overload_factor * capacity * rules.overload_duration as f64 / 1e6 / 2.0;
-        // One more than the rate gives fits into a span that begins with a call.
+        // A span that begins with a call contains up to one call more than the rate allows.
         assert!(
             sent <= share + 1.0,
             "{sent} calls in a span from {start}, this replica's share is {share}"
         );
     }
     let delivered = harness.delivered.len();
-    assert!(delivered > 20, "it must get some: {delivered}");
+    assert!(delivered > 20, "only {delivered} of 60 delivered");
 }
 
-/// What becomes of a restored message at once.
+/// What happens to a restored message in its first round.
 #[derive(Debug, PartialEq)]
 enum RestoredOutcome {
     Sent,
@@ -147,8 +148,8 @@
     );
 }
 
-/// When a message with the ordering key `key` is sent first, received in the same round in which one with the key 7 is
-/// restored whose last attempt was `past`. Ten seconds after `now` at the latest.
+/// Returns when a message with the ordering key `key` is first sent, or the end of the test after ten seconds. The
+/// message is received in the round in which a message with key 7 is restored, whose last attempt was `past`.
 fn first_call_after_restored(settings: &Settings, past: PastAttempt, key: u64) -> Micros {
     let now = 100 * SECOND;
     let with_key = |id, key| Message {
@@ -156,7 +157,7 @@
         ..message(id, NON_IDEMPOTENT, now)
     };
     let mut policy = DeliveryPolicy::new(settings.clone(), 7);
-    // All attempts are used up, as after the calls of another process whose ends are unknown.
+    // The attempts are exhausted, as after calls of another process whose outcomes are unknown.
     let restored = Event::MessageRestored {
         message: with_key(1, 7),
         attempts: vec![past; 8],
@@ -172,14 +173,17 @@
     at
 }
 
-/// The call may still be running at its host.
+/// A call that a restart cut off may still be running at its host, so the next message of its key must wait.
 #[test]
 fn ordering_key_is_blocked_after_a_call_cut_off_by_restart() {
     let now = 100 * SECOND;
     let mut settings = settings();
     settings.classes[usize::from(NON_IDEMPOTENT)].is_ordered = true;
     let delay = settings.rules.ordering_delay;
-    assert!(delay > 20 * MILLISECOND, "there is something to wait for");
+    assert!(
+        delay > 20 * MILLISECOND,
+        "the delay should be longer than the steps of the test"
+    );
     let past = possible_execution(now - SECOND);
     for (past, key, is_blocked) in [
         (past, 7, true),
@@ -199,7 +203,7 @@
 #[test]
 fn restored_outage_allows_one_probe() {
     let now = 100 * SECOND;
-    for (recovered_at, most_sent) in [
+    for (recovered_at, max_sent) in [
         (None, 1),
         (Some(now - SECOND), 1),
         (Some(now - 11 * SECOND), 12),
@@ -214,14 +218,15 @@
         events.extend((1..=12).map(|id| Event::MessageReceived(message(id, IDEMPOTENT, now))));
         let sent = handle(&mut policy, now, events).len();
         assert!(
-            sent <= most_sent,
+            sent <= max_sent,
             "{sent} sent, recovered at {recovered_at:?}"
         );
-        assert_eq!(policy.outages().count(), usize::from(most_sent == 1));
+        assert_eq!(policy.outages().count(), usize::from(max_sent == 1));
     }
 }
 
-/// The last process may have seen too little of an outage to persist it.
+/// The previous process may have detected too little of an outage to persist it, so the recovery ramp applies after a
+/// restart even without a restored outage.
 #[test]
 fn restored_messages_are_paced_by_the_recovery_ramp() {
     let now = 100 * SECOND;
@@ -235,7 +240,7 @@
         message: message(id, IDEMPOTENT, now),
         attempts: Vec::new(),
     }));
-    // Another destination, for which nothing was restored.
+    // Messages for another destination, for which nothing was restored.
     events.extend((11..=14).map(|id| {
         Event::MessageReceived(Message {
             destination: 2,
@@ -245,7 +250,8 @@
     let actions = handle(&mut policy, now, events);
     assert_eq!(count_calls_to(&actions, 1), 1, "{actions:?}");
     assert!(count_calls_to(&actions, 2) > 1, "{actions:?}");
-    // Two replicas, a limit of 20 calls a second, a fifth of it at first, overload at twice that: 4 a second.
+    // Two replicas share a limit of 20 calls per second. The initial capacity is a fifth of it, and overload begins at
+    // twice the capacity: this replica may make 4 calls per second.
     let mut later_calls = 0;
     for round in 1..=50 {
         let actions = handle(&mut policy, now + round * 10 * MILLISECOND, Vec::new());
@@ -253,11 +259,12 @@
     }
     assert!(
         (1..=2).contains(&later_calls),
-        "{later_calls} in half a second"
+        "{later_calls} calls in half a second"
     );
 }
 
-/// Messages that another process handed over count as accepted: arrivals of higher value must not displace them.
+/// Messages that another process handed over are already accepted: arrivals of higher value must not displace more than
+/// a fourth of them.
 #[test]
 fn adopted_messages_are_not_shed_for_arrivals_beyond_a_fourth() {
     let now = 100 * SECOND;
@@ -270,7 +277,7 @@
     let no_host = Event::HostsUnconfirmed(true);
     let mut events = vec![cached_host_list(), no_host];
     events.extend((1..=adopted).map(|id| Event::MessageAdopted {
-        // Accepted ten seconds ago: worth less than what arrives.
+        // Accepted ten seconds ago, so of lower value than the arrivals.
         message: message(id, IDEMPOTENT, now - 10 * SECOND),
         attempts: Vec::new(),
         in_flight_at: None,
@@ -289,10 +296,13 @@
         });
         shed += rejected.filter(|id| *id <= adopted).count() as u64;
     }
-    assert!(4 * shed <= adopted, "{shed} of {adopted} are shed");
+    assert!(
+        4 * shed <= adopted,
+        "{shed} of {adopted} adopted messages were shed"
+    );
 }
 
-/// Outages after calls at this interval, a rejection with a Retry-After of a second, and a success after it.
+/// Number of outages after calls at this interval, a rejection with a Retry-After of one second, and a later success.
 fn outages_after_retry_after(call_interval: Micros) -> usize {
     let mut harness = PolicyHarness::new(settings(), vec![host(1, 1)]);
     for _ in 0..30 {
@@ -310,21 +320,21 @@
     harness.policy.outages().count()
 }
 
-/// Only the first calls met the outage, as the relay backed off until the destination was back.
+/// Only the first calls encounter the outage if the relay backs off until the destination has recovered.
 #[test]
 fn outage_hidden_by_backoff_starts_the_recovery_ramp() {
-    // The limit is 20 a second for two replicas: one a second is far from this replica's share.
+    // The limit is 20 calls per second for two replicas: one call per second is far below this replica's share.
     assert_eq!(outages_after_retry_after(SECOND), 1);
 }
 
-/// The limit is 20 a second for two replicas: six a second use this replica's share, and the limit causes the
-/// rejection.
+/// The limit is 20 calls per second for two replicas. Six calls per second use more than half of this replica's share,
+/// so the rejection is attributed to the limit.
 #[test]
 fn rejection_at_the_limit_starts_no_recovery_ramp() {
     assert_eq!(outages_after_retry_after(150 * MILLISECOND), 0);
 }
 
-/// A larger snapshot would take a busy relay too long to write.
+/// Without a bound on the samples in a snapshot, a busy relay would take too long to write it.
 #[test]
 fn handover_snapshot_does_not_grow_with_recent_calls() {
     let snapshot_size = |calls: usize| {
@@ -340,12 +350,14 @@
         }
         assert_eq!(harness.delivered.len(), calls);
         let snapshot = harness.policy.handover_snapshot();
-        postcard::to_allocvec(&snapshot).expect("encoded").len()
+        postcard::to_allocvec(&snapshot)
+            .expect("encoding a snapshot")
+            .len()
     };
     let after_few = snapshot_size(100);
     let after_many = snapshot_size(4000);
     assert!(
         after_many <= after_few + 16,
-        "{after_few} bytes after 100 calls, {after_many} after 4,000 in four seconds"
+        "{after_few} bytes after 100 calls, {after_many} bytes after 4,000 calls in four seconds"
     );
 }
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,4 +1,5 @@
-//! Whether and when a message is sent again, and its final answer. The harness checks its rules in every test as well.
+//! Tests of whether and when a message is sent again, and of its final answer. The harness also checks the rules in
+//! `support/rules.rs` in every test.
 
 mod support;
 
@@ -100,7 +101,11 @@
     assert_eq!(harness.sent.len(), 1);
     harness.withdraw(first);
     harness.advance(SECOND);
-    assert_eq!(harness.sent.len(), 1, "the first is still in flight");
+    assert_eq!(
+        harness.sent.len(),
+        1,
+        "the first message is still in flight"
+    );
     harness.end_attempt(first, AttemptOutcome::Reset);
     let ended_at = harness.now;
     harness.advance(5 * SECOND);
@@ -108,7 +113,7 @@
     let sent_at = sent.find(|sent| sent.id == second).map(|sent| sent.at);
     assert!(
         sent_at.is_some_and(|at| at >= ended_at + SECOND),
-        "sent at {sent_at:?}"
+        "attempt ended at {ended_at}, next message sent at {sent_at:?}"
     );
 }
 
@@ -126,7 +131,7 @@
         matches!(early[..], [Action::Send { id: 1, .. }]),
         "{early:?}"
     );
-    // By now a non-idempotent call might be cut off; one that may be repeated should end in time.
+    // With one second left, a non-idempotent call might be cut off; a repeatable one is expected to end in time.
     let now = now + 2 * SECOND;
     let events = vec![
         received(2, NON_IDEMPOTENT, now),
--- a/crates/policy/tests/support/harness.rs
+++ b/crates/policy/tests/support/harness.rs
@@ -1,4 +1,4 @@
-//! Drives a policy with events. Each action that it takes is checked by `rules`.
+//! Drives a policy with events. The `rules` module checks each action that the policy returns.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use super::{MILLISECOND, SECOND};
 
-/// How long after its deadline a message must have its answer.
+/// How long after its deadline a message may get its final answer at the latest.
 pub const ANSWER_TOLERANCE: Micros = 20 * MILLISECOND;
 
 /// A message that the policy has sent.
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Default)]
 pub(super) struct KeyBlock {
     pub(super) until: Micros,
-    /// The message of that attempt; it may be sent again before.
+    /// The message of that attempt, which may be sent again despite the block.
     pub(super) message: MessageId,
 }
 
@@ -71,14 +71,14 @@
     token: u64,
 }
 
-/// The next attempt that times out; of equals the message with the lowest number.
+/// The next attempt to time out. Ordered by time, then by message identifier.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct NextTimeout {
     at: Micros,
     id: MessageId,
 }
 
-/// Drives a policy with events and panics where its actions break a rule.
+/// Drives a policy with events and panics if its actions break a rule.
 pub struct PolicyHarness {
     pub policy: DeliveryPolicy,
     pub settings: Settings,
@@ -89,7 +89,7 @@
     pub actions: Vec<Action>,
     pub(super) messages: BTreeMap<MessageId, TrackedMessage>,
     pub(super) hosts: BTreeMap<HostId, HostEntry>,
-    /// The messages of each ordering key, in the order of their arrival.
+    /// The messages of each ordering key, in the order of arrival.
     pub(super) ordered_messages: BTreeMap<u64, Vec<MessageId>>,
     pub(super) key_blocks: BTreeMap<u64, KeyBlock>,
     pub(super) retry_after_until: BTreeMap<RouteKey, Micros>,
@@ -119,7 +119,7 @@
         harness
     }
 
-    /// Discovery sends a full snapshot.
+    /// Sends a full snapshot of the host list to the policy.
     pub fn replace_hosts(&mut self, entries: Vec<HostEntry>) {
         for known in self.hosts.values_mut() {
             known.state = HostState::Removed;
@@ -132,7 +132,7 @@
         }]);
     }
 
-    /// Discovery sends changed entries.
+    /// Sends changed entries of the host list to the policy.
     pub fn change_hosts(&mut self, entries: Vec<HostEntry>) {
         self.record_hosts(&entries);
         self.handle(vec![Event::HostsUpdated {
@@ -193,7 +193,7 @@
         id
     }
 
-    /// The ordering key of a message whose class is ordered.
+    /// The ordering key of a message if its class is ordered.
     pub(super) fn effective_key(&self, message: &Message) -> Option<u64> {
         let class = &self.settings.classes[usize::from(message.class)];
         message.ordering_key.filter(|_| class.is_ordered)
@@ -222,7 +222,7 @@
         self.end_attempt_with_report(id, outcome, Vec::new());
     }
 
-    /// As `end_attempt`, with a load report.
+    /// Ends the attempt in flight of a message, with a load report from the destination.
     pub fn end_attempt_with_report(
         &mut self,
         id: MessageId,
@@ -237,7 +237,10 @@
         let Some(last) = tracked.attempts.last_mut() else {
             return;
         };
-        assert!(last.is_in_flight(), "the test gave two outcomes");
+        assert!(
+            last.is_in_flight(),
+            "the test ended an attempt of message {id} twice"
+        );
         last.outcome = Some(outcome);
         let host = last.host;
         let elapsed = now - last.sent_at;
@@ -259,7 +262,8 @@
             is_final,
             load_report,
         })]);
-        // Recorded after the round of the rejection: the rules excuse what that sends, though the policy sends nothing.
+        // Recorded after the round of the rejection, so that the rules do not apply to calls of that round, although
+        // the policy starts none.
         if let AttemptOutcome::Rejected {
             retry_after: retry_after @ 1..,
         } = outcome
@@ -290,7 +294,7 @@
         }
     }
 
-    /// Advances the time; timers fire and attempts time out when due.
+    /// Advances the time by `span`. Timers fire and attempts time out when due.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
@@ -335,7 +339,7 @@
         self.handle(events);
     }
 
-    /// Sets a timer of the policy.
+    /// Records a timer that the policy has set.
     pub(super) fn set_timer(&mut self, delay: Micros, token: u64) {
         let due_at = self.now + delay;
         self.timers.push(Timer { due_at, token });
@@ -364,7 +368,7 @@
     }
 }
 
-/// Whether the call may still be running at its host, as the harness judges it apart from the policy.
+/// Whether the call may still be running at its host. Does not use the policy's own classification.
 fn may_still_run(outcome: AttemptOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/policy/tests/support/mod.rs
+++ b/crates/policy/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Shared by the tests: settings and messages, a driver of a policy, and the rules that its actions must keep.
+//! Support for the tests: settings and messages, a harness that drives a policy, and the rules for its actions.
 
-// Each test file is a program of its own and uses a part of these.
+// Each test file is a separate crate and uses only a part of this module.
 #![allow(dead_code, unused_imports)]
 
 mod harness;
@@ -89,11 +89,11 @@
     }
 }
 
-/// Random numbers for sequences of events.
+/// A seeded generator of random numbers for sequences of events.
 pub struct TestRng(pub u64);
 
 impl TestRng {
-    /// A number from 0 to below `n`.
+    /// A number of at least 0 and below `n`.
     pub fn below(&mut self, n: u64) -> u64 {
         self.0 = self
             .0
@@ -113,7 +113,8 @@
     }
 }
 
-/// Ends the calls in flight as `outcome_of` says, in steps of 50 ms.
+/// Advances the time by `span` in steps of 50 ms. After each step, ends the calls in flight for which `outcome_of`
+/// returns an outcome for the time and the host.
 pub fn run(
     harness: &mut PolicyHarness,
     span: Micros,
@@ -133,7 +134,7 @@
     }
 }
 
-/// Ends all calls in flight with this outcome, in steps of 50 ms.
+/// Advances the time by `span` and ends all calls in flight with `outcome` after each step of 50 ms.
 pub fn run_with_outcome(harness: &mut PolicyHarness, span: Micros, outcome: AttemptOutcome) {
     run(harness, span, |_, _| Some(outcome));
 }
@@ -162,7 +163,7 @@
     }
 }
 
-/// Plays one round and returns its actions, but for timers.
+/// Runs one round and returns its actions except for timers.
 pub fn handle(policy: &mut DeliveryPolicy, now: Micros, events: Vec<Event>) -> Vec<Action> {
     let mut actions = Vec::new();
     policy.handle(now, events, &mut actions);
@@ -179,7 +180,7 @@
     }
 }
 
-/// The same list, from the cache of an earlier process.
+/// The list of [`host_list`] from the cache of an earlier process.
 pub fn cached_host_list() -> Event {
     Event::HostsUpdated {
         is_full: true,
--- a/crates/policy/tests/support/rules.rs
+++ b/crates/policy/tests/support/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that each action of a policy must keep.
+//! The rules that the actions of a policy must follow.
 
 use policy::types::{
     Action, AttemptOutcome, HostId, HostState, Idempotency, Message, MessageId, Micros,
@@ -9,7 +9,7 @@
 };
 
 impl PolicyHarness {
-    /// Checks an action and records what it does.
+    /// Checks an action and records its effect.
     pub(super) fn check_action(&mut self, action: &Action) {
         match action {
             Action::Send { id, host, timeout } => self.check_send(*id, *host, *timeout),
@@ -24,13 +24,19 @@
             }
             Action::SetTimer { delay, token } => self.set_timer(*delay, *token),
             Action::Cancel { id, attempt } => {
-                assert!(self.settings.can_cancel, "attempts may not be cancelled");
+                assert!(
+                    self.settings.can_cancel,
+                    "attempt cancelled although the settings forbid it"
+                );
                 assert!(
                     usize::from(*attempt) < self.messages[id].attempts.len(),
                     "cancelled an attempt that was never sent"
                 );
             }
-            Action::Probe(_) => assert!(self.settings.can_probe, "hosts may not be probed"),
+            Action::Probe(_) => assert!(
+                self.settings.can_probe,
+                "host probed although the settings forbid it"
+            ),
             _ => {}
         }
     }
@@ -53,7 +59,7 @@
         self.sent.push(SentMessage { at: now, id, host });
     }
 
-    /// The host must be ready, of the message's destination, and not in a Retry-After.
+    /// The host must be ready, belong to the message's destination and have no pending Retry-After.
     fn check_host(&self, id: MessageId, host: HostId) {
         let route = self.route(host);
         let retry_after_until = self.retry_after_until.get(&route).copied();
@@ -67,10 +73,13 @@
             HostState::Ready,
             "sent to host {host}, which is draining or removed"
         );
-        let tracked = self.messages.get(&id).expect("sent an unknown message");
+        let tracked = self
+            .messages
+            .get(&id)
+            .expect("policy sent an unknown message");
         assert_eq!(
             entry.destination, tracked.message.destination,
-            "sent to another destination"
+            "message {id} sent to a host of another destination"
         );
     }
 
@@ -80,11 +89,11 @@
         assert!(!tracked.is_answered, "message {id} sent after its answer");
         assert!(
             tracked.attempts.len() < self.settings.max_attempts,
-            "too many attempts"
+            "message {id} sent after its last allowed attempt"
         );
         assert!(
             !tracked.attempts.iter().any(ObservedAttempt::is_in_flight),
-            "two attempts in flight at once"
+            "message {id} has two attempts in flight"
         );
         let idempotency = self.idempotency(tracked);
         let first = tracked
@@ -102,14 +111,15 @@
                 );
                 assert!(
                     !zone_only || self.hosts[&host].zone == first.zone,
-                    "key not known in that zone"
+                    "keyed message {id} sent to a zone that does not know its key"
                 );
             }
             _ => {}
         }
     }
 
-    /// Earlier messages of the ordering key must be done, and no other one's attempt may still be running.
+    /// Earlier messages of the ordering key must have their final answers and no attempt in flight, and no attempt of
+    /// another message of the key may still be running.
     fn check_order(&self, message: &Message) {
         let Some(key) = self.effective_key(message) else {
             return;
@@ -133,7 +143,7 @@
         );
     }
 
-    /// A message gets one final answer, in time.
+    /// A message must get exactly one final answer, in time.
     fn check_answer(&mut self, id: MessageId) {
         let now = self.now;
         let tracked = self.tracked(id);
@@ -145,7 +155,7 @@
         tracked.is_answered = true;
     }
 
-    /// A rejected message may be submitted again: it provably was not executed, or may be executed twice.
+    /// A rejected message must be safe to submit again: it provably was not executed, or it may be executed twice.
     fn check_rejection(&self, id: MessageId) {
         let tracked = &self.messages[&id];
         let is_not_executed = tracked.attempts.iter().all(|attempt| {
@@ -164,7 +174,7 @@
         );
     }
 
-    /// No more messages may be in flight than the slots and the calls allow.
+    /// The messages in flight must not exceed the number of slots times the messages per call.
     pub(super) fn check_slots(&self) {
         let in_flight = self.in_flight().len();
         let kinds = self.settings.kinds.iter();
@@ -176,7 +186,7 @@
         );
     }
 
-    /// Each message must have its answer by its deadline.
+    /// Each message must have its final answer by its deadline, with [`ANSWER_TOLERANCE`].
     pub(super) fn check_deadlines(&self) {
         for (id, tracked) in &self.messages {
             let latest_answer = tracked.message.deadline + ANSWER_TOLERANCE;
@@ -189,7 +199,7 @@
 
     fn tracked(&mut self, id: MessageId) -> &mut TrackedMessage {
         let tracked = self.messages.get_mut(&id);
-        tracked.expect("an action for an unknown message")
+        tracked.expect("the policy returned an action for an unknown message")
     }
 
     fn idempotency(&self, tracked: &TrackedMessage) -> Idempotency {
@@ -197,7 +207,7 @@
     }
 }
 
-/// Whether the call may have been executed, as the harness judges it apart from the policy.
+/// Whether the call may have been executed. Does not use the policy's own classification.
 fn may_have_executed(outcome: AttemptOutcome) -> bool {
     !matches!(
         outcome,
