--- a/crates/policy/src/call_outcome.rs
+++ b/crates/policy/src/call_outcome.rs
@@ -14,7 +14,7 @@
 impl DeliveryPolicy {
     /// Records the outcome of a call or probe.
     pub(crate) fn record_outcome(&mut self, end: &CallEnd) {
-        // Drawn for every outcome, even if unused, so that the sequence of random numbers does not depend on it.
+        // Drawn for every outcome, including those that do not use it.
         let chance = self.random.next_fraction();
         match end.outcome {
             AttemptOutcome::Delivered => self.record_success(end, chance),
--- a/crates/policy/src/recovery.rs
+++ b/crates/policy/src/recovery.rs
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Ends the outage at a success, unless the successful call was sent before the outage began (`sent_at`). No ramp
-    /// follows if the last success before the outage was less than [`MIN_SUCCESS_GAP_OF_OUTAGE`] ago: then a full queue
-    /// at the destination looked like an outage.
+    /// Ends the outage at a success, unless the successful call was sent (`sent_at`) before the outage began or a
+    /// Retry-After is pending. No ramp follows if the previous success precedes the outage and is less than
+    /// [`MIN_SUCCESS_GAP_OF_OUTAGE`] ago: a full queue at the destination was then taken for an outage.
     pub(crate) fn end_outage(&mut self, now: Micros, sent_at: Micros, last_success: Micros) {
         let recovery = &mut self.recovery;
         let is_down = recovery.is_active && recovery.recovered_at.is_none();
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -67,8 +67,7 @@
 
     /// Removes one message from a call. When the last message ends, the call ends and its outcome is recorded.
     fn end_call(&mut self, call_id: u64, class: usize, end: AttemptEnd) {
-        // Drawn for every message, even without a Retry-After, so that the sequence of random numbers does not depend
-        // on it.
+        // Drawn for every message, including those without a Retry-After.
         let chance = self.random.next_fraction();
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -36,7 +36,7 @@
     pub(crate) rejected_since: Micros,
     /// The last rejection can be attributed to the limit.
     pub(crate) is_limit_likely: bool,
-    /// The last failed call provably was not executed; true before the first failure.
+    /// The last failed call, or the latest series of rejections, provably was not executed; initially true.
     pub(crate) last_failure_not_executed: bool,
 }
 
@@ -81,7 +81,7 @@
     /// Ready hosts of the route, in ascending order.
     pub(crate) hosts: Vec<HostId>,
     pub(crate) breaker: CircuitBreaker,
-    /// End of the Retry-After of the destination.
+    /// End of the Retry-After that the destination or host has sent; 0 if there was none.
     pub(crate) retry_after_until: Micros,
     /// End of the backoff after rejections.
     pub(crate) backoff_until: Micros,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -17,15 +17,15 @@
 /// A waiting message whose destination accepts calls now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// The message.
+    /// Identifier of the waiting message.
     pub id: MessageId,
-    /// Its tenant.
+    /// Tenant of the message.
     pub tenant: TenantId,
-    /// Its destination.
+    /// Destination of the message.
     pub destination: DestinationId,
     /// The value that is lost by waiting; see `DELAY_HORIZON`.
     pub cost_of_delay: f64,
-    /// How long its call is expected to hold a slot; zero if no route is known.
+    /// How long its call is expected to hold a slot; zero if the destination has no route.
     pub expected_duration: Micros,
 }
 
@@ -54,7 +54,7 @@
     fn must_yield(&mut self, now: Micros, tenant: TenantId, capacity: Capacity) -> bool;
 
     /// Sorts candidates into the order in which they are to be sent and removes those that must not be sent. The input
-    /// is sorted by urgency: the highest cost of delay first.
+    /// is in the policy's order: restored messages without attempts, then the highest cost of delay first.
     fn order_candidates(&mut self, now: Micros, candidates: &mut Vec<Candidate>);
 
     /// Whether another call of the tenant may start.
--- a/crates/policy/src/types/event.rs
+++ b/crates/policy/src/types/event.rs
@@ -125,7 +125,7 @@
     MessageRestored {
         /// The restored message.
         message: Message,
-        /// Its attempts so far, in order; none is in flight.
+        /// Attempts of the message so far, in order; none is in flight.
         attempts: Vec<PastAttempt>,
     },
     /// An undeliverable message is sent again; it needs one final answer.
@@ -139,7 +139,7 @@
     MessageAdopted {
         /// The adopted message.
         message: Message,
-        /// Its attempts so far, in order.
+        /// Attempts of the message so far, in order; the last one may be in flight.
         attempts: Vec<PastAttempt>,
         /// Host at which the last attempt is still in flight; `None` if no attempt is.
         in_flight_at: Option<HostId>,
--- a/crates/policy/src/types/message.rs
+++ b/crates/policy/src/types/message.rs
@@ -19,7 +19,7 @@
     pub expected_work: Option<Micros>,
     /// Tenant that submitted the message.
     pub tenant: TenantId,
-    /// The client has submitted it before.
+    /// The client has submitted the message before.
     pub is_resubmitted: bool,
     /// Size of the message in the queue, in bytes; zero if bytes are not counted.
     pub size: usize,
--- a/crates/policy/tests/support/harness.rs
+++ b/crates/policy/tests/support/harness.rs
@@ -51,7 +51,7 @@
 }
 
 impl TrackedMessage {
-    /// The last attempt, if it has not ended.
+    /// The last attempt if it is in flight.
     fn attempt_in_flight(&self) -> Option<&ObservedAttempt> {
         self.attempts.last().filter(|last| last.is_in_flight())
     }
