--- a/crates/relay/src/cached_state.rs
+++ b/crates/relay/src/cached_state.rs
@@ -1,4 +1,4 @@
-//! The cached list of hosts and outages, which survives a restart in a small file of its own.
+//! The cached list of hosts and outages, stored in a small file of its own to survive a restart.
 //!
 //! The file is a line of JSON and a line with the CRC-32 of the first one. A file without the second line is from a
 //! version that wrote no checksum.
@@ -13,10 +13,10 @@
 use runtime::{log, Runtime};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Share of the disk limit that the file may take. Two such files come on top of those of the journal, which leave a
-/// quarter of the limit.
+/// Share of the disk limit that the file may take. The old and the new file may exist at once, beside the files of the
+/// journal, which leave a quarter of the limit.
 const MAX_DISK_SHARE: f64 = 0.05;
-/// Name of the file in the state folder.
+/// Name of the file in the state directory.
 const STATE_FILE: &str = "memory";
 /// Name of the file with the time of the last contact with discovery.
 const CONTACT_FILE: &str = "heard";
@@ -27,17 +27,18 @@
 /// Stored state of a host that is draining.
 const STORED_DRAINING: u8 = 1;
 
-/// The list of hosts and the outages that a restarted relay begins with.
+/// The list of hosts and the outages with which a restarted relay starts.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct CachedState {
-    /// The list of hosts.
+    /// The full list of hosts in force.
     pub list: HostList,
-    /// Outages of destinations. Their moments are in Unix time.
+    /// Outages of destinations. Their times are in microseconds of Unix time.
     #[serde(deserialize_with = "deserialize_outages")]
     pub outages: Vec<Outage>,
 }
 
-/// An outage as it is stored: a JSON array of the destination, when it began and when the first success came after it.
+/// An outage as it is stored: a JSON array of the destination, the start of the outage and the time of the first success
+/// after it.
 #[derive(Serialize, Deserialize)]
 struct StoredOutage(DestinationId, Micros, Option<Micros>);
 
@@ -139,7 +140,7 @@
     }
 }
 
-/// The content of the file, which takes about 55 bytes a host.
+/// The content of the file, which takes about 55 bytes per host.
 #[derive(Serialize, Deserialize)]
 struct StoredState {
     #[serde(rename = "seq")]
@@ -226,7 +227,7 @@
         Ok(format!("{line}\n{checksum}\n"))
     }
 
-    /// Replaces the file in the folder, which may hold `limit` bytes in all.
+    /// Replaces the file in the folder. `limit` is the disk limit of the whole folder, in bytes.
     ///
     /// # Errors
     /// `StorageFull` if the file would take more than its share of the limit; otherwise the error of the write, after
@@ -242,7 +243,7 @@
         let path = folder.join(STATE_FILE);
         let replacement: PathBuf = path.with_extension("new");
         let written = runtime.write(&replacement, text.as_bytes());
-        // A partial file would take space that other files need.
+        // A partial file would occupy space that other files need.
         written.inspect_err(|_| drop(runtime.remove(&replacement)))?;
         runtime.rename(&replacement, &path)
     }
@@ -267,7 +268,7 @@
     Duration::from_micros(now).checked_sub(Duration::from_millis(at))
 }
 
-/// The second line of the file.
+/// The second line of the file: the checksum of the first.
 fn checksum_line(line: &str) -> String {
     format!("crc32 {:08x}", crc32fast::hash(line.as_bytes()))
 }
--- a/crates/relay/src/cached_state/tests.rs
+++ b/crates/relay/src/cached_state/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn cached_state(hosts: u16) -> CachedState {
-    let line = |at: u16| HostListEntry {
+    let entry = |at: u16| HostListEntry {
         name: format!("s-{at:08x}"),
         address: SocketAddr::from(([127, 12, (at >> 8) as u8, at as u8], 40_000)),
         zone: format!("leith-dc-{}", at % 4),
@@ -19,7 +19,7 @@
     let list = HostList {
         version: 7,
         is_full: true,
-        hosts: (0..hosts).map(line).collect(),
+        hosts: (0..hosts).map(entry).collect(),
     };
     let outage = |destination| Outage {
         destination,
@@ -40,8 +40,11 @@
         Some(state.clone())
     );
     let outages: Vec<StoredOutage> = state.outages.iter().map(StoredOutage::from).collect();
-    let before = serde_json::json!({"list": state.list, "outages": outages}).to_string();
-    assert_eq!(CachedState::decode(before.as_bytes()), Some(state));
+    let without_checksum = serde_json::json!({"list": state.list, "outages": outages}).to_string();
+    assert_eq!(
+        CachedState::decode(without_checksum.as_bytes()),
+        Some(state)
+    );
 }
 
 /// A flipped bit or a truncation never yields a different list.
--- a/crates/relay/src/classes.rs
+++ b/crates/relay/src/classes.rs
@@ -1,9 +1,9 @@
-//! The table of classes by the policy's numbers: those of the settings in force, and retired ones that pending messages
-//! still have. A message keeps the class definition under which it was accepted.
+//! The table of classes by the policy's numbers: the classes of the settings in force, and retired ones that pending
+//! messages still refer to. A message keeps the class definition under which it was accepted.
 
 use policy::types::Class;
 
-/// The most numbers that are assigned, retired ones included. Settings that need more are rejected.
+/// Maximum number of classes, retired ones included. Settings that need more are rejected.
 pub const MAX_CLASSES: usize = 1024;
 
 struct Entry {
@@ -22,14 +22,14 @@
     }
 }
 
-/// What becomes of an entry when other classes are put in force.
+/// The status of an entry once other classes are put in force.
 #[derive(Clone, Copy, PartialEq)]
 enum EntryStatus {
     /// It is one of the classes in force.
     InForce,
-    /// It is not in force, but a message still has its number.
+    /// It is not in force, but a pending message still has its number.
     Retired,
-    /// No message has its number, which may be assigned again.
+    /// It is not in force, and no message has its number, which may be assigned again.
     Reusable,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl Classes {
-    /// Creates the table with the classes of the settings at the start.
+    /// Creates the table from the settings at the start, all classes in force.
     pub fn new(names: &[String], classes: &[Class]) -> Self {
         let classes = names.iter().zip(classes);
         let entries = classes.map(|(name, class)| Entry::in_force(name, class));
@@ -53,7 +53,7 @@
         self.entries.len()
     }
 
-    /// The number of a class that is in force.
+    /// The policy's number of a class in force; `None` if no class in force has the name.
     pub fn number(&self, name: &str) -> Option<u16> {
         let index = self
             .entries
@@ -62,7 +62,7 @@
         index.and_then(|index| u16::try_from(index).ok())
     }
 
-    /// A class that is in force.
+    /// The definition of a class in force; `None` if no class in force has the name.
     pub fn class_by_name(&self, name: &str) -> Option<&Class> {
         self.entries
             .get(usize::from(self.number(name)?))
@@ -78,8 +78,8 @@
         index.and_then(|index| u16::try_from(index).ok())
     }
 
-    /// The number of the class definition under which a message was accepted, in force or not. It is added as a retired
-    /// class if it is not in the table; `None` if there is no space for it.
+    /// The number of the class definition under which a message was accepted, in force or not. A definition that is not
+    /// in the table is added as a retired class; `None` if the table is full.
     pub fn number_for_version(&mut self, name: &str, class: &Class) -> Option<u16> {
         self.number_of(name, class).or_else(|| {
             let entry = Entry {
@@ -92,8 +92,9 @@
         })
     }
 
-    /// Replaces the classes in force. Returns false, and changes nothing, if there is not enough space. A class whose
-    /// definition changes gets a new number. `in_use` says whether a message has a number: the others are reused.
+    /// Replaces the classes in force. Returns false, and changes nothing, if the table would exceed [`MAX_CLASSES`]. A
+    /// class whose definition changes gets a new number. `in_use` returns whether a message has a number; numbers of
+    /// classes that are neither in force nor in use are assigned again.
     pub fn update(
         &mut self,
         names: &[String],
@@ -107,7 +108,7 @@
         let added: Vec<Entry> = names
             .iter()
             .zip(classes)
-            .filter(|(name, _)| !self.keeps_in_force(name, &statuses))
+            .filter(|(name, _)| !self.remains_in_force(name, &statuses))
             .map(|(name, class)| Entry::in_force(name, class))
             .collect();
         let additional_entries = added.len().saturating_sub(reusable.len());
@@ -127,7 +128,7 @@
         true
     }
 
-    /// The status that each entry has once the named classes are in force.
+    /// The status of each entry once the named classes are in force.
     fn statuses_under(
         &self,
         names: &[String],
@@ -155,7 +156,7 @@
         self.entries.iter().enumerate().map(status).collect()
     }
 
-    fn keeps_in_force(&self, name: &str, statuses: &[EntryStatus]) -> bool {
+    fn remains_in_force(&self, name: &str, statuses: &[EntryStatus]) -> bool {
         let mut entries = self.entries.iter().zip(statuses);
         entries.any(|(entry, status)| *status == EntryStatus::InForce && entry.name == name)
     }
--- a/crates/relay/src/classes/tests.rs
+++ b/crates/relay/src/classes/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 use policy::types::Idempotency;
 
-fn class(give_up: u64, effect: Idempotency) -> Class {
+fn class(time_to_live: u64, idempotency: Idempotency) -> Class {
     Class {
         latency_objective: 1,
         objective_stretch: 0.0,
-        time_to_live: give_up,
-        idempotency: effect,
+        time_to_live,
+        idempotency,
         value: 1.0,
         late_value: 0.0,
         is_ordered: false,
@@ -21,26 +21,34 @@
 
 #[test]
 fn changed_class_gets_a_new_number_while_the_old_one_is_in_use() {
-    let (safe, non_idempotent) = (
+    let (idempotent, non_idempotent) = (
         class(9, Idempotency::Idempotent),
         class(9, Idempotency::NonIdempotent),
     );
-    let mut classes = Classes::new(&names("a b"), &[safe.clone(), safe.clone()]);
+    let mut classes = Classes::new(&names("a b"), &[idempotent.clone(), idempotent.clone()]);
     assert!(classes.update(
         &names("a b"),
-        &[non_idempotent.clone(), safe.clone()],
+        &[non_idempotent.clone(), idempotent.clone()],
         |number| number == 0
     ));
     assert_eq!(classes.number("a"), Some(2));
     assert_eq!(classes.number("b"), Some(1));
     assert_eq!(
         classes.definitions(),
-        [safe.clone(), safe.clone(), non_idempotent.clone()]
+        [
+            idempotent.clone(),
+            idempotent.clone(),
+            non_idempotent.clone()
+        ]
     );
-    // Once no message has it, the old number is assigned again.
+    // The old number is assigned again once no message has it.
     assert!(classes.update(
         &names("a b c"),
-        &[non_idempotent.clone(), safe.clone(), safe.clone()],
+        &[
+            non_idempotent.clone(),
+            idempotent.clone(),
+            idempotent.clone()
+        ],
         |_| false
     ));
     assert_eq!(
@@ -51,17 +59,25 @@
 }
 
 #[test]
-fn removed_class_is_unknown_until_it_returns_under_its_number() {
-    let safe = class(9, Idempotency::Idempotent);
-    let mut classes = Classes::new(&names("a b"), &[safe.clone(), safe.clone()]);
-    assert!(classes.update(&names("b"), std::slice::from_ref(&safe), |_| true));
+fn removed_class_is_unknown_and_gets_its_number_back_when_it_returns() {
+    let idempotent = class(9, Idempotency::Idempotent);
+    let mut classes = Classes::new(&names("a b"), &[idempotent.clone(), idempotent.clone()]);
+    assert!(classes.update(&names("b"), std::slice::from_ref(&idempotent), |_| true));
     assert_eq!(classes.number("a"), None);
     assert!(classes.class_by_name("a").is_none());
-    // Back with the same definition, it is the number that its messages still have.
-    assert!(classes.update(&names("b a"), &[safe.clone(), safe.clone()], |_| true));
+    // A class that returns with the same definition gets the number that its messages still have.
+    assert!(classes.update(
+        &names("b a"),
+        &[idempotent.clone(), idempotent.clone()],
+        |_| true
+    ));
     assert_eq!(classes.number("a"), Some(0));
     let other = class(7, Idempotency::NonIdempotent);
-    assert!(classes.update(&names("b a"), &[safe.clone(), other.clone()], |_| true));
+    assert!(
+        classes.update(&names("b a"), &[idempotent.clone(), other.clone()], |_| {
+            true
+        })
+    );
     assert_eq!(
         (classes.number("a"), classes.class_by_name("a")),
         (Some(2), Some(&other))
@@ -70,14 +86,14 @@
 
 #[test]
 fn restored_message_keeps_a_definition_that_is_not_configured() {
-    let (safe, non_idempotent) = (
+    let (idempotent, non_idempotent) = (
         class(9, Idempotency::Idempotent),
         class(9, Idempotency::NonIdempotent),
     );
     let mut classes = Classes::new(&names("a"), std::slice::from_ref(&non_idempotent));
     assert_eq!(classes.number_for_version("a", &non_idempotent), Some(0));
-    assert_eq!(classes.number_for_version("a", &safe), Some(1));
-    assert_eq!(classes.number_for_version("gone", &safe), Some(2));
+    assert_eq!(classes.number_for_version("a", &idempotent), Some(1));
+    assert_eq!(classes.number_for_version("gone", &idempotent), Some(2));
     assert_eq!(
         (classes.number("a"), classes.number("gone")),
         (Some(0), None)
@@ -88,11 +104,11 @@
 fn update_beyond_the_maximum_is_rejected_without_a_change() {
     let mut classes = Classes::new(&names("a"), &[class(1, Idempotency::Idempotent)]);
     let mut rejected = 0;
-    for give_up in 2..MAX_CLASSES as u64 + 50 {
+    for time_to_live in 2..MAX_CLASSES as u64 + 50 {
         let before = classes.definitions();
         if !classes.update(
             &names("a"),
-            &[class(give_up, Idempotency::Idempotent)],
+            &[class(time_to_live, Idempotency::Idempotent)],
             |_| true,
         ) {
             rejected += 1;
--- a/crates/relay/src/clock_anchor.rs
+++ b/crates/relay/src/clock_anchor.rs
@@ -1,12 +1,13 @@
-//! The file that joins the stored moments of one process to those of the next.
+//! The clock anchor: a file that lets the relay's clock continue from one process to the next.
 //!
-//! Deadlines, outages, rates and the like are stored in Unix time, as the relay's clock shows it. The wall clock may be
-//! stepped at any moment, so the relay reads it once in a boot of the machine, and from then on only counts monotonic
-//! time. The anchor says what the relay's clock showed at one reading of the machine's monotonic clock; a later process
-//! reads both clocks together and goes on from there.
+//! Deadlines, outages, rates and the like are stored in Unix time, as shown by the relay's clock. The wall clock may be
+//! stepped at any time, so the relay reads it once per boot of the machine and from then on only counts monotonic time.
+//! The anchor holds the time of the relay's clock at one reading of the machine's monotonic clock. A later process
+//! reads the monotonic clock again and adds the time that has elapsed since the anchor.
 //!
-//! In another boot of the machine the monotonic clock has restarted. Then, and where there is no anchor (as after a
-//! version that wrote none), the relay's clock starts at the wall clock: spans over the gap are as good as that is.
+//! The monotonic clock restarts with each boot of the machine. After a reboot, and where there is no anchor (as after a
+//! version that wrote none), the relay's clock starts at the wall clock. Time spans across that gap are then only as
+//! accurate as the wall clock.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -17,16 +18,16 @@
 use runtime::{log, BootId, BootTime, Runtime};
 use serde::{Deserialize, Serialize};
 
-/// Name of the file in the state folder.
-const FILE: &str = "clock";
+/// Name of the file in the state directory.
+const FILE_NAME: &str = "clock";
 /// Extension of the file while it is written.
 const TEMPORARY_EXTENSION: &str = "new";
-/// How long after a failed write the next one is tried.
+/// Minimum delay of the next try after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// A wall clock that differs by more than this from the relay's clock is worth a line in the log.
+/// A difference between the wall clock and the relay's clock is logged if it is larger than this.
 const LOGGED_DIFFERENCE: Duration = Duration::from_secs(1);
 
-/// What the relay's clock showed at a reading of the machine's monotonic clock.
+/// The time of the relay's clock at one reading of the machine's monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ClockAnchor {
     boot: String,
@@ -44,7 +45,8 @@
         }
     }
 
-    /// What the relay's clock shows at a reading; `None` if the reading is of another boot or from before the anchor.
+    /// The time of the relay's clock at a reading, in microseconds of Unix time; `None` if the reading is of another boot
+    /// or from before the anchor.
     fn unix_at(&self, reading: &BootTime) -> Option<Micros> {
         if self.boot != reading.boot.0 {
             return None;
@@ -55,19 +57,20 @@
     }
 
     fn load(runtime: &impl Runtime, folder: &Path) -> Option<Self> {
-        let text = runtime.read(&folder.join(FILE)).ok()?;
+        let text = runtime.read(&folder.join(FILE_NAME)).ok()?;
         serde_json::from_slice(&text).ok()
     }
 }
 
-/// Starts the relay's clock: at the time that the previous process' clock would show now, or else at the wall clock.
+/// Starts the relay's clock. It continues the previous process' clock if the anchor allows that, and starts at the wall
+/// clock otherwise.
 pub fn start_clock<R: Runtime>(runtime: &R, folder: &Path) -> Clock<R> {
     let continued = continued_time(runtime, folder);
     let unix = continued.unwrap_or_else(|| runtime.unix_time().as_micros() as Micros);
     Clock::new(runtime.clone(), unix)
 }
 
-/// Logs that the wall clock was stepped since the relay's clock started from it.
+/// Logs a wall clock that was stepped since the relay's clock started from it.
 pub fn log_difference<R: Runtime>(runtime: &R, clock: &Clock<R>) {
     let wall_clock = runtime.unix_time().as_micros() as Micros;
     let ahead = wall_clock as i64 - clock.now() as i64;
@@ -81,7 +84,7 @@
     ClockAnchor::load(runtime, folder)?.unix_at(&reading)
 }
 
-/// Ensures that the anchor of the relay's clock is on disk before anything that is counted by that clock.
+/// Ensures that the anchor of the relay's clock is on disk before any time of that clock is stored.
 pub struct AnchorFile {
     path: PathBuf,
     is_written: bool,
@@ -89,19 +92,20 @@
 }
 
 impl AnchorFile {
-    /// The file in a state folder that this process owns. One that the relay's clock has continued stays as it is.
+    /// The file in a state directory that this process owns. An existing file stays unchanged if the relay's clock has
+    /// continued from it.
     pub fn new(runtime: &impl Runtime, folder: &Path) -> Self {
         AnchorFile {
-            path: folder.join(FILE),
+            path: folder.join(FILE_NAME),
             is_written: continued_time(runtime, folder).is_some(),
             retry_at: None,
         }
     }
 
-    /// Writes the file if it is missing or of another boot, and returns whether it is in place. After a failure this is tried
-    /// again at a bounded pace.
+    /// Writes the file if it is missing or of another boot, and returns whether it is in place. After a failure the next
+    /// write is tried after [`RETRY_DELAY`] at the earliest.
     ///
-    /// A system whose monotonic clock cannot be read needs no file.
+    /// No file is needed, and none is written, on a system whose monotonic clock cannot be read.
     pub fn ensure_written<R: Runtime>(&mut self, runtime: &R, clock: &Clock<R>) -> bool {
         let now = runtime.now();
         if self.is_written || self.retry_at.is_some_and(|at| now < at) {
--- a/crates/relay/src/event_loop/actions.rs
+++ b/crates/relay/src/event_loop/actions.rs
@@ -7,7 +7,7 @@
 use super::{EventLoop, PolicyAborted, Timer, MICROS_PER_MS};
 use crate::control_socket;
 
-/// Error text for a message that the policy fails before it was accepted. Part of the wire.
+/// Error text for a message that the policy fails before it was accepted. Part of the wire protocol.
 const FAILED_ON_ARRIVAL: &str = "given up";
 
 impl<R: Runtime> EventLoop<R> {
@@ -36,7 +36,7 @@
         self.tenants.message_rejected(&message.tenant);
     }
 
-    /// Carries out the actions in their order.
+    /// Carries out the actions in order.
     pub(super) fn carry_out(
         &mut self,
         now: Micros,
@@ -53,7 +53,7 @@
                 Action::Fail(id) => self.fail_message(id, DeliveryFailure::Undeliverable),
                 Action::Cancel { id, attempt } => self.cancel_attempt(id, attempt),
                 Action::CloseIdleConnections(host) => self.host_connections.close_idle(host),
-                // The host list is always watched, and this relay has nothing to probe and no peers to write to.
+                // Not needed here: the host list is always watched, and the relay neither probes hosts nor has peers.
                 Action::Subscribe(_)
                 | Action::PollDiscovery
                 | Action::Probe(_)
--- a/crates/relay/src/event_loop/admission.rs
+++ b/crates/relay/src/event_loop/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of messages: checks a client's request, and accepts it once the policy has queued the message and the
+//! Admission of messages: checks a client's request, and accepts the message once the policy has queued it and the
 //! journal has it on disk.
 
 use std::io;
@@ -14,12 +14,12 @@
 use crate::in_flight::MessageName;
 use crate::journal::AcceptedMessage;
 
-/// A message that never reaches the policy is deferred for the longest Retry-After of the settings, divided by this.
+/// The Retry-After of a message that never reaches the policy is the maximum of the settings, divided by this.
 const RETRY_AFTER_DIVISOR: u64 = 2;
 
 impl<R: Runtime> EventLoop<R> {
-    /// Checks a message that a client submits. A message that passes is handed to the policy with the next round,
-    /// any other is answered at once.
+    /// Checks a message that a client submits. A message that passes is given to the policy in the next round; any
+    /// other is answered at once.
     pub(super) fn enqueue(&mut self, request: EnqueueRequest) {
         let EnqueueRequest {
             name,
@@ -85,8 +85,8 @@
         drop(reply.send(rejection));
     }
 
-    /// Checks that this relay knows the class and the destination of a message, and that a class with idempotency
-    /// keys has one.
+    /// Checks that the class and the destination of a message are known, and that the message has an idempotency key
+    /// if its class needs one.
     ///
     /// # Errors
     /// The reply for the client.
@@ -100,10 +100,13 @@
             return error("the list lacks k");
         }
         if self.host_directory.is_empty() {
-            // Before the first host list, an unknown destination says nothing about the message.
+            // Before the first host list no destination is known, so the message may still be valid.
             return Err(Reply::Busy(self.default_retry_after_ms()));
         }
-        if !self.host_directory.knows_destination(message.destination) {
+        if !self
+            .host_directory
+            .is_known_destination(message.destination)
+        {
             return error("unknown destination");
         }
         Ok(())
@@ -114,14 +117,15 @@
         self.config.settings.max_retry_after / (RETRY_AFTER_DIVISOR * MICROS_PER_MS)
     }
 
-    /// Accepts the messages that the policy has queued: each is on disk before its client is answered.
+    /// Accepts the messages that the policy has queued. Each is on disk before its client is answered.
     pub(super) fn accept_arriving(&mut self) {
         for (id, (message, replies)) in self.in_flight.take_arriving() {
             self.accept(id, message, replies);
         }
     }
 
-    /// Writes a message to the journal, whose deadline the next process can only read with the clock's anchor.
+    /// Writes a message to the journal. The clock's anchor is written first, as the next process needs it to interpret
+    /// the deadline.
     fn record_accepted(&mut self, id: MessageId, message: AcceptedMessage) -> io::Result<()> {
         if !self.clock_anchor.ensure_written(&self.runtime, &self.clock) {
             return Err(io::Error::new(
@@ -157,7 +161,7 @@
             self.tenants.message_accepted(&tenant);
             return;
         }
-        // No client knows that the message was accepted, so the relay is not bound to deliver it.
+        // No client was told that the message is accepted, so the relay does not have to deliver it.
         let removed = self.journal.borrow_mut().remove_message(id);
         log_write_error(&self.runtime, removed);
         self.in_flight.remove(&name);
@@ -169,7 +173,7 @@
     }
 }
 
-/// The message as the policy sees it; none if its class has no number.
+/// Converts a message for the policy; `None` if its class has no number.
 pub(super) fn policy_message(
     id: MessageId,
     message: &AcceptedMessage,
--- a/crates/relay/src/event_loop/attempt_recorder.rs
+++ b/crates/relay/src/event_loop/attempt_recorder.rs
@@ -15,12 +15,12 @@
 /// Records the start of one attempt.
 pub(super) struct JournalAttemptRecorder<R: Runtime> {
     pub(super) runtime: R,
-    /// Gone once another process has the state directory.
+    /// Dropped once another process owns the state directory.
     pub(super) journal: Weak<RefCell<Journal<R>>>,
     pub(super) id: MessageId,
     pub(super) number: u8,
     pub(super) attempt: Attempt,
-    /// Name of the attempt's host, where the journal keeps it for undeliverable messages.
+    /// Name of the attempt's host, recorded for undeliverable messages; `None` if these are not stored.
     pub(super) host: Option<String>,
 }
 
@@ -54,7 +54,7 @@
         let retracted = journal
             .borrow_mut()
             .retract_attempt(self.id, self.number, self.attempt);
-        // What could not be written still counts in this process, which writes it later.
+        // If the write fails, the retraction still takes effect in this process, which writes it later.
         log_write_error(&self.runtime, retracted);
         Ok(())
     }
--- a/crates/relay/src/event_loop/attempts.rs
+++ b/crates/relay/src/event_loop/attempts.rs
@@ -21,7 +21,7 @@
 use crate::state_directory::RunningCall;
 use crate::undeliverable_service;
 
-/// Whether the policy may expect more attempts of a message after one that could not be started.
+/// Whether a message is still to be delivered after an attempt that was not sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MessageState {
     Pending,
@@ -68,7 +68,7 @@
         self.spawn_call(call);
     }
 
-    /// What records the start of an attempt.
+    /// Returns the recorder for the start of an attempt.
     fn attempt_start(
         &self,
         id: MessageId,
@@ -91,8 +91,8 @@
         }))
     }
 
-    /// The host's entry in the list, if it may be called now. The policy learns of changes to the list only with its
-    /// next round, so its choice may be out of date.
+    /// Returns the host's entry in the list, if the host may be called now. The policy receives changes to the list only
+    /// in its next round, so the host that it chose may be out of date.
     fn callable_host(&self, host: HostId) -> Option<ListedHost> {
         let listed = self.host_directory.find(host)?;
         let now = self.runtime.now();
@@ -102,8 +102,8 @@
             .then_some(listed)
     }
 
-    /// When a repeated call has to be on its way at the latest: hosts keep an idempotency key only for a window
-    /// after the first attempt that may have been executed. None if there is no such attempt or no such window.
+    /// The latest time at which a repeated call may begin: hosts keep an idempotency key only for a window after the
+    /// first attempt that may have been executed. `None` if there is no such attempt or no such window.
     fn idempotency_deadline(&self, pending: &PendingMessage) -> Option<Instant> {
         let first_executed = pending
             .attempts
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Reports to the policy that nothing was sent.
+    /// Reports to the policy that an attempt was not sent.
     fn attempt_not_sent(
         &mut self,
         id: MessageId,
@@ -152,8 +152,8 @@
         });
     }
 
-    /// Ends an open call early. The call ends when its channel is dropped; a call of the departing process has no
-    /// channel here and is not ended early.
+    /// Cancels an open call by dropping its channel. A call of the departing process has no channel here and is not
+    /// cancelled.
     pub(super) fn cancel_attempt(&mut self, id: MessageId, attempt: u8) {
         let open_call = self.open_calls.get_mut(&id);
         if let Some(open_call) = open_call.filter(|open_call| open_call.attempt == attempt) {
@@ -219,7 +219,7 @@
     }
 
     /// Reports an outcome to the undeliverable service. Returns false if the service has to record the end of a
-    /// resend and cannot do so yet; the journal must then keep the message.
+    /// resend but cannot do so yet; the journal must then keep the message.
     fn report_outcome_to_service(
         &mut self,
         call: &CompletedCall,
@@ -244,7 +244,8 @@
         true
     }
 
-    /// Writes the name of an attempt's host to the journal, for the record of the message should it fail.
+    /// Writes the name of an attempt's host to the journal. The undeliverable record of the message includes it if the
+    /// message fails.
     fn record_host(&mut self, id: MessageId, attempt: u8, host: HostId, outcome: Outcome) {
         let name = self.host_directory.name_of(host).unwrap_or_default();
         let recorded = self
@@ -254,7 +255,7 @@
         log_write_error(&self.runtime, recorded);
     }
 
-    /// The values of a load report; empty if there is none that can be used.
+    /// The values of a load report; empty if there is no valid report.
     fn read_load_report(&self, text: Option<&str>) -> Vec<f32> {
         let names = self.config.report.iter();
         let fields = names.zip(&self.config.settings.report_fields);
--- a/crates/relay/src/event_loop/completion.rs
+++ b/crates/relay/src/event_loop/completion.rs
@@ -13,8 +13,8 @@
 use crate::undeliverable_service::FailedMessage;
 
 impl<R: Runtime> EventLoop<R> {
-    /// A message's last attempt has ended: counts the end, unless its failure was counted before, and remembers the
-    /// name so that a duplicate is recognised.
+    /// Handles the end of a message's last attempt: counts the end of the message, unless its failure was counted
+    /// before, and remembers the name so that duplicates are recognized.
     pub(super) fn complete_message(&mut self, id: MessageId, outcome: AttemptOutcome) {
         let journal = self.journal.borrow();
         let Some(pending) = journal.pending().get(&id) else {
@@ -38,8 +38,8 @@
         self.in_flight.complete(self.runtime.now(), name);
     }
 
-    /// The policy has failed an accepted message. A message is notified to the platform; a resend is not, as its one
-    /// final answer was given when the message failed first.
+    /// Ends an accepted message that the policy has failed, and notifies the platform. The failure of a resend is not
+    /// notified: the platform gets one final answer for a message, and got it when the message first failed.
     pub(super) fn fail_message(&mut self, id: MessageId, failure: DeliveryFailure) {
         let pending = self.journal.borrow().pending().get(&id).cloned();
         let Some(pending) = pending else {
@@ -94,7 +94,7 @@
         service.resend_failed(id, &failed, failure)
     }
 
-    /// Hands an undeliverable message to the store, if there is one.
+    /// Records an undeliverable message in the store, if there is one.
     pub(super) fn record_undeliverable(&mut self, pending: &PendingMessage) {
         let now = self.clock.now();
         let max_attempts = self.config.settings.max_attempts;
@@ -111,7 +111,8 @@
         }
     }
 
-    /// The class of a message: as it was when the message was accepted, where the journal says so, or as it is now.
+    /// The class of a message as it was when the message was accepted. If the journal does not hold that definition, the
+    /// one in force.
     pub(super) fn class_of(&self, pending: &PendingMessage) -> Option<Class> {
         if let Some(version) = &pending.class_version {
             return Some((*version.class).clone());
@@ -119,9 +120,9 @@
         self.classes.class_by_name(&pending.accepted.class).cloned()
     }
 
-    /// The platform has accepted the notifications of these messages, which ends all work on them.
+    /// Ends all work on messages whose notifications the platform has accepted.
     pub(super) fn notifications_accepted(&mut self, ids: Vec<MessageId>) {
-        // The store has to have an undeliverable message before the journal forgets it.
+        // An undeliverable message must be in the store before it is removed from the journal.
         if let Some(service) = &mut self.undeliverable {
             service.flush();
         }
--- a/crates/relay/src/event_loop/error.rs
+++ b/crates/relay/src/event_loop/error.rs
@@ -9,12 +9,12 @@
 use crate::operator_config::OperatorFileError;
 use crate::tenant_service::TenantsError;
 
-/// The policy found its own state inconsistent. The process has to end; the journal holds all that matters.
+/// The policy found its own state inconsistent. The process has to end; all accepted messages are in the journal.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct PolicyAborted(pub String);
 
-/// Why an event loop cannot start. Each message is one plain line.
+/// Why an event loop cannot start. Each message is a single line.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The configuration cannot be used.
@@ -28,15 +28,15 @@
     Journal {
         /// The state directory.
         folder: PathBuf,
-        /// The failure of the file system, or damage of the file.
+        /// The error of the file system, or the damage found in the file.
         source: io::Error,
     },
     /// The configured sockets do not suffice for the configured calls and one client.
-    #[error("{sockets} sockets do not do for {slots} slots")]
+    #[error("{sockets} sockets are too few for {slots} slots")]
     TooFewSockets {
         /// Sockets for clients and hosts.
         sockets: usize,
-        /// Calls at once.
+        /// Maximum number of concurrent calls.
         slots: usize,
     },
     /// The tenants' registry cannot be opened.
@@ -47,19 +47,19 @@
     Policy(#[from] PolicyAborted),
 }
 
-/// Why a new configuration is not put in force.
+/// Why a reloaded configuration is rejected.
 #[derive(Debug, Error)]
 pub(super) enum ReloadError {
     /// The file cannot be read or is not valid.
     #[error(transparent)]
     Configuration(#[from] ConfigError),
-    /// A key of the configuration in force is missing: the file may be half written.
+    /// A key of the configuration in force is missing, so the file may be incomplete.
     #[error("the new one lacks {key}, so it may be half of a file")]
     MissingKey {
         /// Path of the key.
         key: String,
     },
-    /// Old and new classes together exceed the policy's numbers.
+    /// The old and new classes together exceed the maximum number of classes.
     #[error("too many classes are in use at once")]
     TooManyClasses,
 }
--- a/crates/relay/src/event_loop/handover.rs
+++ b/crates/relay/src/event_loop/handover.rs
@@ -10,7 +10,7 @@
 use crate::state_directory::{DepartingProcess, HandoverState, OpenCall};
 
 impl<R: Runtime> EventLoop<R> {
-    /// This process serves now, which voids the request by which it got the directory.
+    /// Withdraws the request by which this process got the directory; called once it serves.
     pub fn withdraw_handover_request(&mut self) {
         self.directory_owner.withdraw_request();
     }
@@ -24,7 +24,7 @@
         Some(due_at)
     }
 
-    /// Checks for a handover request, and for ends of the departing process' calls.
+    /// Checks for a hand-over request, and for ends of the departing process' calls.
     fn check_state_directory(&mut self) {
         let may_start_handover = matches!(
             self.control.state(),
@@ -39,10 +39,10 @@
         self.directory_owner.clean_up();
     }
 
-    /// Writes the state for the new owner and gives the state directory away.
+    /// Writes the state for the new owner and hands over the state directory.
     ///
     /// # Errors
-    /// If the state cannot be written. The directory then stays with this process.
+    /// If the state cannot be written. This process then keeps the directory.
     pub fn start_handover(&mut self) -> io::Result<DepartingProcess<R>> {
         let state = self.handover_state();
         let messages = self.in_flight.len();
@@ -57,19 +57,19 @@
         Ok(departing)
     }
 
-    /// Ends the loop after a hand-over. Its open calls go on in the departing process.
+    /// Ends the loop after a hand-over. Its open calls continue in the departing process.
     pub fn retire(mut self, departing: &mut DepartingProcess<R>) {
         self.host_connections.retire();
         self.control.metrics().record_handover();
-        // A call ends early when its channel is dropped, so the channels of the calls that a host may execute have to
-        // outlive this loop. The others can't begin any more without its journal; the new owner makes them.
+        // Dropping a call's channel cancels the call, so the channels of the calls that a host may execute have to
+        // outlive this loop. The other calls cannot begin without the loop's journal; the new owner makes them.
         let mut calls = std::mem::take(&mut self.open_calls);
         calls.retain(|id, call| self.journal.borrow().is_started(*id, call.attempt));
         departing.keep_calls(calls);
     }
 
-    /// The state for the new owner that is not in the journal. A call that has not begun is none of the open ones: the
-    /// new owner makes it.
+    /// The state for the new owner that is not in the journal. It lists only open calls that have begun; the new owner
+    /// makes the others.
     fn handover_state(&mut self) -> HandoverState {
         let journal = self.journal.borrow();
         let open_calls = self
--- a/crates/relay/src/event_loop/host_list.rs
+++ b/crates/relay/src/event_loop/host_list.rs
@@ -19,13 +19,13 @@
 }
 
 impl<R: Runtime> EventLoop<R> {
-    /// Discovery has sent a list or a change of it.
+    /// Handles a list, or a change to it, that discovery has sent.
     pub(super) fn host_list_received(&mut self, list: HostList) {
         self.apply_host_list(list, HostListSource::Discovery);
         self.discovery_contacted();
     }
 
-    /// Discovery is in contact, so the list in force is the latest.
+    /// Handles a contact with discovery, which shows that the list in force is the latest.
     pub(super) fn discovery_contacted(&mut self) {
         self.confirm_host_list();
         self.record_discovery_contact();
@@ -39,12 +39,12 @@
         }
     }
 
-    /// By when discovery has to confirm the list; none if nothing waits for that.
+    /// The time by which discovery has to confirm the list; `None` if nothing waits for the confirmation.
     pub fn confirmation_deadline(&self) -> Option<Instant> {
         self.membership.borrow().confirmation_deadline()
     }
 
-    /// Discovery has not answered in time: the cached list has to serve.
+    /// Lets calls start under the cached list, as discovery has not answered in time.
     pub fn use_unconfirmed_host_list(&mut self) {
         log!(
             self.runtime,
@@ -53,7 +53,7 @@
         self.confirm_host_list();
     }
 
-    /// Puts a list in force. Idle connections to hosts that may not be called any more are closed.
+    /// Puts a list in force, and closes idle connections to hosts that may not be called under it.
     pub(super) fn apply_host_list(&mut self, list: HostList, source: HostListSource) {
         let is_full = list.is_full;
         let names = Names {
--- a/crates/relay/src/event_loop/load_report.rs
+++ b/crates/relay/src/event_loop/load_report.rs
@@ -2,18 +2,18 @@
 
 use policy::types::ReportField;
 
-/// The largest share of an allowance that is believed; a little over 1 is possible while the allowance changes.
+/// The largest share of an allowance that is accepted; a little over 1 is possible while the allowance changes.
 const MAX_ALLOWANCE_SHARE: f32 = 2.0;
-/// The largest value of any other field that is believed.
+/// The largest accepted value of any other field.
 const MAX_VALUE: f32 = 1e6;
 
 #[cfg(test)]
 mod tests;
 
-/// Returns the values of a report in the order of `wanted`, or none if any is missing, not a number or out of range.
+/// Returns the values of a report in the order of `wanted`, or `None` if any is missing, not a number or out of range.
 ///
-/// A report is used completely or not at all: a missing value is not zero, and an absurd one would make the policy
-/// change how it treats a destination.
+/// A report is used completely or not at all: a missing value is not zero, and an implausible one would make the
+/// policy change how it treats a destination.
 pub(super) fn parse_load_report<'a>(
     wanted: impl Iterator<Item = (&'a String, &'a ReportField)>,
     text: &str,
--- a/crates/relay/src/event_loop/load_report/tests.rs
+++ b/crates/relay/src/event_loop/load_report/tests.rs
@@ -5,7 +5,7 @@
 use super::parse_load_report;
 
 #[test]
-fn incomplete_or_absurd_load_report_is_ignored() {
+fn incomplete_or_out_of_range_load_report_is_ignored() {
     let names = ["x0".to_string(), "x1".to_string()];
     let fields = [ReportField::AllowanceLeft, ReportField::LimitPerSecond];
     let parse = |text| parse_load_report(names.iter().zip(&fields), text);
--- a/crates/relay/src/event_loop/maintenance.rs
+++ b/crates/relay/src/event_loop/maintenance.rs
@@ -1,4 +1,4 @@
-//! Work that is due by time: tenants' maintenance, the undeliverable service and the host counts.
+//! Periodic work: the tenants' maintenance, the undeliverable service and the host counts.
 
 use std::time::Instant;
 
@@ -9,12 +9,13 @@
 use crate::undeliverable_service::UndeliverableService;
 
 impl<R: Runtime> EventLoop<R> {
-    /// Runs a step of the tenants' maintenance, unless the disk is full. Returns whether more is to be done soon.
+    /// Runs a step of the tenants' maintenance, unless the disk is full. Returns whether another step is due soon.
     pub fn run_tenant_maintenance(&mut self) -> bool {
-        self.journal.borrow().has_spare() && self.tenants.run_maintenance(&mut self.pending_events)
+        self.journal.borrow().has_reserve()
+            && self.tenants.run_maintenance(&mut self.pending_events)
     }
 
-    /// When the undeliverable service is to run next; none if there is no such service.
+    /// When the undeliverable service is to run next; `None` if there is no such service.
     pub fn next_undeliverable_run_at(&self) -> Option<Instant> {
         self.undeliverable
             .as_ref()
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -1,8 +1,8 @@
-//! The event loop: joins the sockets, the journal and the delivery policy.
+//! The event loop: connects the sockets, the journal and the delivery policy.
 //!
 //! Events from the sockets are collected and passed to [`DeliveryPolicy`] in rounds; the actions it returns are
 //! carried out here. The loop owns the policy, its clock and its timer, and makes no decision about a message.
-//! The policy knows hosts and messages by number only: `host_directory` and `in_flight` map the numbers to the
+//! The policy identifies hosts and messages by number only: `host_directory` and `in_flight` map the numbers to the
 //! names on the wire.
 
 mod actions;
@@ -63,39 +63,39 @@
 /// Microseconds in a millisecond: the policy counts in the former, the wire in the latter.
 const MICROS_PER_MS: Micros = 1000;
 
-/// The shortest span between two rounds, in microseconds, whatever the settings say.
+/// Minimum time between two rounds, in microseconds. A shorter tick in the settings is raised to it.
 const MIN_TICK: Micros = 1000;
 
-/// How far off the next round is while no event and no timer is pending.
+/// Delay of the next round while no event and no timer is pending.
 const IDLE_ROUND_DELAY: Duration = Duration::from_secs(3600);
 
 /// The policy's timer; there is at most one.
 struct Timer {
     /// When it fires, in Unix time.
     at: Micros,
-    /// The policy's name for it.
+    /// Returned to the policy when the timer fires.
     token: u64,
 }
 
-/// Joins the sockets, the journal and the policy.
+/// Connects the sockets, the journal and the policy; see the module documentation.
 pub struct EventLoop<R: Runtime> {
     runtime: R,
     config: Config,
     policy: DeliveryPolicy,
     clock: Clock<R>,
-    /// Joins the moments that are stored to those of the next process.
+    /// Lets the next process interpret the times that this one stores.
     clock_anchor: AnchorFile,
     /// Shared with the calls, which record their starts.
     journal: Rc<RefCell<Journal<R>>>,
-    /// When what the journal lacks may be written.
+    /// Earliest time of the next try to write the records that the journal lacks.
     missing_records_due_at: Instant,
     tenants: Tenants<R>,
     /// Path of the operator file.
     operator_file: Option<PathBuf>,
-    /// Tokens that open the administration API.
+    /// Tokens that authenticate requests to the administration API.
     admin_tokens: watch::Sender<Tokens>,
     host_connections: Rc<HostConnections<R>>,
-    /// Whether the host list is confirmed, and which hosts may be called.
+    /// Tracks whether the host list is confirmed, and which hosts may be called.
     membership: Rc<RefCell<HostMembership>>,
     notifications: Rc<Notifications>,
     relay_events: mpsc::Sender<RelayEvent>,
@@ -107,19 +107,19 @@
     /// Calls to hosts that have not ended.
     open_calls: RunningCalls,
     host_directory: HostDirectory,
-    /// The policy's numbers of classes.
+    /// Classes by the policy's numbers.
     classes: Classes,
     /// The host list and the outages as they were last written to disk.
     cached_state: CachedState,
     /// Disk space that the state directory may take, in bytes.
     disk_limit: u64,
-    /// Address of discovery, watched by its clients.
+    /// Address of discovery. The discovery clients watch it for changes.
     discovery_address: watch::Sender<SocketAddr>,
     directory_owner: DirectoryOwner<R>,
     /// Lifecycle and metrics of the process.
     control: Rc<Control<R>>,
     call_log: CallLog<R>,
-    /// Store of undeliverable messages, where the operator file sets one up.
+    /// Store of undeliverable messages; `None` if the operator file configures none.
     undeliverable: Option<UndeliverableService<R>>,
 }
 
@@ -181,7 +181,7 @@
         self.admin_tokens.subscribe()
     }
 
-    /// Starts the graceful shutdown. The policy learns by when the last call has to end.
+    /// Starts the graceful shutdown, and passes the policy the time by which the last call has to end.
     pub fn begin_shutdown(&mut self) {
         if !self.control.handle_event(LifecycleEvent::Stop) {
             return;
@@ -251,7 +251,7 @@
 
     fn answer_tenant_call(&mut self, call: TenantCall) {
         let scheduler = self.policy.scheduler();
-        let disk_space = if self.journal.borrow_mut().restore_spare() {
+        let disk_space = if self.journal.borrow_mut().ensure_reserve() {
             DiskSpace::Available
         } else {
             DiskSpace::ReserveOnly
@@ -262,7 +262,7 @@
             &mut self.pending_events,
             disk_space,
         );
-        // The caller may have gone away.
+        // The caller may have stopped waiting.
         drop(call.reply.send(response));
     }
 
--- a/crates/relay/src/event_loop/persistence.rs
+++ b/crates/relay/src/event_loop/persistence.rs
@@ -1,5 +1,5 @@
-//! Writes what has to outlast the process: journal records, the cached host list and the time of the last contact
-//! with discovery. A failed write is logged; the relay goes on.
+//! Writes the state that has to outlast the process: journal records, the cached host list and the time of the last
+//! contact with discovery. A failed write is logged, and the relay continues.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use super::EventLoop;
 use crate::cached_state::{self, CachedState};
 
-/// How long after a failed write of what the journal lacks the next one is tried.
+/// Minimum time between two tries to write the records that the journal lacks.
 const MISSING_RECORDS_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Logs a failed write to the journal.
@@ -21,7 +21,7 @@
 }
 
 impl<R: Runtime> EventLoop<R> {
-    /// Removes a message from the journal: nothing more has to be done for it.
+    /// Removes a message from the journal, as it needs no further work.
     pub(super) fn release_message(&mut self, id: MessageId) {
         let mut journal = self.journal.borrow_mut();
         if let Some(pending) = journal.pending().get(&id) {
@@ -30,7 +30,7 @@
         log_write_error(&self.runtime, journal.remove_message(id));
     }
 
-    /// Writes what the journal lacks because the disk failed. Returns when to try again, if that is needed.
+    /// Writes the records that the journal lacks because earlier writes failed. Returns when to try again, if needed.
     pub fn write_missing_records_if_due(&mut self, now: Instant) -> Option<Instant> {
         let mut journal = self.journal.borrow_mut();
         if !journal.lacks_records() {
@@ -45,7 +45,8 @@
             .then_some(self.missing_records_due_at)
     }
 
-    /// Writes the definitions of the classes in force to the journal, for messages that outlast them.
+    /// Writes the definitions of the classes in force to the journal. A message keeps the definition under which it was
+    /// accepted, even if the class is changed or removed later.
     pub(super) fn declare_classes(&mut self) {
         log_write_error(
             &self.runtime,
@@ -58,7 +59,7 @@
     /// Saves the host list and the outages if either has changed.
     pub(super) fn save_cached_state(&mut self) {
         let outages: Vec<Outage> = self.policy.outages().collect();
-        if !self.host_directory.has_changed() && self.cached_state.outages == outages {
+        if !self.host_directory.take_changed() && self.cached_state.outages == outages {
             return;
         }
         self.cached_state = CachedState {
@@ -73,8 +74,8 @@
         }
     }
 
-    /// Records when discovery was last in contact. Where lists are pushed there is nothing to record: discovery
-    /// counts what its agent has received as known to the next process.
+    /// Records the time of the last contact with discovery. Where lists are pushed, no record is needed: discovery
+    /// assumes that the next process has what its agent has received.
     pub(super) fn record_discovery_contact(&self) {
         if !self.config.settings.polls_discovery {
             return;
--- a/crates/relay/src/event_loop/reload.rs
+++ b/crates/relay/src/event_loop/reload.rs
@@ -12,10 +12,10 @@
 use crate::operator_config;
 
 impl<R: Runtime> EventLoop<R> {
-    /// Reads the configuration and the operator file again. A configuration that cannot be used changes nothing.
+    /// Reads the configuration and the operator file again. An invalid configuration changes nothing.
     ///
     /// # Errors
-    /// [`PolicyAborted`] from the round that comes first.
+    /// [`PolicyAborted`] from the round that runs before the files are read.
     pub fn reload(&mut self) -> Result<(), PolicyAborted> {
         // Messages that the policy has decided on are accepted under the settings of that decision.
         self.run_round()?;
@@ -50,7 +50,7 @@
         Ok(())
     }
 
-    /// Adopts the new classes. Classes of messages in the journal keep their numbers.
+    /// Puts the new classes in force. Classes of messages in the journal keep their numbers.
     fn update_classes(&mut self, config: &Config) -> Result<(), ReloadError> {
         let in_use: BTreeSet<u16> = self
             .journal
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Passes the configuration in force to those who keep a copy of parts of it.
+    /// Passes the configuration in force to the components that keep a copy of parts of it.
     fn publish_configuration(&mut self) {
         let discovery = self.config.discovery;
         log!(
--- a/crates/relay/src/event_loop/restore.rs
+++ b/crates/relay/src/event_loop/restore.rs
@@ -1,5 +1,5 @@
-//! Restores the state of the process before: what the journal and the cache hold, and after an upgrade what the
-//! departing process has left beside them.
+//! Restores the state of the previous process: from the journal and the cache and, after an upgrade, from the hand-over
+//! state that the departing process has written.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 use crate::journal::{Attempt, PendingMessage, ResendOrigin};
 use crate::state_directory::{HandoverState, OpenCall};
 
-/// The parts of the handover state that are restored after the host list.
+/// The parts of the hand-over state that are restored after the host list.
 #[derive(Default)]
 struct DeferredHandover {
     /// Calls that are open at the departing process.
@@ -24,17 +24,17 @@
     policy: Option<HandoverSnapshot>,
 }
 
-/// What remains to be done for a message after the undeliverable service has seen it.
+/// What remains to be done for a message after the undeliverable store is up to date.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Remaining {
     /// Nothing: the message was a resend that has ended.
     Nothing,
-    /// The message is to be notified or delivered.
+    /// The message has to be delivered, or its failure notified.
     Restore,
 }
 
 impl<R: Runtime> EventLoop<R> {
-    /// Restores everything, and runs the rounds in which the policy learns of it.
+    /// Restores all state, and runs the rounds that pass it to the policy.
     ///
     /// # Errors
     /// [`PolicyAborted`] from one of these rounds.
@@ -45,7 +45,7 @@
         self.restore_host_list();
         self.restore_outages();
         if let Some(snapshot) = deferred.policy {
-            // The snapshot is about routes, which come into being with the host list.
+            // The snapshot describes routes, which the policy creates when it handles the host list.
             self.run_round()?;
             self.policy.restore_handover(snapshot);
         }
@@ -59,12 +59,12 @@
         Ok(())
     }
 
-    /// Restores what does not depend on the host list, and returns the rest.
+    /// Restores the parts that do not depend on the host list, and returns the others.
     fn restore_handover(&mut self, state: HandoverState) -> DeferredHandover {
         self.host_directory.adopt_numbers(state.host_numbers);
         self.in_flight
             .restore_completed(self.runtime.now(), state.completed);
-        // A drain outlasts an upgrade, but not a crash.
+        // A drain persists over an upgrade, but not over a crash.
         let is_drained = state.is_drained && self.directory_owner.took_over();
         self.control.restore_drained(is_drained);
         let open_calls = state
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Restores the newer one of the configured and the cached host list. The configuration may be older than what
-    /// the last process received, and discovery may be silent, so the cached list keeps draining hosts from getting
+    /// Restores the newer of the configured and the cached host list. The configuration may be older than the list that
+    /// the last process received, and discovery may not answer. Without the cached list, draining hosts could then get
     /// calls.
     fn restore_host_list(&mut self) {
         let mut known = std::mem::take(&mut self.config.known);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The message as the policy sees it; none if its class or its tenant is unknown by now.
+    /// Converts a restored message for the policy; `None` if its class or its tenant is unknown by now.
     fn restored_policy_message(
         &mut self,
         id: MessageId,
@@ -163,7 +163,8 @@
         policy_message(id, accepted, tenant?, class)
     }
 
-    /// Passes a message to the policy with its past attempts; as an adopted one if it comes from the departing process.
+    /// Passes a message to the policy with its past attempts. The message counts as adopted if it was handed over by a
+    /// running process or its call is still open.
     fn pass_to_policy(
         &mut self,
         message: Message,
@@ -219,7 +220,7 @@
             return self.restore_resend(id, pending, origin);
         }
         if pending.failure == Some(DeliveryFailure::Undeliverable) {
-            // The process may have ended before the store had it.
+            // The previous process may have ended before the record reached the store.
             self.record_undeliverable(pending);
         }
         Remaining::Restore
@@ -234,7 +235,7 @@
         let now = self.clock.now();
         let name = &pending.accepted.name;
         let Some(service) = &mut self.undeliverable else {
-            // Without a store there is nothing to record the end of a resend in.
+            // Without a store the end of a resend cannot be recorded.
             self.release_message(id);
             return Remaining::Nothing;
         };
@@ -253,7 +254,8 @@
         Remaining::Nothing
     }
 
-    /// Some messages may be of classes that the settings do not define any more: the policy needs these first.
+    /// Passes the policy the definitions of classes that only pending messages still have, before the messages
+    /// themselves.
     fn restore_class_definitions(&mut self) {
         if self.classes.definitions().len() > self.config.settings.classes.len() {
             let event = self.settings_changed();
--- a/crates/relay/src/event_loop/startup.rs
+++ b/crates/relay/src/event_loop/startup.rs
@@ -1,4 +1,4 @@
-//! Opens an event loop on what the state directory holds.
+//! Opens an event loop and restores its state from the state directory.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
 use crate::tenant_service::Tenants;
 use crate::undeliverable_service::{self, UndeliverableService};
 
-/// Descriptors that are neither a client's nor a host's connection: discovery, the journal, the runtime's own.
+/// Descriptors that are not connections of clients or hosts: those of discovery, the journal and the async runtime.
 const OTHER_SOCKETS: usize = 24;
 /// Descriptors of the administration API beside its connections: the listener, the registry's files, the audit log.
 const ADMIN_SOCKETS: usize = 8;
@@ -38,15 +38,15 @@
 
 /// What an event loop shares with its process.
 pub struct LoopResources<'a, R: Runtime> {
-    /// The system.
+    /// Access to the operating system.
     pub runtime: &'a R,
-    /// Path of the operator file.
+    /// Path of the operator file; `None` if the process was started without one.
     pub operator_file: Option<&'a PathBuf>,
-    /// The process' clock.
+    /// The relay's clock.
     pub clock: &'a Clock<R>,
-    /// Lifecycle and metrics.
+    /// Lifecycle and metrics of the process.
     pub control: &'a Rc<Control<R>>,
-    /// Where the front ends' events go.
+    /// Channel on which the sockets send their events to the loop.
     pub relay_events: &'a mpsc::Sender<RelayEvent>,
     /// Whether another process may run beside this one in an upgrade.
     pub may_overlap: bool,
@@ -54,24 +54,24 @@
 
 /// An event loop that has restored its state.
 pub struct OpenedLoop<R: Runtime> {
-    /// The loop.
+    /// The loop, ready to run rounds.
     pub event_loop: EventLoop<R>,
     /// The address of discovery, which a reload may change.
     pub discovery_address: watch::Receiver<SocketAddr>,
-    /// Connections of clients at once.
+    /// Maximum number of concurrent client connections.
     pub max_clients: usize,
 }
 
 /// How the sockets of the settings are divided.
 struct SocketBudget {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     max_clients: usize,
-    /// Idle connections to hosts.
+    /// Maximum number of idle connections to hosts.
     max_idle: usize,
 }
 
 impl SocketBudget {
-    /// Half of the sockets are for clients. Of the other half, calls come before idle connections.
+    /// Allots half of the sockets to clients. In the other half, calls have priority over idle connections.
     fn new(config: &Config, operator: &Operator, may_overlap: bool) -> Result<Self, StartupError> {
         let max_calls = config.settings.max_calls;
         let admin = operator
@@ -103,7 +103,7 @@
 }
 
 impl<R: Runtime> EventLoop<R> {
-    /// Opens the state directory's files and restores what they hold.
+    /// Opens the files of the state directory and restores the state from them.
     ///
     /// # Errors
     /// If the configuration, the operator file, the journal or the registry cannot be used, if the sockets do not
@@ -166,7 +166,7 @@
         })
     }
 
-    /// Restores the state. The clock's anchor is written before any moment that is counted by that clock.
+    /// Restores the state. The clock's anchor is written before any time of that clock is stored.
     fn start(&mut self, handover: Option<HandoverState>) -> Result<(), PolicyAborted> {
         self.clock_anchor.ensure_written(&self.runtime, &self.clock);
         self.call_log.start(self.clock.now(), &self.config.settings);
@@ -206,7 +206,8 @@
     .map_err(StartupError::Tenants)
 }
 
-/// The state of the host list. When discovery was last in contact decides whether the list is confirmed at once.
+/// Creates the state of the host list. The time since the last contact with discovery decides whether the list counts as
+/// confirmed at once.
 fn open_membership<R: Runtime>(
     resources: &LoopResources<'_, R>,
     config: &Config,
@@ -247,7 +248,7 @@
     ))
 }
 
-/// The undeliverable service, if the operator file sets one up.
+/// Opens the undeliverable service, if the operator file configures one.
 fn open_undeliverable_service<R: Runtime>(
     resources: &LoopResources<'_, R>,
     settings: Option<undeliverable_service::Settings>,
--- a/crates/relay/src/event_loop/table_levels.rs
+++ b/crates/relay/src/event_loop/table_levels.rs
@@ -1,4 +1,4 @@
-//! How full the tables of the relay are, for the call log.
+//! Fill levels of the relay's tables, for the call log.
 
 use policy::types::Micros;
 use runtime::Runtime;
@@ -8,7 +8,8 @@
 use crate::classes;
 use crate::in_flight::MAX_COMPLETED_NAMES;
 
-/// The policy drops idle ordering keys once there are more of them than this many times the queued messages.
+/// Capacity of the ordering keys, as a multiple of the maximum of queued messages. The policy drops idle keys once there
+/// are more than twice the queued messages plus that maximum.
 const ORDERING_KEYS_PER_QUEUED_MESSAGE: usize = 3;
 
 impl<R: Runtime> EventLoop<R> {
--- a/crates/relay/src/event_loop/undeliverable_messages.rs
+++ b/crates/relay/src/event_loop/undeliverable_messages.rs
@@ -1,4 +1,4 @@
-//! Joins the undeliverable service to the loop: its requests, its periodic run and its resends.
+//! Connects the undeliverable service to the loop: its requests, its periodic run and its resends.
 
 use policy::types::{Event, MessageId, Micros, PastAttempt, TenantId};
 use relay_events::undeliverable::{UndeliverableCall, UndeliverableEvent, UndeliverableResponse};
@@ -19,7 +19,7 @@
 }
 
 impl<R: Runtime> EventLoop<R> {
-    /// Runs what is due in the undeliverable service, and starts the resends that it asks for.
+    /// Runs the work that is due in the undeliverable service, and starts the resends that it returns.
     pub fn run_undeliverable_service(&mut self) {
         let now = self.clock.now();
         let load = self.current_load();
@@ -69,11 +69,11 @@
                 response = UndeliverableResponse::Refused(RecordError::NotAccepted);
             }
         }
-        // The caller may have gone away.
+        // The caller may have stopped waiting.
         drop(call.reply.send(response));
     }
 
-    /// How busy the relay is; resends leave capacity for other messages.
+    /// The load of the relay. Resends are limited by it, so that capacity remains for other messages.
     fn current_load(&self) -> RelayLoad {
         let settings = &self.config.settings;
         RelayLoad {
@@ -141,8 +141,8 @@
             .map_or(0, |class| class.time_to_live)
     }
 
-    /// The tenant's number for a resend. None if a message of this name is in flight, which is another one, or if the
-    /// tenant is unknown.
+    /// The tenant's number for a resend. `None` if another message of the same name is in flight, or if the tenant is
+    /// unknown.
     fn resend_tenant(&mut self, message: &AcceptedMessage) -> Option<TenantId> {
         if self.in_flight.contains(&MessageName::of_message(message)) {
             return None;
--- a/crates/relay/src/host_directory.rs
+++ b/crates/relay/src/host_directory.rs
@@ -7,30 +7,30 @@
 use policy::RouteKey;
 use relay_events::{HostList, HostListEntry};
 
-/// A host that is in the list.
+/// The data of a listed host that a call needs.
 #[derive(Clone, Copy)]
 pub struct ListedHost {
-    /// Where it accepts connections.
+    /// Address at which the host accepts connections.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Index of the host's zone in the configuration.
     pub zone: u8,
     /// The route whose calls share a Retry-After.
     pub route: RouteKey,
 }
 
-/// The configured names to which entries of the list refer, by index.
+/// The configured names and settings to which entries of the list refer. An index into them is the policy's number.
 pub struct Names<'a> {
-    /// Zones.
+    /// Names of zones.
     pub zones: &'a [String],
-    /// Kinds of destination.
+    /// Names of the kinds of destination.
     pub kinds: &'a [String],
-    /// Settings of the kinds, by index.
+    /// Settings of the kinds, in the order of `kinds`.
     pub settings: &'a [DestinationKind],
 }
 
-/// What a list changes.
+/// The effect of applying a list.
 pub struct Changes {
-    /// The entries for the policy.
+    /// The entries of the list, converted for the policy.
     pub entries: Vec<HostEntry>,
     /// Whether each host is ready, in the order of the list; false if it is draining or removed.
     pub ready: Vec<(HostId, bool)>,
@@ -40,14 +40,16 @@
 #[derive(Default)]
 pub struct HostDirectory {
     numbers: BTreeMap<String, HostId>,
-    /// Names by number.
+    /// Names by number, the inverse of `numbers`.
     names: BTreeMap<HostId, String>,
     listed: BTreeMap<HostId, ListedHost>,
     destinations: BTreeSet<DestinationId>,
-    next: HostId,
-    lines: BTreeMap<String, HostListEntry>,
+    /// The highest number that was assigned.
+    last_number: HostId,
+    /// The entries in force, by the host's name.
+    entries: BTreeMap<String, HostListEntry>,
     version: u64,
-    /// Whether a list was applied since the last call of `has_changed`.
+    /// Whether a list was applied since the last call of `take_changed`.
     changed: bool,
 }
 
@@ -60,14 +62,14 @@
 }
 
 impl HostDirectory {
-    /// The version of the list.
+    /// The version of the list in force.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether a list was applied since the last call. The version does not show this, as a list may change hosts under
-    /// the same version.
-    pub fn has_changed(&mut self) -> bool {
+    /// Whether a list was applied since the last call. The version does not show this, as a list may change hosts without
+    /// a new version.
+    pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
@@ -79,32 +81,32 @@
             .collect()
     }
 
-    /// Adopts the numbers that another process assigned; new hosts get others.
+    /// Adopts the numbers that another process assigned. New hosts get higher numbers.
     pub fn adopt_numbers(&mut self, numbers: Vec<(String, HostId)>) {
-        self.next = numbers
+        self.last_number = numbers
             .iter()
             .map(|(_, number)| *number)
-            .fold(self.next, HostId::max);
+            .fold(self.last_number, HostId::max);
         self.names
             .extend(numbers.iter().map(|(name, number)| (*number, name.clone())));
         self.numbers.extend(numbers);
     }
 
-    /// The number of hosts in the list.
+    /// The count of hosts in the list.
     pub fn count(&self) -> usize {
-        self.lines.len()
+        self.entries.len()
     }
 
-    /// The full list.
+    /// The list in force as a full snapshot.
     pub fn full_list(&self) -> HostList {
         HostList {
             version: self.version,
             is_full: true,
-            hosts: self.lines.values().cloned().collect(),
+            hosts: self.entries.values().cloned().collect(),
         }
     }
 
-    /// A host that is listed.
+    /// The listed host with a number; `None` if it is not in the list.
     pub fn find(&self, host: HostId) -> Option<ListedHost> {
         self.listed.get(&host).copied()
     }
@@ -119,12 +121,12 @@
         self.destinations.is_empty()
     }
 
-    /// Whether a destination is known, listed or not.
-    pub fn knows_destination(&self, destination: DestinationId) -> bool {
+    /// Whether a destination is known, even if no host in the list belongs to it.
+    pub fn is_known_destination(&self, destination: DestinationId) -> bool {
         self.destinations.contains(&destination)
     }
 
-    /// Adds destinations that are known though the list may not name them any more.
+    /// Adds destinations that count as known even if the list does not name them.
     pub fn add_destinations(&mut self, destinations: impl Iterator<Item = DestinationId>) {
         self.destinations.extend(destinations);
     }
@@ -136,48 +138,50 @@
         let mut removed = BTreeMap::new();
         if list.is_full {
             // A host that a full snapshot does not name was removed.
-            self.lines.clear();
+            self.entries.clear();
             removed = self.numbers.clone();
         }
         let mut changes = Changes {
             entries: Vec::new(),
             ready: Vec::new(),
         };
-        for line in list.hosts {
-            removed.remove(&line.name);
-            let is_removed = line.state == HostState::Removed;
-            let entry = self.apply_entry(&line, names);
-            let host = entry.host;
-            changes.ready.push((host, entry.state == HostState::Ready));
-            changes.entries.push(entry);
+        for entry in list.hosts {
+            removed.remove(&entry.name);
+            let is_removed = entry.state == HostState::Removed;
+            let policy_entry = self.apply_entry(&entry, names);
+            let host = policy_entry.host;
+            changes
+                .ready
+                .push((host, policy_entry.state == HostState::Ready));
+            changes.entries.push(policy_entry);
             if is_removed {
-                removed.insert(line.name, host);
+                removed.insert(entry.name, host);
             }
         }
         for (name, host) in removed {
-            self.forget(&name, host);
+            self.remove_host(&name, host);
             changes.ready.push((host, false));
         }
         changes
     }
 
-    /// Applies one entry of a list and returns it in the policy's terms.
-    fn apply_entry(&mut self, line: &HostListEntry, names: &Names<'_>) -> HostEntry {
-        let host = self.number_for(&line.name);
-        let zone = saturating_index(names.zones, &line.zone);
-        let kind = saturating_index(names.kinds, &line.kind);
-        self.destinations.insert(line.destination);
-        if line.state == HostState::Removed {
-            self.lines.remove(&line.name);
+    /// Applies one entry of a list and returns it, converted for the policy.
+    fn apply_entry(&mut self, entry: &HostListEntry, names: &Names<'_>) -> HostEntry {
+        let host = self.number_for(&entry.name);
+        let zone = saturating_index(names.zones, &entry.zone);
+        let kind = saturating_index(names.kinds, &entry.kind);
+        self.destinations.insert(entry.destination);
+        if entry.state == HostState::Removed {
+            self.entries.remove(&entry.name);
         } else {
-            self.lines.insert(line.name.clone(), line.clone());
+            self.entries.insert(entry.name.clone(), entry.clone());
             let settings = names.settings.get(usize::from(kind));
             let has_own_route = settings.is_some_and(|kind| kind.has_host_routes);
             let listed = ListedHost {
-                address: line.address,
+                address: entry.address,
                 zone,
                 route: RouteKey {
-                    destination: line.destination,
+                    destination: entry.destination,
                     host: has_own_route.then_some(host),
                 },
             };
@@ -185,33 +189,34 @@
         }
         HostEntry {
             host,
-            destination: line.destination,
+            destination: entry.destination,
             kind,
             zone,
-            state: line.state,
-            weight: line.weight,
+            state: entry.state,
+            weight: entry.weight,
         }
     }
 
-    /// The number of a host, which is assigned if the host is new.
+    /// Returns the number of a host, and assigns one if the host is new.
     fn number_for(&mut self, name: &str) -> HostId {
         if let Some(host) = self.numbers.get(name) {
             return *host;
         }
-        self.next += 1;
-        self.numbers.insert(name.to_owned(), self.next);
-        self.names.insert(self.next, name.to_owned());
-        self.next
+        self.last_number += 1;
+        self.numbers.insert(name.to_owned(), self.last_number);
+        self.names.insert(self.last_number, name.to_owned());
+        self.last_number
     }
 
-    fn forget(&mut self, name: &str, host: HostId) {
+    fn remove_host(&mut self, name: &str, host: HostId) {
         self.numbers.remove(name);
         self.names.remove(&host);
         self.listed.remove(&host);
     }
 }
 
-/// The index of a name, 0 if it is unknown. Names beyond the last index share that one, which belongs to no name.
+/// The index of a name, or 0 if the name is unknown. Indexes beyond `u8::MAX` all become `u8::MAX`, which belongs to no
+/// name.
 fn saturating_index(names: &[String], name: &str) -> u8 {
     let index = index_of(names, name).unwrap_or(0);
     u8::try_from(index).unwrap_or(u8::MAX)
--- a/crates/relay/src/in_flight.rs
+++ b/crates/relay/src/in_flight.rs
@@ -1,5 +1,5 @@
 //! The index of messages by the names that clients gave them: arriving, in flight and recently completed. Names are
-//! scoped by tenant: two tenants may use the same one.
+//! scoped by tenant: two tenants may use the same name.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -41,16 +41,16 @@
     }
 }
 
-/// The messages of a relay by name.
+/// The messages of a relay, by name.
 #[derive(Default)]
 pub struct InFlightMessages {
     /// Messages on which the policy has not decided, with the clients that wait for the reply.
     arriving: BTreeMap<MessageId, (AcceptedMessage, Vec<ReplySender>)>,
     /// Identifiers of the messages in flight.
     ids: BTreeMap<MessageName, MessageId>,
-    /// Names of completed messages.
+    /// Names of recently completed messages, for the check of duplicates.
     recently_completed: BTreeSet<MessageName>,
-    /// The same with the time of completion, oldest first.
+    /// The names in `recently_completed` with the times of completion, oldest first.
     completions: VecDeque<(Instant, MessageName)>,
 }
 
@@ -72,7 +72,7 @@
         name: &MessageName,
         reply: ReplySender,
     ) -> Option<ReplySender> {
-        // The client resubmitted it on another connection while it is in flight.
+        // The client has resubmitted the message on another connection while it is in flight.
         if let Some(id) = self.ids.get(name) {
             match self.arriving.get_mut(id) {
                 Some((_, replies)) => replies.push(reply),
@@ -98,8 +98,8 @@
         self.arriving.insert(id, (message, vec![reply]));
     }
 
-    /// Sends the reply for an arriving message that the policy rejected, and returns the message. Returns `None` if it is
-    /// not arriving.
+    /// Sends the reply for an arriving message that the policy rejected, and returns the message. Returns `None` if the
+    /// message is not among the arriving ones.
     pub fn reject_arriving(&mut self, id: MessageId, reply: &Reply) -> Option<AcceptedMessage> {
         let (message, replies) = self.arriving.remove(&id)?;
         self.ids.remove(&MessageName::of_message(&message));
@@ -126,7 +126,8 @@
         }
     }
 
-    /// Takes out the arriving messages, all of which the policy admitted, with the clients that wait for the reply.
+    /// Removes and returns the arriving messages with the clients that wait for the reply. Called once the rejected ones
+    /// are removed, so that the policy has queued all of these.
     pub fn take_arriving(&mut self) -> BTreeMap<MessageId, (AcceptedMessage, Vec<ReplySender>)> {
         std::mem::take(&mut self.arriving)
     }
@@ -141,17 +142,18 @@
         self.ids.remove(name);
     }
 
-    /// Moves a message from those in flight to those recently completed, and forgets names past their time or number.
+    /// Moves a message from those in flight to those recently completed. Names that are expired or exceed the maximum
+    /// number are dropped.
     pub fn complete(&mut self, now: Instant, name: MessageName) {
         self.ids.remove(&name);
-        self.forget_old_names(now);
+        self.drop_old_names(now);
         if self.recently_completed.insert(name.clone()) {
             self.completions.push_back((now, name));
         }
     }
 
-    /// Makes space for one more name and removes those past their time.
-    fn forget_old_names(&mut self, now: Instant) {
+    /// Drops expired names, and the oldest ones until there is space for one more name.
+    fn drop_old_names(&mut self, now: Instant) {
         let is_expired =
             |(completed_at, _): &(Instant, MessageName)| now - *completed_at > COMPLETED_NAME_TTL;
         while self.completions.len() >= MAX_COMPLETED_NAMES
--- a/crates/relay/src/in_flight/tests.rs
+++ b/crates/relay/src/in_flight/tests.rs
@@ -6,7 +6,8 @@
     MessageName::new("acme", &format!("m{number}"))
 }
 
-/// However many messages complete within the window, the next process recognizes a duplicate of each.
+/// The hand-over state includes every name that completed within the window, whatever their number, so that the next
+/// process recognizes duplicates.
 #[test]
 fn names_completed_within_the_window_are_in_the_handover_state() {
     let (mut old, mut new, start) = (
--- a/crates/relay/src/journal/journal_file.rs
+++ b/crates/relay/src/journal/journal_file.rs
@@ -1,4 +1,4 @@
-//! The file of the journal: appending records, cutting off torn tails, and replacing the file by a shorter one.
+//! The file of the journal: appends records, truncates torn tails, and replaces the file with a shorter one.
 
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
     path: PathBuf,
     file: R::File,
     length: u64,
-    /// The file ends in an incomplete record that could not be cut off yet.
+    /// Whether the file ends in an incomplete record that could not be truncated yet.
     has_torn_tail: bool,
 }
 
@@ -39,16 +39,17 @@
         self.length
     }
 
-    /// Removes the new file of a process that ended during a replacement.
+    /// Removes the new file that a process left behind when it ended during a replacement.
     ///
-    /// One that cannot be removed now is overwritten by the next replacement.
+    /// A file that cannot be removed is overwritten by the next replacement.
     pub(super) fn remove_unfinished_replacement(&self) {
         drop(self.runtime.remove(&self.replacement_path()));
     }
 
-    /// Cuts the file after its last complete record and positions it there.
+    /// Truncates the file after its last complete record and positions it there.
     ///
-    /// The process ended while it wrote the rest; no acknowledgement depended on that record.
+    /// The remainder is a record that the previous process was writing when it ended; no client got an acknowledgement for
+    /// it.
     pub(super) fn recover(&mut self, valid_length: u64) {
         let torn_bytes = self.length - valid_length;
         self.length = valid_length;
@@ -58,8 +59,8 @@
                 self.runtime,
                 "journal: torn_tail_dropped bytes={torn_bytes}"
             );
-            // The next record tries again what fails now.
-            if let Err(error) = self.cut_torn_tail() {
+            // If this fails, it is tried again before the next record is appended.
+            if let Err(error) = self.truncate_torn_tail() {
                 log!(self.runtime, "journal: torn_tail_not_cut error={error}");
             }
         }
@@ -72,20 +73,20 @@
         free_space: impl FnOnce() -> bool,
     ) -> io::Result<()> {
         if self.has_torn_tail {
-            self.cut_torn_tail()?;
+            self.truncate_torn_tail()?;
         }
         let mut written = self.file.write_all(record);
         if written.is_err() && free_space() {
             written = self
-                .cut_torn_tail()
+                .truncate_torn_tail()
                 .and_then(|()| self.file.write_all(record));
         }
         if written.is_ok() {
             self.length += record.len() as u64;
         } else {
-            // Records after an incomplete one could never be read again.
+            // Records after an incomplete one could not be read.
             self.has_torn_tail = true;
-            if let Err(error) = self.cut_torn_tail() {
+            if let Err(error) = self.truncate_torn_tail() {
                 log!(
                     self.runtime,
                     "journal: incomplete_record_not_cut error={error}"
@@ -95,14 +96,14 @@
         written
     }
 
-    fn cut_torn_tail(&mut self) -> io::Result<()> {
+    fn truncate_torn_tail(&mut self) -> io::Result<()> {
         self.file.set_len(self.length)?;
         self.file.seek(SeekFrom::Start(self.length))?;
         self.has_torn_tail = false;
         Ok(())
     }
 
-    /// Replaces the whole content, so that either the old or the new file is in place at any moment.
+    /// Replaces the whole content atomically: either the old or the new file is in place at any time.
     pub(super) fn replace(&mut self, content: &[u8]) -> io::Result<()> {
         let path = self.replacement_path();
         let mut file = self.runtime.create(&path)?;
--- a/crates/relay/src/journal/mod.rs
+++ b/crates/relay/src/journal/mod.rs
@@ -1,7 +1,7 @@
-//! The journal: an append-only file of the messages that the relay accepted and what became of them.
+//! The journal: an append-only file of the messages that the relay accepted, their attempts and their ends.
 //!
 //! A written record survives the end of the process without a sync. The journal keeps an index of pending messages in
-//! memory, so that the file can be compacted. Its parts are the records (`record`) and their framing
+//! memory, from which the file is compacted. Its modules are the records (`record`) and their framing
 //! (`record_framing`), the index (`pending_index`), the file (`journal_file`) and the space reserved for the
 //! ends of messages (`reserve_file`).
 
@@ -29,35 +29,36 @@
 
 pub use pending_index::PendingMessage;
 pub use record::{AcceptedMessage, Attempt, ResendOrigin};
-pub use record_framing::{decode, encode, LONGEST};
+pub use record_framing::{decode, encode, MAX_PAYLOAD_SIZE};
 
-/// Share of the disk limit for the records of pending messages.
+/// Share of the disk limit that the records of pending messages may take.
 const PENDING_SHARE: f64 = 0.3;
-/// Share of the disk limit that the file may take before it is compacted. During compaction the old and the new file
-/// stand side by side and stay under the limit, with space for the small records of messages that are pending already.
+/// Share of the disk limit that the file may take before it is compacted. The old and the new file exist side by side
+/// during compaction. Together they stay under the limit, with space left for the small records of messages that are
+/// pending already.
 const FILE_SHARE: f64 = 0.45;
-/// Characters of a host's name that are recorded at most.
+/// Maximum number of characters of a host's name that are recorded.
 const MAX_HOST_NAME_CHARS: usize = 64;
 
-/// Why nothing new begins while the reserved space is missing.
+/// Error text for messages and attempts that are refused while no space is reserved for the ends of messages.
 const NO_SPACE_FOR_ENDS: &str = "no room for the ends of messages";
 
-/// The journal.
+/// The journal of one state directory. A single process has it open.
 pub struct Journal<R: Runtime> {
     file: JournalFile<R>,
     reserve: ReserveFile<R>,
     index: PendingIndex,
-    /// The index holds what could not be written, so that the file would restore an older state.
+    /// Whether records that could not be written are only in the index, so that the file would restore an older state.
     lacks_records: bool,
-    /// Bytes that the journal's folder may hold.
+    /// Disk limit of the journal's folder, in bytes.
     disk_limit: f64,
 }
 
 impl<R: Runtime> Journal<R> {
-    /// Opens the journal in a folder, which may hold up to `limit` bytes, and reads the pending messages.
+    /// Opens the journal in a folder and reads the pending messages. `limit` is the disk limit of the folder, in bytes.
     ///
     /// # Errors
-    /// If the file cannot be read, or if it holds a record of a newer version of the program.
+    /// If the file cannot be read, or if it holds a record that a newer version of the program wrote.
     pub fn open(runtime: R, folder: &Path, limit: u64) -> io::Result<Self> {
         let disk_limit = limit as f64;
         let (mut file, content) = JournalFile::open(runtime.clone(), folder.join("journal"))?;
@@ -76,36 +77,36 @@
         })
     }
 
-    /// Bytes of pending messages that the journal has space for.
+    /// Bytes that the records of pending messages may take.
     pub fn capacity(&self) -> usize {
         (self.disk_limit * PENDING_SHARE) as usize
     }
 
-    /// Bytes of the file.
+    /// Length of the file in bytes.
     pub fn length(&self) -> usize {
         self.file.length() as usize
     }
 
-    /// The most bytes that the file may have, whether or not it can be compacted.
+    /// Maximum length of the file in bytes, whether or not it can be compacted.
     pub fn max_length(&self) -> usize {
         (self.disk_limit * (FILE_SHARE + PENDING_SHARE)) as usize
     }
 
-    /// Whether space is reserved for the ends of messages. Without it the disk was full at the last try, and other
-    /// records would take the space of ends.
-    pub fn has_spare(&self) -> bool {
+    /// Whether space is reserved for the ends of messages. If not, the disk was full at the last try, and other records
+    /// would take the space that the ends need.
+    pub fn has_reserve(&self) -> bool {
         self.reserve.is_allocated()
     }
 
     /// Reserves the space for ends if it is missing, and returns whether it is reserved now.
-    pub fn restore_spare(&mut self) -> bool {
+    pub fn ensure_reserve(&mut self) -> bool {
         if !self.reserve.is_allocated() {
             self.reserve.allocate();
         }
         self.reserve.is_allocated()
     }
 
-    /// All pending messages.
+    /// All pending messages: those accepted and not yet completed.
     pub fn pending(&self) -> &BTreeMap<MessageId, PendingMessage> {
         self.index.messages()
     }
@@ -115,8 +116,7 @@
         self.index.next_id()
     }
 
-    /// Declares the classes for the messages that are accepted from here on. Classes that are not named are no longer
-    /// in force.
+    /// Declares the classes for the messages that are accepted after this. Classes that are not named go out of force.
     ///
     /// # Errors
     /// The first error of a write. The remaining classes are declared nevertheless.
@@ -147,10 +147,10 @@
         self.write(Record::MessageAccepted { id, message })
     }
 
-    /// Accepts an undeliverable message for another delivery, like [`Journal::accept_message`].
+    /// Accepts the resend of an undeliverable message, like [`Journal::accept_message`].
     ///
     /// # Errors
-    /// The same as those of [`Journal::accept_message`].
+    /// As for [`Journal::accept_message`].
     pub fn accept_resend(
         &mut self,
         id: MessageId,
@@ -199,7 +199,7 @@
         attempt: Attempt,
     ) -> io::Result<()> {
         self.index.put_unrecorded_attempt(id, number, attempt);
-        if self.restore_spare() {
+        if self.ensure_reserve() {
             Ok(())
         } else {
             Err(storage_full(NO_SPACE_FOR_ENDS))
@@ -216,8 +216,7 @@
     /// Records an attempt right before the first byte of its request is written.
     ///
     /// # Errors
-    /// `NotFound` if the message has ended. Otherwise the record cannot be written. In both cases the request must not be
-    /// written.
+    /// `NotFound` if the message has ended; otherwise the error of the write. In both cases the request must not be sent.
     pub fn start_attempt(&mut self, id: MessageId, number: u8, attempt: Attempt) -> io::Result<()> {
         let is_open = self
             .index
@@ -236,8 +235,8 @@
         })
     }
 
-    /// Records that an attempt ended without a delivery. An outcome that the journal already states is not written:
-    /// on a full disk the space is for the ends of messages.
+    /// Records that an attempt ended without a delivery. An outcome that the journal already holds is not written again:
+    /// on a full disk, the space is needed for the ends of messages.
     ///
     /// # Errors
     /// The error of the write.
@@ -260,7 +259,7 @@
     }
 
     /// Records that the request of the latest attempt was not written completely. The attempt does not count, and the next
-    /// one takes its number. Does nothing if the attempt is not the latest one.
+    /// one gets its number. Does nothing if the attempt is not the latest one.
     ///
     /// # Errors
     /// The error of the write.
@@ -285,7 +284,8 @@
         }
     }
 
-    /// Records that the request of the latest attempt was not written completely, though the attempt goes on or counts.
+    /// Records that the request of the latest attempt was not written completely, but keeps the attempt: it continues on
+    /// another connection, or counts as an attempt that was not executed.
     ///
     /// # Errors
     /// The error of the write.
@@ -303,7 +303,7 @@
     /// Records that the delivery failed permanently and the platform has yet to be notified.
     ///
     /// # Errors
-    /// The error of the write; the failure counts for this process nevertheless.
+    /// The error of the write. In this process the failure takes effect nevertheless.
     pub fn record_failure(&mut self, id: MessageId, failure: DeliveryFailure) -> io::Result<()> {
         self.write(Record::DeliveryFailed { id, failure })
     }
@@ -311,7 +311,7 @@
     /// Records that a message needs no further work. Does nothing for a message that is not pending.
     ///
     /// # Errors
-    /// The error of the write; the message is no longer pending for this process nevertheless.
+    /// The error of the write. In this process the message is removed nevertheless.
     pub fn remove_message(&mut self, id: MessageId) -> io::Result<()> {
         if self.index.get(id).is_none() {
             return Ok(());
@@ -337,20 +337,21 @@
         result
     }
 
-    /// Prepares the file for a record: compacts it if it is long, and reserves space for the end of work that starts.
+    /// Prepares the file for a record: compacts it if it exceeds its share of the disk limit, and reserves space for the
+    /// end of work that the record starts.
     fn make_space(&mut self, record: &Record, size: usize) -> io::Result<()> {
         let mut result = Ok(());
         let length = self.file.length() as f64 + size as f64;
         if length > self.disk_limit * FILE_SHARE {
             result = self.compact();
-            // Without compaction there is no second file: messages that are pending already may use its space.
+            // If compaction fails there is no second file, and messages that are pending already may use its space.
             let fits = length <= self.disk_limit * (FILE_SHARE + PENDING_SHARE);
             if fits && !record.accepts_message() {
                 result = Ok(());
             }
         }
-        // Nothing new begins while there is no space for the ends of what has begun.
-        if record.starts_work() && !self.restore_spare() {
+        // No new work starts while there is no space for the ends of the work that has started.
+        if record.starts_work() && !self.ensure_reserve() {
             result = Err(storage_full(NO_SPACE_FOR_ENDS));
         }
         result
@@ -363,8 +364,8 @@
         self.file.append(encoded, || ends_work && reserve.release())
     }
 
-    /// Applies a record to the index, even if it could not be written: what it states has happened. But a message that
-    /// could not be written is not accepted, and an attempt that could not be written is not sent.
+    /// Applies a record to the index, even if it could not be written, as the event that it states has happened. The
+    /// exceptions: a message whose record could not be written is not accepted, and an attempt is not sent.
     fn apply_written(&mut self, record: Record, size: u64, is_written: bool) {
         match record {
             record if is_written => self.index.apply(record, size),
@@ -383,16 +384,16 @@
         }
     }
 
-    /// Whether the file lacks records that could not be written. A process that started from it would repeat work that has
-    /// ended.
+    /// Whether the file lacks records that could not be written. A process that starts from the file would repeat work
+    /// that has ended.
     pub fn lacks_records(&self) -> bool {
         self.lacks_records
     }
 
-    /// Writes what the file lacks, by replacing it with one that holds the current state.
+    /// Writes the missing records by replacing the file with one that holds the current state.
     ///
     /// # Errors
-    /// The error of the write, or `StorageFull` if the old and the new file do not fit beside each other.
+    /// The error of the write, or `StorageFull` if the old and the new file together exceed the maximum length.
     pub fn write_missing_records(&mut self) -> io::Result<()> {
         let snapshot = self.index.encode_snapshot()?;
         let both = self.file.length() + snapshot.len() as u64;
@@ -408,7 +409,7 @@
         Ok(())
     }
 
-    /// Replaces the file by one that holds only the pending messages and the classes in force.
+    /// Replaces the file with one that holds only the pending messages and the classes in force.
     fn compact(&mut self) -> io::Result<()> {
         let snapshot = self.index.encode_snapshot()?;
         if snapshot.len() as u64 >= self.file.length() {
@@ -418,7 +419,7 @@
     }
 }
 
-/// Applies all complete records of the file's content and returns their length.
+/// Applies all complete records of the file's content and returns their total length in bytes.
 fn replay(content: &[u8], index: &mut PendingIndex) -> io::Result<usize> {
     let mut position = 0;
     while let Some((record, size)) = decode(&content[position..])? {
--- a/crates/relay/src/journal/pending_index.rs
+++ b/crates/relay/src/journal/pending_index.rs
@@ -1,4 +1,4 @@
-//! The in-memory index of pending messages: what the journal's records add up to.
+//! The in-memory index of pending messages: the state that results from the journal's records.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -14,30 +14,31 @@
 /// A message that was accepted and has not been completed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingMessage {
-    /// The message.
+    /// The message as its client submitted it.
     pub accepted: AcceptedMessage,
-    /// Its attempts, in order.
+    /// Attempts to deliver the message, by number.
     pub attempts: Vec<Attempt>,
-    /// Numbers of the attempts without a record: no byte was written for them yet, or ever.
+    /// Numbers of the attempts without a record: no byte of their requests was written so far.
     unrecorded_attempts: BTreeSet<u8>,
-    /// Its final failure, of which the platform has not been notified yet.
+    /// The final failure, of which the platform has not been notified yet; `None` while the message is to be delivered.
     pub failure: Option<DeliveryFailure>,
-    /// Its origin, if it is a resent message.
+    /// The origin of a resent message; `None` for any other message.
     pub resend: Option<ResendOrigin>,
     /// Hosts of attempts and how the attempts ended, by the attempt's number.
     pub outcomes: BTreeMap<u8, (String, Outcome)>,
-    /// The definition of its class when it was accepted; unknown if the journal did not yet record classes then.
+    /// The definition of the message's class when it was accepted; `None` for a message from a version of the program
+    /// that did not record classes.
     pub class_version: Option<ClassVersion>,
-    /// Bytes of its records.
+    /// Bytes of the message's records.
     size: u64,
 }
 
 /// The definition of a class that was in force when a message was accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassVersion {
-    /// Grows with each declaration in the journal.
+    /// Increases with each declaration in the journal.
     version: u64,
-    /// The definition.
+    /// The definition, shared by the messages of this version.
     pub class: Rc<Class>,
 }
 
@@ -61,13 +62,14 @@
         }
     }
 
-    /// Attempts that came with the origin of a resent message and have no record of their own.
+    /// The number of attempts that are part of the origin of a resent message and have no record of their own.
     fn inherited_attempts(&self) -> usize {
         let past_attempt = self.resend.and_then(|origin| origin.past_attempt);
         usize::from(past_attempt.is_some())
     }
 
-    /// Adds an attempt in the place of all from its number on. Lower numbers that are missing have no record.
+    /// Adds an attempt, and removes any with the same or a higher number. Missing lower numbers are filled with attempts
+    /// that have no record.
     fn put_attempt(&mut self, number: u8, attempt: Attempt) {
         let missing = self.attempts.len().min(usize::from(number)) as u8..number;
         self.truncate_attempts(number);
@@ -77,13 +79,13 @@
         self.unrecorded_attempts.extend(missing);
     }
 
-    /// Adds an attempt, in the same way, that has no record.
+    /// Adds an attempt that has no record and was not executed, like [`Self::put_attempt`].
     fn put_unrecorded_attempt(&mut self, number: u8, attempt: Attempt) {
         self.put_attempt(number, attempt.not_executed());
         self.unrecorded_attempts.insert(number);
     }
 
-    /// Removes the attempts from a number on.
+    /// Removes the attempts with this number or a higher one.
     fn truncate_attempts(&mut self, number: u8) {
         self.attempts.truncate(usize::from(number));
         self.unrecorded_attempts.retain(|other| *other < number);
@@ -176,7 +178,7 @@
         id
     }
 
-    /// Forgets the classes that are not in `declared`.
+    /// Removes the classes that are not in `declared`.
     pub(super) fn retain_classes(&mut self, declared: &BTreeMap<&String, &Class>) {
         self.classes.retain(|name, _| declared.contains_key(name));
     }
@@ -277,8 +279,8 @@
 
     /// Encodes the shortest sequence of records that restores this index.
     ///
-    /// Messages are sorted by the version of their class, so that each version is declared once. Those without a
-    /// version come first, before any declaration.
+    /// Messages are sorted by the version of their class, so that each version is declared once. Messages without a
+    /// version are first, before any declaration.
     pub(super) fn encode_snapshot(&self) -> io::Result<Vec<u8>> {
         let mut snapshot = Vec::with_capacity(self.size as usize);
         let mut messages: Vec<(&MessageId, &PendingMessage)> = self.messages.iter().collect();
--- a/crates/relay/src/journal/record.rs
+++ b/crates/relay/src/journal/record.rs
@@ -1,4 +1,4 @@
-//! The records of the journal. Postcard identifies variants and fields by position: none is moved, added before
+//! The records of the journal. Postcard identifies variants and fields by position: none may be moved, inserted before
 //! others, or removed.
 
 use bytes::Bytes;
@@ -7,34 +7,34 @@
 use serde::{Deserialize, Serialize};
 use undeliverable::{Outcome, RecordId};
 
-/// Bytes that a message takes in the journal beside its body, at most: its metadata and the records of its attempts.
+/// Maximum bytes that a message takes in the journal beside its body: its metadata and the records of its attempts.
 const MAX_MESSAGE_OVERHEAD: usize = 768;
 
 /// A message as its client submitted it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
-    /// The client's name for it on the wire.
+    /// The name that the client gave the message, unique within its tenant.
     pub name: String,
-    /// Idempotency key.
+    /// Idempotency key that is sent to the host; `None` if the client gave none.
     pub idempotency_key: Option<String>,
-    /// Key whose messages are delivered in order.
+    /// Messages with the same ordering key are delivered in order; `None` if the order does not matter.
     pub ordering_key: Option<u64>,
-    /// Name of its class.
+    /// Name of the message's class.
     pub class: String,
-    /// Name of its tenant.
+    /// Reference to the message's tenant: the tenant's name, which may be followed by its generation.
     pub tenant: String,
-    /// Number of its destination.
+    /// Number of the message's destination.
     pub destination: u16,
     /// Deadline, in microseconds of Unix time.
     pub deadline: Micros,
-    /// Whether the client submitted it before.
+    /// Whether the client marked the message as submitted before.
     pub is_resubmitted: bool,
-    /// Its content.
+    /// Content that is sent to the host.
     pub body: Bytes,
 }
 
 impl AcceptedMessage {
-    /// Bytes that the message takes in the journal, at most.
+    /// Maximum bytes that the message takes in the journal.
     pub fn journal_size(&self) -> usize {
         self.body.len() + MAX_MESSAGE_OVERHEAD
     }
@@ -45,14 +45,14 @@
 pub struct Attempt {
     /// When it was sent, in microseconds of Unix time.
     pub sent_at: Micros,
-    /// Zone of its host.
+    /// Number of the host's zone.
     pub zone: u8,
     /// False once the attempt is known not to have been executed.
     pub may_have_executed: bool,
 }
 
 impl Attempt {
-    /// The same attempt, known not to have been executed.
+    /// Returns the attempt marked as not executed.
     pub(super) fn not_executed(self) -> Self {
         Attempt {
             may_have_executed: false,
@@ -61,18 +61,19 @@
     }
 }
 
-/// The undeliverable message that a resent message originates from.
+/// The undeliverable message of which a message is a resend.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ResendOrigin {
     /// The record of the undeliverable message.
     pub record: RecordId,
-    /// The number of this resend among those of the record.
+    /// Number of this resend among the resends of the record.
     pub number: u32,
-    /// The first of its attempts that may have been executed, while its idempotency key is still in effect.
+    /// The first attempt of the undeliverable message that may have been executed; `None` if there is none, or if its
+    /// idempotency key is no longer in effect.
     pub past_attempt: Option<Attempt>,
 }
 
-/// One entry of the journal. New variants are appended, so that files of earlier versions keep their meaning.
+/// One entry of the journal. New variants must be appended, so that files of earlier versions are read correctly.
 #[derive(Serialize, Deserialize)]
 pub(super) enum Record {
     /// A message was accepted.
@@ -106,14 +107,14 @@
         message: AcceptedMessage,
         origin: ResendOrigin,
     },
-    /// The host of an attempt and how the attempt ended; only written where undeliverable messages are stored.
+    /// The host of an attempt and how the attempt ended. Written only if undeliverable messages are stored.
     HostOutcome {
         id: MessageId,
         number: u8,
         host: String,
         outcome: Outcome,
     },
-    /// The definition of a class for the messages that are accepted from here on.
+    /// The definition of a class for the messages that are accepted after this record.
     ClassDeclared { name: String, class: Class },
     /// The request of an attempt was not written completely, so that its host cannot have executed it.
     AttemptDiscarded { id: MessageId, number: u8 },
--- a/crates/relay/src/journal/record_framing.rs
+++ b/crates/relay/src/journal/record_framing.rs
@@ -5,13 +5,13 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Bytes of the length, which comes first.
+/// Size of the length field, in bytes. It is the first field.
 const LENGTH_SIZE: usize = 4;
-/// Bytes of the length and the checksum together.
+/// Size of the length and checksum fields together, in bytes.
 const HEADER_SIZE: usize = 8;
-/// The most payload bytes that a record may have. It bounds a message's body with its metadata, and the state that
-/// one process hands over to another.
-pub const LONGEST: usize = 256 * 1024;
+/// Maximum payload of a record, in bytes. It limits a message's body with its metadata, and the state that one process
+/// hands over to another.
+pub const MAX_PAYLOAD_SIZE: usize = 256 * 1024;
 
 /// Encodes a value as one framed record.
 ///
@@ -31,8 +31,8 @@
 /// incomplete or its checksum does not match.
 ///
 /// # Errors
-/// `InvalidData` if the record is complete but its payload is not a value of this type. A newer version of the
-/// program wrote it then, and treating it as a torn tail would discard messages.
+/// `InvalidData` if the record is complete but its payload is not a value of this type. Such a record was written by a
+/// newer version of the program, and treating it as a torn tail would discard messages.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> io::Result<Option<(T, usize)>> {
     let Some(payload) = checked_payload(bytes) else {
         return Ok(None);
@@ -51,7 +51,7 @@
     let (length, rest) = bytes.split_first_chunk::<LENGTH_SIZE>()?;
     let (checksum, rest) = rest.split_first_chunk::<{ HEADER_SIZE - LENGTH_SIZE }>()?;
     let length = u32::from_le_bytes(*length) as usize;
-    if !(1..=LONGEST).contains(&length) {
+    if !(1..=MAX_PAYLOAD_SIZE).contains(&length) {
         return None;
     }
     let payload = rest.get(..length)?;
--- a/crates/relay/src/journal/reserve_file.rs
+++ b/crates/relay/src/journal/reserve_file.rs
@@ -6,13 +6,13 @@
 
 /// Share of the disk limit that is reserved.
 const RESERVE_SHARE: f64 = 0.04;
-/// The most bytes that are reserved; enough for about 500 records that end messages.
+/// Maximum number of reserved bytes; enough for about 500 records that end messages.
 const MAX_RESERVE_BYTES: f64 = 16384.0;
 
 /// A file of zeros that is removed when the disk is full, so that the ends of messages can still be recorded.
 ///
-/// The end of a message that the platform was notified of must not be lost with the process, or the message would be
-/// delivered again. While the file is missing, no new work begins.
+/// The end of a message must not be lost with the process once the platform has been notified of it, or the message would
+/// be delivered again. While the file is missing, no new work starts.
 pub(super) struct ReserveFile<R: Runtime> {
     runtime: R,
     path: PathBuf,
@@ -21,7 +21,7 @@
 }
 
 impl<R: Runtime> ReserveFile<R> {
-    /// Describes the reserve of a journal whose disk limit is `limit` bytes, without allocating it.
+    /// Creates the description of the reserve file, without writing it. `limit` is the disk limit in bytes.
     pub(super) fn new(runtime: R, journal: &Path, limit: f64) -> Self {
         ReserveFile {
             runtime,
@@ -35,7 +35,7 @@
         self.is_allocated
     }
 
-    /// Writes the file, whether or not it exists. A partial file is removed.
+    /// Writes the file, whether or not it exists. A partially written file is removed.
     pub(super) fn allocate(&mut self) {
         self.is_allocated = self.runtime.write(&self.path, &vec![0; self.size]).is_ok();
         if !self.is_allocated {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Frees the reserved space. Returns false if there was none, or the file could not be removed.
+    /// Frees the reserved space. Returns false if no space was reserved, or if the file could not be removed.
     pub(super) fn release(&mut self) -> bool {
         let was_allocated = std::mem::take(&mut self.is_allocated);
         was_allocated && self.runtime.remove(&self.path).is_ok()
--- a/crates/relay/src/journal/tests.rs
+++ b/crates/relay/src/journal/tests.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn prepared_attempt_counts_in_this_process_alone() {
+fn prepared_attempt_is_known_to_this_process_only() {
     let directory = TempDir::new().expect("a directory");
     let mut journal = journal(&directory);
     journal
@@ -67,7 +67,7 @@
     assert!(!journal.is_started(ID, 0));
     assert_eq!(attempts(&journal), [false]);
     assert_eq!(attempts(&reopen(&directory)), [false; 0]);
-    // A failed connection is no record either.
+    // A failure to connect is not recorded either.
     let length = journal.length();
     journal.record_outcome(ID, 0, false).expect("known");
     assert_eq!(journal.length(), length);
@@ -82,14 +82,14 @@
     assert_eq!(attempts(&reopen(&directory)), [true]);
 }
 
-/// The request breaks off, and the attempt goes on with another connection.
+/// The write of the request fails midway, and the attempt continues on another connection.
 #[test]
 fn retracted_attempt_can_be_started_again_under_its_number() {
     let directory = TempDir::new().expect("a directory");
     let mut journal = journal(&directory);
     start(&mut journal, 0);
     journal.retract_attempt(ID, 0, attempt()).expect("written");
-    assert_eq!(attempts(&journal), [false], "it keeps its number");
+    assert_eq!(attempts(&journal), [false], "the attempt keeps its number");
     assert_eq!(attempts(&reopen(&directory)), [false; 0]);
     journal.start_attempt(ID, 0, attempt()).expect("written");
     assert_eq!(attempts(&reopen(&directory)), [true]);
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,7 +1,7 @@
 //! The relay: accepts messages from clients and delivers them to hosts as the delivery policy decides. A journal
-//! keeps each accepted message until it is delivered, or until the platform knows that it was not.
+//! keeps each accepted message until it is delivered, or until the platform has accepted the notification of its failure.
 //!
-//! [`run`] is the complete lifecycle of one process. Everything that it needs from the system goes through
+//! [`run`] is the complete lifecycle of one process. All access to the operating system goes through
 //! [`runtime::Runtime`].
 
 mod cached_state;
--- a/crates/relay/src/main.rs
+++ b/crates/relay/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of one relay: starts it, and reports why it ended.
+//! The relay program: parses the arguments, runs the relay and reports its error.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,17 +7,18 @@
 use relay::RelayError;
 use runtime::OsRuntime;
 
-/// Name of the program in its messages.
+/// Prefix of error messages on standard error.
 const PROGRAM: &str = "madderpitch";
-/// Exit code for arguments that cannot be used.
+/// Exit code for invalid arguments.
 const USAGE_ERROR: u8 = 2;
 
-/// Carries messages to partners' systems. Reads BALANCER_CONFIG, the path of its configuration, and
-/// BALANCER_LISTEN, BALANCER_DISCOVERY and BALANCER_STATE.
+/// Delivers messages to partners' systems. Reads the environment variables BALANCER_CONFIG (the path of the
+/// configuration file), BALANCER_LISTEN, BALANCER_DISCOVERY and BALANCER_STATE.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// What goes beyond the platform's configuration: tenants, the administration API.
+    /// Path of the operator file: settings that the platform's configuration lacks, such as tenants and the
+    /// administration API.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
 }
--- a/crates/relay/src/state_directory/handover_state.rs
+++ b/crates/relay/src/state_directory/handover_state.rs
@@ -1,4 +1,4 @@
-//! The hand-over snapshot: what a process leaves to its successor beside the journal.
+//! The hand-over snapshot: the state that a process passes to its successor beside the journal.
 
 #[cfg(test)]
 mod tests;
@@ -10,14 +10,14 @@
 use serde::{Deserialize, Serialize};
 
 use super::call_ends::OpenCall;
-use crate::journal::{decode, encode, LONGEST};
+use crate::journal::{decode, encode, MAX_PAYLOAD_SIZE};
 
-/// The share of the disk limit that the snapshot may take; the rest is the journal's.
+/// Share of the disk limit that the snapshot may take. The rest is for the journal.
 const MAX_DISK_SHARE: f64 = 0.05;
 /// Version of the stored format.
 const FORMAT_VERSION: u16 = 1;
 
-/// What goes to the successor beside the journal. Postcard stores the fields by position.
+/// The state that is passed to the successor beside the journal. Postcard stores the fields by position.
 #[derive(Serialize, Deserialize)]
 pub struct HandoverState {
     format_version: u16,
@@ -27,18 +27,18 @@
     pub open_calls: Vec<OpenCall>,
     /// The numbers of hosts, by name.
     pub host_numbers: Vec<(String, HostId)>,
-    /// Names of messages that were completed lately, the latest first.
+    /// Names of recently completed messages, the latest first.
     pub completed: Vec<String>,
     /// The delivery policy's state of routes and of ordering keys.
     pub policy: HandoverSnapshot,
-    /// Until when tenants have used their rates. Stored as a record of its own behind the snapshot, which older versions
-    /// do not read.
+    /// For each tenant, the time until which its rate is used up, in microseconds of Unix time. Stored as a separate
+    /// record after the snapshot, which older versions do not read.
     #[serde(skip)]
     pub used_rates: Vec<(String, Micros)>,
 }
 
 impl HandoverState {
-    /// The state of a process that hands over, as yet without host numbers, completed messages and used rates.
+    /// Creates the state of a process that hands over. Host numbers, completed messages and used rates are empty.
     pub fn new(is_drained: bool, open_calls: Vec<OpenCall>, policy: HandoverSnapshot) -> Self {
         HandoverState {
             format_version: FORMAT_VERSION,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads a stored snapshot; `None` where it is torn or of another version. Unreadable rates are left out.
+    /// Reads a stored snapshot; `None` if it is torn or of another version. Unreadable rates are omitted.
     pub(super) fn read(bytes: &[u8]) -> Option<Self> {
         let (state, size) = decode::<HandoverState>(bytes).ok().flatten()?;
         if state.format_version != FORMAT_VERSION {
@@ -64,13 +64,13 @@
         })
     }
 
-    /// The bytes to store, within the bound that follows from the disk limit in bytes. Names of completed messages and
-    /// used rates are left out where they do not fit.
+    /// Encodes the snapshot within its share of `disk_limit`, which is in bytes. Names of completed messages and used
+    /// rates that do not fit are omitted.
     ///
     /// # Errors
     /// `StorageFull` if the snapshot does not fit even without them.
     pub(super) fn encode_bounded(&mut self, disk_limit: u64) -> io::Result<Vec<u8>> {
-        let limit = ((disk_limit as f64 * MAX_DISK_SHARE) as usize).min(LONGEST);
+        let limit = ((disk_limit as f64 * MAX_DISK_SHARE) as usize).min(MAX_PAYLOAD_SIZE);
         let mut bytes = encode(&*self)?;
         while bytes.len() > limit && !self.completed.is_empty() {
             self.completed.truncate(self.completed.len() / 2);
--- a/crates/relay/src/state_directory/handover_state/tests.rs
+++ b/crates/relay/src/state_directory/handover_state/tests.rs
@@ -1,11 +1,11 @@
-//! The bound of the hand-over snapshot, and which versions of it are read.
+//! Tests of the size limit of the hand-over snapshot, and of the versions that are read.
 
 use std::io::ErrorKind;
 
 use policy::HandoverSnapshot;
 
 use super::{HandoverState, FORMAT_VERSION, MAX_DISK_SHARE};
-use crate::journal::LONGEST;
+use crate::journal::MAX_PAYLOAD_SIZE;
 use crate::state_directory::test_support::OPEN_CALL;
 
 const LARGE_DISK: u64 = 1_000_000_000;
@@ -19,7 +19,7 @@
     state
 }
 
-/// The disk limit at which the snapshot may take `snapshot_bytes`.
+/// The disk limit under which the snapshot may take `snapshot_bytes`.
 fn disk_limit(snapshot_bytes: usize) -> u64 {
     (snapshot_bytes as f64 / MAX_DISK_SHARE).ceil() as u64
 }
@@ -49,12 +49,12 @@
     let bytes = state(100_000, 0)
         .encode_bounded(LARGE_DISK)
         .expect("it fits");
-    assert!(bytes.len() <= LONGEST, "a record is never longer");
+    assert!(bytes.len() <= MAX_PAYLOAD_SIZE, "a record is never longer");
 }
 
 #[test]
 fn snapshot_that_cannot_be_shortened_is_an_error() {
-    let error = state(10, 10).encode_bounded(0).expect_err("no room");
+    let error = state(10, 10).encode_bounded(0).expect_err("no space");
     assert_eq!(error.kind(), ErrorKind::StorageFull);
     assert_eq!(error.to_string(), "there is too much to hand over");
 }
--- a/crates/relay/src/test_support.rs
+++ b/crates/relay/src/test_support.rs
@@ -1,8 +1,8 @@
-//! What the tests of several modules share.
+//! Helpers shared by the unit tests of several modules.
 
 use std::future::Future;
 
-/// Runs a test that spawns tasks, on one thread as the relay does.
+/// Runs a test that spawns local tasks, on a single-threaded runtime like the relay's.
 pub(crate) fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
