--- a/crates/relay/src/state_directory/call_ends.rs
+++ b/crates/relay/src/state_directory/call_ends.rs
@@ -1,4 +1,4 @@
-//! The channel of call ends: the departing process appends how its open calls ended, the new owner reads it.
+//! The file of call ends: the departing process appends how its open calls ended, and the new owner reads it.
 
 #[cfg(test)]
 mod tests;
@@ -15,15 +15,15 @@
 /// An attempt that is open at the hand-over. Postcard stores the fields by position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenCall {
-    /// The message.
+    /// Identifier of the message.
     pub id: MessageId,
-    /// The attempt's number.
+    /// Number of the attempt, from 0.
     pub attempt: u8,
-    /// The host.
+    /// Number of the host.
     pub host: HostId,
 }
 
-/// Calls that were open at the hand-over and have not ended yet, by their message.
+/// Calls that were open at the hand-over and have not ended yet, by message.
 #[derive(Debug, Default)]
 pub(super) struct OpenCalls(BTreeMap<MessageId, OpenCall>);
 
@@ -37,7 +37,7 @@
         self.0.is_empty()
     }
 
-    /// Removes a call that has ended; false if it is not one of these, or its end was known.
+    /// Removes a call that has ended. Returns false if the call is not among the open ones, or was removed before.
     pub(super) fn remove(&mut self, end: &CompletedCall) -> bool {
         let is_open = self
             .0
@@ -49,8 +49,8 @@
         is_open
     }
 
-    /// Removes all remaining calls and ends them as lost connections: their process has exited, and they may have been
-    /// executed.
+    /// Removes all remaining calls and returns their ends as lost connections: their process has exited, and they may have
+    /// been executed.
     pub(super) fn drain_as_connection_lost(&mut self) -> impl Iterator<Item = CompletedCall> {
         std::mem::take(&mut self.0)
             .into_values()
@@ -67,16 +67,16 @@
     }
 }
 
-/// The new owner's side of the channel.
+/// Reads the file of call ends in the new owner.
 #[derive(Debug, Default)]
 pub(super) struct CallEndsReader {
     open_calls: OpenCalls,
-    /// Bytes of the file that were read before.
+    /// Length of the part of the file that has been read, in bytes.
     position: usize,
 }
 
 impl CallEndsReader {
-    /// Reads from the start of the file.
+    /// Creates a reader at the start of the file.
     pub(super) fn new(open_calls: OpenCalls) -> Self {
         CallEndsReader {
             open_calls,
@@ -92,8 +92,8 @@
         !self.open_calls.is_empty()
     }
 
-    /// Ends that were appended since the last call, from the whole content of the file. A record that is not complete
-    /// yet is read the next time.
+    /// Returns the ends that were appended since the last call. `content` is the whole file. An incomplete record is read
+    /// once it is complete.
     pub(super) fn read(&mut self, content: &[u8]) -> Vec<CompletedCall> {
         let mut ends = Vec::new();
         while let Ok(Some((end, size))) =
@@ -111,7 +111,7 @@
 /// Appends the end of a call.
 ///
 /// # Errors
-/// As the file's; a part of the record may then be written.
+/// The error of the file. Part of the record may have been written.
 pub(super) fn append_call_end(
     file: &mut (impl Write + Seek),
     end: &CompletedCall,
--- a/crates/relay/src/state_directory/call_ends/tests.rs
+++ b/crates/relay/src/state_directory/call_ends/tests.rs
@@ -1,4 +1,4 @@
-//! The channel of call ends: records arrive in pieces, and each open call ends exactly once.
+//! Tests of the file of call ends: records may be read in pieces, and each open call ends exactly once.
 
 use std::io::Cursor;
 
--- a/crates/relay/src/state_directory/departing_process.rs
+++ b/crates/relay/src/state_directory/departing_process.rs
@@ -15,18 +15,18 @@
 
 /// A call of this process to a host that has not ended.
 pub struct RunningCall {
-    /// The attempt's number.
+    /// Number of the attempt, from 0.
     pub attempt: u8,
-    /// The host.
+    /// Number of the host.
     pub host: HostId,
-    /// Cancels the call when it is used or dropped; `None` if the call is cancelled, or runs in the departing process.
+    /// Cancels the call when it is sent to or dropped; `None` if the call is cancelled, or runs in the departing process.
     pub cancel: Option<oneshot::Sender<()>>,
 }
 
-/// Running calls by their message.
+/// Running calls, by message.
 pub type RunningCalls = BTreeMap<MessageId, RunningCall>;
 
-/// What is left of a process that has handed over: its open calls. Dropping it releases the locks and cancels the calls.
+/// A process that has handed over and still has open calls. Dropping it releases the locks and cancels the calls.
 pub struct DepartingProcess<R: Runtime> {
     directory: StateDirectory<R>,
     ownership: Ownership,
@@ -35,7 +35,7 @@
     _departing_lock: R::Lock,
     call_ends_file: R::File,
     open_calls: OpenCalls,
-    /// Kept so that the calls go on: dropping a sender cancels its call.
+    /// Kept so that the calls continue: dropping a sender cancels its call.
     running_calls: RunningCalls,
 }
 
@@ -67,7 +67,7 @@
         self.ownership
     }
 
-    /// Keeps the open calls running.
+    /// Keeps open calls running by holding their channels.
     pub fn keep_calls(&mut self, calls: RunningCalls) {
         self.running_calls = calls;
     }
@@ -80,8 +80,8 @@
     /// Reports to the new owner that a call has ended.
     ///
     /// # Errors
-    /// The end cannot be written. The call counts as ended all the same, and the new owner counts it as lost once
-    /// this process has ended.
+    /// If the end cannot be written. In this process the call has ended nevertheless; the new owner counts it as lost
+    /// once this process has exited.
     pub fn report_call_end(&mut self, end: &CompletedCall) -> io::Result<()> {
         if self.open_calls.remove(end) {
             self.running_calls.remove(&end.id);
@@ -89,7 +89,7 @@
         append_call_end(&mut self.call_ends_file, end)
     }
 
-    /// Whether no call is open any more.
+    /// Whether all calls have ended.
     pub fn is_idle(&self) -> bool {
         self.open_calls.is_empty()
     }
@@ -97,7 +97,7 @@
     /// Whether the new owner serves.
     pub fn is_replaced(&self) -> bool {
         let now = self.directory.runtime.now();
-        // The question changes nothing, so that a copy of the state machine answers it.
+        // The check changes no state, so it runs on a copy of the state machine.
         let mut ownership = self.ownership;
         let mut event = OwnershipEvent::ReplacementCheckDue;
         loop {
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Tries to get the owner lock back and to remove the successor's request; `None` if the successor still runs, or it is
-    /// too early to look again.
+    /// Tries to get the owner lock back, and removes the successor's request if that succeeds. Returns `None` if the
+    /// successor still runs, or if the next check is not due yet.
     pub(super) fn reacquire_owner_lock(&mut self) -> Option<R::Lock> {
         let now = self.directory.runtime.now();
         let (mut owner_lock, mut successor_lock) = (None, None);
@@ -135,7 +135,7 @@
             };
         }
         if owner_lock.is_some() {
-            // While the successor lock is held, so that no later successor's request is removed.
+            // Done while the successor lock is held, so that the request of a later successor is not removed.
             self.directory.remove(HANDOVER_REQUEST);
         }
         drop(successor_lock);
--- a/crates/relay/src/state_directory/directory.rs
+++ b/crates/relay/src/state_directory/directory.rs
@@ -9,7 +9,8 @@
 
 /// Locked by the process that owns the directory.
 pub(super) const OWNER_LOCK: &str = "owner.lock";
-/// Locked by the one process that is to own the directory next, until its predecessor has ended.
+/// Locked by the one process that is to own the directory next. The process keeps the lock until its predecessor has
+/// ended.
 pub(super) const SUCCESSOR_LOCK: &str = "next.lock";
 /// Locked by a process that has handed over, while its last calls are open.
 pub(super) const DEPARTING_LOCK: &str = "arm.lock";
@@ -22,7 +23,7 @@
 /// Ends of calls, appended by the departing process.
 pub(super) const CALL_ENDS: &str = "upgrade.ends";
 
-/// The state directory, as any process may use it.
+/// The state directory, with the operations that any process may perform on it.
 #[derive(Clone)]
 pub struct StateDirectory<R> {
     pub(super) runtime: R,
@@ -47,7 +48,7 @@
         self.runtime.lock(&self.file(name))
     }
 
-    /// Whether no process holds a lock. The lock is taken for an instant to find out, but its file is not created.
+    /// Whether no process holds a lock. The check acquires the lock for an instant, but does not create its file.
     pub(super) fn is_unlocked(&self, name: &str) -> bool {
         !self.exists(name) || matches!(self.lock(name), Ok(Some(_)))
     }
@@ -56,12 +57,12 @@
         self.runtime.read(&self.file(name)).is_ok()
     }
 
-    /// Removes a file. A missing file is no error, and one that cannot be removed now is removed at a later clean-up.
+    /// Removes a file. A missing file is no error, and a file that cannot be removed is left to a later clean-up.
     pub(super) fn remove(&self, name: &str) {
         drop(self.runtime.remove(&self.file(name)));
     }
 
-    /// Writes a file in one step, so that a reader sees either all of it or the file before.
+    /// Replaces a file atomically, so that a reader sees either the new or the previous content.
     pub(super) fn replace(&self, temporary: &str, name: &str, bytes: &[u8]) -> io::Result<()> {
         let temporary = self.file(temporary);
         self.runtime
--- a/crates/relay/src/state_directory/error.rs
+++ b/crates/relay/src/state_directory/error.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why a process did not become the owner of the state directory. Each message is one line for the operator.
+/// Why a process did not become the owner of the state directory. Each message is a single line for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum OwnershipError {
     /// A lock file cannot be opened or locked: the directory is missing, read-only or on a failing disk.
@@ -23,7 +23,7 @@
         /// The state directory.
         directory: PathBuf,
     },
-    /// A third process already waits for the owner to hand over.
+    /// Another process already waits for the owner to hand over.
     #[error("another process is about to take over already")]
     SuccessorExists,
 }
--- a/crates/relay/src/state_directory/error/tests.rs
+++ b/crates/relay/src/state_directory/error/tests.rs
@@ -1,4 +1,4 @@
-//! The messages that operators read, and `docs/operations.md` quotes.
+//! Tests of the error messages, which `docs/operations.md` quotes.
 
 use std::io;
 
--- a/crates/relay/src/state_directory/mod.rs
+++ b/crates/relay/src/state_directory/mod.rs
@@ -3,11 +3,11 @@
 //! Exactly one process owns the directory: the one that holds the lock on `owner.lock`. `docs/daily.md` describes the
 //! protocol step by step. The modules divide it as follows:
 //!
-//! - [`ownership`] decides who owns the directory and what comes next; it performs no I/O.
+//! - [`ownership`] is the state machine that decides what a process does next; it performs no I/O.
 //! - [`directory`] names the files and performs single operations on them; it decides nothing.
-//! - [`handover_state`] is the snapshot that the owner leaves to its successor.
-//! - [`call_ends`] is the channel by which the departing process reports how its last calls ended.
-//! - [`owner`] and [`departing_process`] are the shells that carry out the actions of [`ownership`].
+//! - [`handover_state`] is the snapshot that the owner writes for its successor.
+//! - [`call_ends`] is the file through which the departing process reports how its last calls ended.
+//! - [`owner`] and [`departing_process`] carry out the actions of [`ownership`] on the files.
 
 mod call_ends;
 mod departing_process;
--- a/crates/relay/src/state_directory/owner.rs
+++ b/crates/relay/src/state_directory/owner.rs
@@ -1,4 +1,4 @@
-//! The process that owns the state directory, or is about to: it carries out the actions of [`Ownership`] on files.
+//! The process that owns the state directory, or tries to: it carries out the actions of [`Ownership`] on files.
 
 #[cfg(test)]
 mod tests;
@@ -22,11 +22,11 @@
 };
 
 impl<R: Runtime> StateDirectory<R> {
-    /// Becomes the owner: at once, or once another process hands over. Only a process with an inherited listening
-    /// socket requests a hand-over, and it waits for that without limit.
+    /// Becomes the owner, either at once or when another process hands over. Only a process with an inherited listening
+    /// socket requests a hand-over, and it waits for it without a time limit.
     ///
     /// # Errors
-    /// The directory cannot be locked, another process keeps it, or a third one is about to take over.
+    /// If the directory cannot be locked, if another process keeps it, or if a third one is already waiting to take over.
     pub async fn acquire(
         self,
         listener: ListenerOrigin,
@@ -93,7 +93,7 @@
         log!(self.runtime, "upgrade: handover_requested");
     }
 
-    /// A request that cannot be written now is written at the next check.
+    /// Writes the request. If that fails, it is tried again at the next check.
     fn write_request(&self) {
         if !self.exists(HANDOVER_REQUEST) {
             drop(self.runtime.write(&self.file(HANDOVER_REQUEST), b""));
@@ -105,12 +105,12 @@
 pub struct DirectoryOwner<R: Runtime> {
     directory: StateDirectory<R>,
     ownership: Ownership,
-    /// Given away with the directory.
+    /// `None` once the directory is handed over.
     owner_lock: Option<R::Lock>,
     /// Held while the previous owner may still run.
     successor_lock: Option<R::Lock>,
     call_ends: CallEndsReader,
-    /// What this process kept of its calls when it reclaimed the directory after a hand-over.
+    /// The open calls and locks from before this process reclaimed the directory after a hand-over.
     departing: Option<DepartingProcess<R>>,
 }
 
@@ -131,11 +131,11 @@
         }
     }
 
-    /// Reclaims the directory for a departing process if its successor has exited. Open calls go on, and their ends come by
-    /// the file, as they would to another process.
+    /// Reclaims the directory for a departing process if its successor has exited. Open calls continue, and their ends are
+    /// read from the file, as another process would read them.
     ///
     /// # Errors
-    /// Gives the departing process back if its successor still runs, or it is too early to look again.
+    /// Returns the departing process if its successor still runs, or if the next check is not due yet.
     pub fn reclaim(mut departing: DepartingProcess<R>) -> Result<Self, DepartingProcess<R>> {
         let Some(owner_lock) = departing.reacquire_owner_lock() else {
             return Err(departing);
@@ -158,8 +158,8 @@
         self.ownership.took_over()
     }
 
-    /// The snapshot that the previous owner left, if any. Without a readable one this waits until the previous owner has
-    /// ended, as its open calls are unknown.
+    /// Reads the snapshot of the previous owner. If there is no readable one, waits until the previous owner has ended, as
+    /// its open calls are unknown.
     pub async fn read_handover(&mut self) -> Option<HandoverState> {
         let runtime = self.directory.runtime.clone();
         let bytes = runtime.read(&self.directory.file(HANDOVER_STATE));
@@ -187,7 +187,7 @@
         self.directory.remove(HANDOVER_REQUEST);
     }
 
-    /// When to check the directory next.
+    /// When to check the directory next; `None` if no check is needed.
     pub fn next_check_at(&self) -> Option<Instant> {
         self.ownership.next_check_at()
     }
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Ends of calls that were open at the previous owner, since the last call. Once that process has exited, the remaining
-    /// calls end as lost: they may have been executed.
+    /// Returns the ends of the previous owner's open calls that were reported since the last check. Once that process has
+    /// exited, the remaining calls end as lost: they may have been executed.
     pub fn take_call_ends(&mut self) -> Vec<CompletedCall> {
         let has_open_calls = self.call_ends.has_open_calls();
         let is_last = match self.handle(OwnershipEvent::CallEndsCheckDue { has_open_calls }) {
@@ -229,12 +229,13 @@
         ends
     }
 
-    /// Records that a call of this process has ended; it may be one from before the directory was reclaimed.
+    /// Records that a call of this process has ended. The call may have begun before the directory was reclaimed.
     pub fn call_completed(&mut self, end: &CompletedCall) {
         self.call_ends.open_calls_mut().remove(end);
     }
 
-    /// Ends the hand-over once the journal holds the ends of all calls of the previous owner, and that process has exited.
+    /// Removes the files of a hand-over once the journal holds the ends of all calls of the previous owner, and that
+    /// process has exited.
     pub fn clean_up(&mut self) {
         let mut event = OwnershipEvent::CallEndsRecorded {
             has_open_calls: self.call_ends.has_open_calls(),
@@ -265,12 +266,12 @@
         OwnershipEvent::CleanedUp
     }
 
-    /// Hands the directory over. The limit is that of the disk, in bytes. The departing process still holds the owner
-    /// lock, until it has closed its files.
+    /// Hands the directory over. `limit` is the disk limit in bytes. The departing process holds the owner lock until it
+    /// has closed its files.
     ///
     /// # Errors
-    /// The directory stays with this process if an earlier departing process still runs, or the snapshot cannot be
-    /// written or is too large.
+    /// If an earlier departing process still runs, or if the snapshot cannot be written or is too large. This process then
+    /// keeps the directory.
     pub fn start_handover(
         &mut self,
         mut state: HandoverState,
--- a/crates/relay/src/state_directory/owner/tests.rs
+++ b/crates/relay/src/state_directory/owner/tests.rs
@@ -1,4 +1,5 @@
-//! Two owners of one directory on the file system, in one process: locks belong to open files, not to processes.
+//! Tests with two owners of one directory on the real file system. One process can act as both, since locks belong to
+//! open files, not to processes.
 
 use std::fs;
 use std::path::PathBuf;
@@ -16,7 +17,7 @@
 
 const DISK_LIMIT: u64 = 3_000_000;
 
-/// An empty directory of the test's own, removed at its end.
+/// An empty directory for one test, removed when dropped.
 struct TestDirectory(PathBuf);
 
 impl TestDirectory {
@@ -38,7 +39,7 @@
 
     /// Acquires the directory, whose owner lock is free.
     async fn acquire_free(&self, listener: ListenerOrigin) -> DirectoryOwner<OsRuntime> {
-        self.acquire(listener).await.expect("it is free")
+        self.acquire(listener).await.expect("the directory is free")
     }
 
     fn exists(&self, name: &str) -> bool {
@@ -57,7 +58,7 @@
     HandoverState::new(false, vec![OPEN_CALL], HandoverSnapshot::default())
 }
 
-fn end() -> CompletedCall {
+fn open_call_delivered() -> CompletedCall {
     delivered(OPEN_CALL.id, OPEN_CALL.attempt)
 }
 
@@ -78,18 +79,23 @@
         };
         let (new, mut departing) =
             tokio::join!(directory.acquire(ListenerOrigin::Inherited), handover);
-        let mut new = new.expect("it is handed over");
+        let mut new = new.expect("the directory is handed over");
         assert!(new.took_over() && !departing.is_replaced());
         let left = new.read_handover().await.expect("a snapshot");
         assert_eq!(left.open_calls, [OPEN_CALL]);
         new.withdraw_request();
         assert!(departing.is_replaced() && !departing.is_idle());
         assert!(new.take_call_ends().is_empty());
-        departing.report_call_end(&end()).expect("written");
+        departing
+            .report_call_end(&open_call_delivered())
+            .expect("written");
         assert!(departing.is_idle());
-        assert_eq!(new.take_call_ends(), [end()]);
+        assert_eq!(new.take_call_ends(), [open_call_delivered()]);
         new.clean_up();
-        assert!(directory.exists("upgrade.state"), "the old one still runs");
+        assert!(
+            directory.exists("upgrade.state"),
+            "the old process still runs"
+        );
         drop(departing);
         new.clean_up();
         assert!(!directory.exists("upgrade.state") && !directory.exists("upgrade.ends"));
@@ -106,16 +112,16 @@
         let mut departing = old.start_handover(state(), DISK_LIMIT).expect("it fits");
         departing.release_directory();
         let Err(departing) = DirectoryOwner::reclaim(departing) else {
-            panic!("it looked too early");
+            panic!("reclaimed before the check was due");
         };
         OsRuntime.sleep(REQUEST_CHECK_INTERVAL).await;
         let Ok(mut new) = DirectoryOwner::reclaim(departing) else {
-            panic!("nobody holds the locks");
+            panic!("not reclaimed although both locks are free");
         };
         assert!(!new.took_over() && !new.handover_requested());
         assert!(new.read_handover().await.is_some());
-        assert!(new.take_call_ends().is_empty(), "its own call is open");
-        new.call_completed(&end());
+        assert!(new.take_call_ends().is_empty(), "the call is still open");
+        new.call_completed(&open_call_delivered());
         new.clean_up();
         assert!(!directory.exists("upgrade.state"));
     });
--- a/crates/relay/src/state_directory/ownership.rs
+++ b/crates/relay/src/state_directory/ownership.rs
@@ -1,31 +1,31 @@
-//! The state machine of ownership: who owns the state directory, and what a process does next. It performs no I/O.
+//! The state machine of ownership: whether a process owns the state directory, and what it does next. It performs no I/O.
 //!
-//! A process reports what it observed as an [`OwnershipEvent`] and carries out the returned [`OwnershipAction`]. An
-//! action that is a question (a lock, a probe, a search) is followed by the event that answers it. Each state knows
-//! only the events that can occur in it; any other leaves it unchanged.
+//! A process reports what it observed as an [`OwnershipEvent`] and carries out the returned [`OwnershipAction`]. The
+//! result of an action that queries something (a lock, a probe, a search) is reported as the next event. Each state
+//! handles only the events that can occur in it; any other event leaves the state unchanged.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::{Duration, Instant};
 
-/// How long a process without an inherited socket waits for the owner lock: a process that ends releases its lock
-/// only after its exit.
+/// How long a process without an inherited socket waits for the owner lock: the lock of a process that ends is released
+/// only when the process has exited.
 pub(super) const OWNER_LOCK_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a successor waits for the successor lock. The owner probes that lock and holds it for an instant; one that
-/// is held for longer has a holder.
+/// How long a successor waits for the successor lock. The owner's probe holds the lock only for an instant, so a lock that
+/// is held for longer belongs to another successor.
 pub(super) const SUCCESSOR_LOCK_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often a serving process looks for a request, and a departing one tries to reclaim the directory.
+/// How often a serving process checks for a request, and a departing one tries to reclaim the directory.
 pub(super) const REQUEST_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often two processes look at each other's files during a hand-over.
+/// How often two processes check each other's files during a hand-over.
 pub(super) const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Delay of the next attempt after a hand-over that could not be written.
 pub(super) const HANDOVER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Where the process has its listening socket from.
+/// How the process obtained its listening socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerOrigin {
-    /// The platform holds the socket and passed it on, so that two processes may run side by side.
+    /// The platform holds the socket and passed it to the process, so that two processes may run side by side.
     Inherited,
     /// The process binds the address itself, which a second process cannot do.
     Bound,
@@ -34,41 +34,41 @@
 /// The previous owner, if it may still be running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Predecessor {
-    /// None that handed over to this process.
+    /// No process handed over to this one, or the hand-over is complete.
     None,
-    /// Another process handed over; this one holds the successor lock.
+    /// Another process handed over, and this one holds the successor lock.
     OtherProcess,
-    /// This process handed over and reclaimed the directory; its calls from before are still its own.
+    /// This process handed over and reclaimed the directory. Its earlier calls still run in it.
     SameProcess,
 }
 
-/// The relation of the process to the directory.
+/// The state of the process with regard to the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnershipState {
     /// Tries the owner lock.
     Acquiring { deadline: Instant },
     /// Tries the successor lock, as another process owns the directory.
     Claiming { deadline: Instant },
-    /// Holds the successor lock, and requests the directory until the owner releases it.
+    /// Holds the successor lock, and requests the directory until the owner releases its lock.
     Requesting,
-    /// Holds the owner lock, and has not read the hand-over snapshot yet.
+    /// Holds the owner lock, but has not read the hand-over snapshot yet.
     Restoring { predecessor: Predecessor },
     /// Owns the directory.
     Owner {
         predecessor: Predecessor,
-        /// A snapshot was read, and stays until the calls that it names have ended.
+        /// Whether a snapshot was read. Its file is kept until the calls that it names have ended.
         has_snapshot: bool,
     },
-    /// Has handed over, and finishes its calls.
+    /// Has handed over, and finishes its open calls.
     Departing { reclaim_at: Instant },
 }
 
-/// What a process observed.
+/// An observation that a process reports to the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnershipEvent {
-    /// The process starts.
+    /// The process has started.
     Started,
-    /// A wait is over.
+    /// The time of an [`OwnershipAction::Wait`] has elapsed.
     WaitElapsed,
     /// The owner lock was acquired.
     OwnerLockAcquired,
@@ -84,7 +84,7 @@
     SnapshotRead,
     /// There is no hand-over snapshot, or an unreadable one.
     SnapshotMissing,
-    /// It is time to look for a hand-over request.
+    /// The check for a hand-over request is due.
     RequestCheckDue,
     /// There is a request file.
     RequestFound,
@@ -94,7 +94,7 @@
     SuccessorAlive,
     /// No process holds the successor lock.
     SuccessorGone,
-    /// It is time to read ends of the predecessor's calls.
+    /// The check for ends of the predecessor's calls is due.
     CallEndsCheckDue { has_open_calls: bool },
     /// Ends that were read are in the journal.
     CallEndsRecorded { has_open_calls: bool },
@@ -102,59 +102,59 @@
     PredecessorAlive,
     /// The departing process has ended.
     PredecessorGone,
-    /// The files of the hand-over are removed, and the locks that it needed are released.
+    /// The files of the hand-over were removed, and the locks that it needed were released.
     CleanedUp,
     /// A hand-over begins.
     HandoverStarted,
-    /// The snapshot is written, so that the successor may have the directory.
+    /// The snapshot was written, so that the successor may take over the directory.
     HandoverWritten,
-    /// The departing process asks whether its successor serves.
+    /// The departing process checks whether its successor serves.
     ReplacementCheckDue,
-    /// The departing process asks whether its successor has exited.
+    /// The departing process checks whether its successor has exited.
     ReclaimCheckDue,
 }
 
-/// What the process does next.
+/// The next step of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnershipAction {
-    /// Nothing.
+    /// No action.
     None,
     /// Wait for [`HANDOVER_POLL_INTERVAL`].
     Wait,
-    /// Try the owner lock.
+    /// Try to acquire the owner lock.
     LockOwner,
-    /// Try the successor lock.
+    /// Try to acquire the successor lock.
     LockSuccessor,
-    /// Write the request file if there is none: the owner removes a request that looks abandoned.
+    /// Write the request file if there is none. It may be missing because the owner removes requests that seem abandoned.
     WriteRequest,
-    /// Own the directory, and read what the predecessor left.
+    /// Use the directory as its owner, and read the predecessor's snapshot.
     BecomeOwner,
-    /// Give up, as the directory is in use.
+    /// Fail, as the directory is in use.
     FailInUse,
-    /// Give up, as another process waits for the directory.
+    /// Fail, as another process waits for the directory.
     FailSuccessorExists,
-    /// See whether there is a request file.
+    /// Check whether there is a request file.
     FindRequest,
-    /// See whether a process holds the successor lock.
+    /// Check whether a process holds the successor lock.
     ProbeSuccessor,
     /// Remove the request of a process that has exited.
     RemoveRequest,
-    /// Begin to hand over.
+    /// Start the hand-over.
     AcceptRequest,
-    /// See whether the departing process still runs.
+    /// Check whether the departing process still runs.
     ProbePredecessor,
-    /// Read ends of calls that another process reports. Whether it still runs is probed before they are read: what it
-    /// wrote last is then there.
+    /// Read the ends of calls that another process reports. The probe whether that process still runs must precede the
+    /// read, so that the read includes the last ends that the process wrote.
     ReadPredecessorCallEnds,
-    /// Read ends of calls that this process reported.
+    /// Read the ends of calls that this process reported while it was departing.
     ReadOwnCallEnds,
     /// Remove the files of the hand-over, and release the locks that it needed.
     CleanUp,
-    /// The successor serves.
+    /// Report that the successor serves.
     ReportReplaced,
 }
 
-/// The ownership of one process.
+/// The ownership state machine of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Ownership {
     state: OwnershipState,
@@ -163,7 +163,7 @@
 }
 
 impl Ownership {
-    /// A process that starts.
+    /// Creates the state machine of a process that starts.
     pub(super) fn new(listener: ListenerOrigin, now: Instant) -> Self {
         Ownership {
             state: OwnershipState::Acquiring {
@@ -174,12 +174,12 @@
         }
     }
 
-    /// When the owner looks at the directory next, if ever.
+    /// When the owner checks the directory next; `None` if no check is needed.
     pub(super) fn next_check_at(&self) -> Option<Instant> {
         self.next_check_at
     }
 
-    /// Whether this process took over from one that was running.
+    /// Whether this process took over from another one that was running, and that hand-over is not complete yet.
     pub(super) fn took_over(&self) -> bool {
         self.predecessor() == Predecessor::OtherProcess
     }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Takes an observation, and returns what to do next.
+    /// Handles an observation and returns the next action.
     pub(super) fn handle(&mut self, event: OwnershipEvent, now: Instant) -> OwnershipAction {
         match self.state {
             OwnershipState::Acquiring { deadline } => self.acquire(deadline, event, now),
@@ -280,7 +280,7 @@
             OwnershipEvent::SnapshotMissing | OwnershipEvent::WaitElapsed => {
                 OwnershipAction::ProbePredecessor
             }
-            // Which calls are open there is unknown: none may be left when this process sends the next.
+            // It is unknown which calls are open there, so all must have ended before this process makes any.
             OwnershipEvent::PredecessorAlive => OwnershipAction::Wait,
             OwnershipEvent::PredecessorGone => OwnershipAction::CleanUp,
             OwnershipEvent::CleanedUp => self.finish_clean_up(now),
@@ -299,7 +299,7 @@
             OwnershipEvent::RequestCheckDue => self.check_request(predecessor, now),
             OwnershipEvent::RequestFound => OwnershipAction::ProbeSuccessor,
             OwnershipEvent::SuccessorAlive => OwnershipAction::AcceptRequest,
-            // Nobody would take what is handed over.
+            // There is no process to hand over to.
             OwnershipEvent::SuccessorGone => OwnershipAction::RemoveRequest,
             OwnershipEvent::CallEndsCheckDue { has_open_calls } => {
                 self.check_call_ends(predecessor, has_open_calls, now)
@@ -307,7 +307,7 @@
             OwnershipEvent::CallEndsRecorded {
                 has_open_calls: false,
             } => match predecessor {
-                // Cleans up only once: a later request is not this one's to remove.
+                // Cleans up only once, as the request of a later successor must not be removed.
                 Predecessor::None | Predecessor::SameProcess if !has_snapshot => {
                     OwnershipAction::None
                 }
@@ -374,8 +374,8 @@
     ) -> OwnershipAction {
         match event {
             OwnershipEvent::ReplacementCheckDue => OwnershipAction::FindRequest,
-            // The successor removes its request once it takes clients, and holds its lock for as long as this process
-            // runs: one that has served and died is no owner.
+            // The successor removes its request once it accepts clients, and holds its lock as long as this process runs.
+            // A free lock therefore shows that the successor has died, even if it has served.
             OwnershipEvent::RequestMissing => OwnershipAction::ProbeSuccessor,
             OwnershipEvent::SuccessorAlive => OwnershipAction::ReportReplaced,
             OwnershipEvent::ReclaimCheckDue if now >= reclaim_at => {
--- a/crates/relay/src/state_directory/ownership/tests.rs
+++ b/crates/relay/src/state_directory/ownership/tests.rs
@@ -1,4 +1,4 @@
-//! The state machine of ownership, played without files: observations go in, actions come out.
+//! Tests of the ownership state machine, without files: each event is checked against the action it returns.
 
 use std::time::{Duration, Instant};
 
@@ -43,7 +43,7 @@
     },
 ];
 
-/// One process' ownership, and the moment at which its next events occur.
+/// One process' ownership, and the time at which its next events occur.
 #[derive(Clone, Copy)]
 struct TestOwnership {
     ownership: Ownership,
@@ -60,9 +60,9 @@
         }
     }
 
-    /// A process that got a free directory and has cleaned up.
+    /// A process that acquired a free directory and has cleaned up.
     fn owner(listener: ListenerOrigin) -> Self {
-        Self::starting(listener).play(&[
+        Self::starting(listener).assert_actions(&[
             (Event::Started, Action::LockOwner),
             (Event::OwnerLockAcquired, Action::BecomeOwner),
             (Event::SnapshotMissing, Action::ProbePredecessor),
@@ -71,9 +71,9 @@
         ])
     }
 
-    /// A process that found another owner and tries the successor lock.
+    /// A process that found another owner and tries to acquire the successor lock.
     fn claiming() -> Self {
-        Self::starting(ListenerOrigin::Inherited).play(&[
+        Self::starting(ListenerOrigin::Inherited).assert_actions(&[
             (Event::Started, Action::LockOwner),
             (Event::OwnerLockHeld, Action::LockSuccessor),
         ])
@@ -81,22 +81,22 @@
 
     /// A process that has the successor lock and has written its request.
     fn requesting() -> Self {
-        Self::claiming().play(&[
+        Self::claiming().assert_actions(&[
             (Event::SuccessorLockAcquired, Action::WriteRequest),
             (Event::RequestWritten, Action::LockOwner),
         ])
     }
 
-    /// A process that requested the directory and got it, but has not read the snapshot yet.
+    /// A process that requested and acquired the directory, but has not read the snapshot yet.
     fn successor() -> Self {
         Self::requesting()
-            .play(&OWNER_STAYS)
-            .play(&[(Event::OwnerLockAcquired, Action::BecomeOwner)])
+            .assert_actions(&OWNER_LOCK_STILL_HELD)
+            .assert_actions(&[(Event::OwnerLockAcquired, Action::BecomeOwner)])
     }
 
     /// A process that has handed over.
     fn departing() -> Self {
-        Self::owner(ListenerOrigin::Inherited).play(&[
+        Self::owner(ListenerOrigin::Inherited).assert_actions(&[
             (Event::RequestCheckDue, Action::FindRequest),
             (Event::RequestFound, Action::ProbeSuccessor),
             (Event::SuccessorAlive, Action::AcceptRequest),
@@ -105,16 +105,18 @@
         ])
     }
 
-    /// A process that handed over and got the directory back.
+    /// A process that handed over and reclaimed the directory.
     fn reclaimed() -> Self {
-        Self::departing().after(REQUEST_CHECK_INTERVAL).play(&[
-            (Event::ReclaimCheckDue, Action::LockSuccessor),
-            (Event::SuccessorLockAcquired, Action::LockOwner),
-            (Event::OwnerLockAcquired, Action::BecomeOwner),
-        ])
+        Self::departing()
+            .after(REQUEST_CHECK_INTERVAL)
+            .assert_actions(&[
+                (Event::ReclaimCheckDue, Action::LockSuccessor),
+                (Event::SuccessorLockAcquired, Action::LockOwner),
+                (Event::OwnerLockAcquired, Action::BecomeOwner),
+            ])
     }
 
-    /// Moves on by a span of time.
+    /// Advances the time of the next events.
     fn after(self, span: Duration) -> Self {
         TestOwnership {
             now: self.now + span,
@@ -122,8 +124,8 @@
         }
     }
 
-    /// Plays events that all occur at one moment, and checks the action that each leads to.
-    fn play(mut self, steps: &[(Event, Action)]) -> Self {
+    /// Handles events that occur at the same time, and checks the action that each returns.
+    fn assert_actions(mut self, steps: &[(Event, Action)]) -> Self {
         for (event, action) in steps {
             assert_eq!(
                 self.ownership.handle(*event, self.now),
@@ -135,7 +137,7 @@
         self
     }
 
-    /// Handles an event, whatever action it leads to.
+    /// Handles an event without a check of the action.
     fn handle(mut self, event: Event) -> Self {
         self.ownership.handle(event, self.now);
         self
@@ -156,8 +158,8 @@
     }
 }
 
-/// A successor's look at the owner lock, while the owner still has it.
-const OWNER_STAYS: [(Event, Action); 3] = [
+/// A successor's next try of the owner lock, while the owner still holds it.
+const OWNER_LOCK_STILL_HELD: [(Event, Action); 3] = [
     (Event::OwnerLockHeld, Action::Wait),
     (Event::WaitElapsed, Action::WriteRequest),
     (Event::RequestWritten, Action::LockOwner),
@@ -182,7 +184,11 @@
         }
     );
     assert!(!owner.took_over());
-    assert_eq!(owner.next_check_in(), None, "nobody can request it");
+    assert_eq!(
+        owner.next_check_in(),
+        None,
+        "no process can request the directory"
+    );
     assert_eq!(
         TestOwnership::owner(ListenerOrigin::Inherited).next_check_in(),
         Some(REQUEST_CHECK_INTERVAL)
@@ -192,15 +198,15 @@
 #[test]
 fn process_without_inherited_listener_waits_for_the_owner_lock_and_then_fails() {
     TestOwnership::starting(ListenerOrigin::Bound)
-        .play(&[
+        .assert_actions(&[
             (Event::Started, Action::LockOwner),
             (Event::OwnerLockHeld, Action::Wait),
             (Event::WaitElapsed, Action::LockOwner),
         ])
         .after(OWNER_LOCK_TIMEOUT - MILLISECOND)
-        .play(&[(Event::OwnerLockHeld, Action::Wait)])
+        .assert_actions(&[(Event::OwnerLockHeld, Action::Wait)])
         .after(MILLISECOND)
-        .play(&[
+        .assert_actions(&[
             (Event::WaitElapsed, Action::LockOwner),
             (Event::OwnerLockHeld, Action::FailInUse),
         ]);
@@ -209,54 +215,54 @@
 #[test]
 fn third_process_fails_once_the_successor_lock_has_a_holder() {
     TestOwnership::claiming()
-        .play(&[
+        .assert_actions(&[
             (Event::SuccessorLockHeld, Action::Wait),
             (Event::WaitElapsed, Action::LockSuccessor),
         ])
         .after(SUCCESSOR_LOCK_TIMEOUT - MILLISECOND)
-        .play(&[(Event::SuccessorLockHeld, Action::Wait)])
+        .assert_actions(&[(Event::SuccessorLockHeld, Action::Wait)])
         .after(MILLISECOND)
-        .play(&[(Event::SuccessorLockHeld, Action::FailSuccessorExists)]);
+        .assert_actions(&[(Event::SuccessorLockHeld, Action::FailSuccessorExists)]);
 }
 
 #[test]
 fn successor_requests_without_limit_until_the_owner_releases_its_lock() {
     let requesting = TestOwnership::requesting()
         .after(100 * OWNER_LOCK_TIMEOUT)
-        .play(&OWNER_STAYS);
+        .assert_actions(&OWNER_LOCK_STILL_HELD);
     assert_eq!(requesting.state(), OwnershipState::Requesting);
-    let successor = requesting.play(&[(Event::OwnerLockAcquired, Action::BecomeOwner)]);
+    let successor = requesting.assert_actions(&[(Event::OwnerLockAcquired, Action::BecomeOwner)]);
     assert!(successor.took_over());
 }
 
 #[test]
 fn successor_without_a_snapshot_waits_until_its_predecessor_has_ended() {
-    let owner = TestOwnership::successor().play(&[
+    let owner = TestOwnership::successor().assert_actions(&[
         (Event::SnapshotMissing, Action::ProbePredecessor),
         (Event::PredecessorAlive, Action::Wait),
         (Event::WaitElapsed, Action::ProbePredecessor),
         (Event::PredecessorGone, Action::CleanUp),
         (Event::CleanedUp, Action::None),
     ]);
-    assert!(!owner.took_over(), "the handover is complete");
+    assert!(!owner.took_over(), "the hand-over is complete");
 }
 
 #[test]
-fn successor_cleans_up_once_all_calls_ended_and_its_predecessor_is_gone() {
-    let owner = TestOwnership::successor().play(&[
+fn successor_cleans_up_once_all_calls_ended_and_its_predecessor_has_exited() {
+    let owner = TestOwnership::successor().assert_actions(&[
         (Event::SnapshotRead, Action::None),
         (Event::RequestCheckDue, Action::None),
         (call_ends_check_due(true), Action::ReadPredecessorCallEnds),
     ]);
     assert_eq!(owner.next_check_in(), Some(HANDOVER_POLL_INTERVAL));
-    owner.play(&[
+    owner.assert_actions(&[
         (call_ends_recorded(true), Action::None),
         (call_ends_recorded(false), Action::ProbePredecessor),
         (Event::PredecessorAlive, Action::None),
         (call_ends_recorded(false), Action::ProbePredecessor),
         (Event::PredecessorGone, Action::CleanUp),
         (Event::CleanedUp, Action::None),
-        // A later request is not this process's to remove.
+        // The request of a later successor must not be removed.
         (call_ends_recorded(false), Action::None),
         (Event::RequestCheckDue, Action::FindRequest),
     ]);
@@ -264,7 +270,7 @@
 
 #[test]
 fn snapshot_of_a_crashed_successor_is_used_and_cleaned_up() {
-    let owner = TestOwnership::starting(ListenerOrigin::Bound).play(&[
+    let owner = TestOwnership::starting(ListenerOrigin::Bound).assert_actions(&[
         (Event::Started, Action::LockOwner),
         (Event::OwnerLockAcquired, Action::BecomeOwner),
         (Event::SnapshotRead, Action::None),
@@ -277,29 +283,30 @@
 }
 
 #[test]
-fn request_without_a_living_successor_is_removed() {
-    TestOwnership::owner(ListenerOrigin::Inherited).play(&[
+fn request_without_a_running_successor_is_removed() {
+    TestOwnership::owner(ListenerOrigin::Inherited).assert_actions(&[
         (Event::RequestCheckDue, Action::FindRequest),
         (Event::RequestMissing, Action::None),
         (Event::RequestCheckDue, Action::FindRequest),
         (Event::RequestFound, Action::ProbeSuccessor),
         (Event::SuccessorGone, Action::RemoveRequest),
     ]);
-    TestOwnership::owner(ListenerOrigin::Bound).play(&[(Event::RequestCheckDue, Action::None)]);
+    TestOwnership::owner(ListenerOrigin::Bound)
+        .assert_actions(&[(Event::RequestCheckDue, Action::None)]);
 }
 
 #[test]
 fn failed_handover_leaves_the_owner_in_place_and_is_retried_later() {
     let before = TestOwnership::owner(ListenerOrigin::Inherited);
-    let after = before.play(&[(Event::HandoverStarted, Action::None)]);
+    let after = before.assert_actions(&[(Event::HandoverStarted, Action::None)]);
     assert_eq!(after.state(), before.state());
     assert_eq!(after.next_check_in(), Some(HANDOVER_RETRY_DELAY));
 }
 
 #[test]
-fn departing_process_is_replaced_once_the_request_is_withdrawn_and_the_successor_lives() {
+fn departing_process_is_replaced_once_the_request_is_withdrawn_and_the_successor_runs() {
     let before = TestOwnership::departing();
-    let after = before.play(&[
+    let after = before.assert_actions(&[
         (Event::ReplacementCheckDue, Action::FindRequest),
         (Event::RequestFound, Action::None),
         (Event::ReplacementCheckDue, Action::FindRequest),
@@ -310,7 +317,7 @@
     ]);
     assert_eq!(
         after.ownership, before.ownership,
-        "the question changes nothing"
+        "the check changes nothing"
     );
 }
 
@@ -318,15 +325,15 @@
 fn departing_process_reclaims_only_when_both_locks_are_free_and_at_most_once_an_interval() {
     let departing = TestOwnership::departing()
         .after(REQUEST_CHECK_INTERVAL - MILLISECOND)
-        .play(&[(Event::ReclaimCheckDue, Action::None)])
+        .assert_actions(&[(Event::ReclaimCheckDue, Action::None)])
         .after(MILLISECOND)
-        .play(&[
+        .assert_actions(&[
             (Event::ReclaimCheckDue, Action::LockSuccessor),
             (Event::SuccessorLockHeld, Action::None),
             (Event::ReclaimCheckDue, Action::None),
         ])
         .after(REQUEST_CHECK_INTERVAL)
-        .play(&[
+        .assert_actions(&[
             (Event::ReclaimCheckDue, Action::LockSuccessor),
             (Event::SuccessorLockAcquired, Action::LockOwner),
             (Event::OwnerLockHeld, Action::None),
@@ -338,10 +345,10 @@
 }
 
 #[test]
-fn reclaimed_directory_needs_no_probe_of_its_own_process() {
+fn reclaimed_directory_is_cleaned_up_without_a_probe_of_the_predecessor() {
     let reclaimed = TestOwnership::reclaimed();
     assert!(!reclaimed.took_over());
-    reclaimed.play(&[
+    reclaimed.assert_actions(&[
         (Event::SnapshotRead, Action::None),
         (Event::RequestCheckDue, Action::None),
         (call_ends_check_due(false), Action::ReadOwnCallEnds),
@@ -349,7 +356,7 @@
         (Event::CleanedUp, Action::None),
         (call_ends_check_due(false), Action::None),
     ]);
-    reclaimed.play(&[
+    reclaimed.assert_actions(&[
         (Event::SnapshotMissing, Action::CleanUp),
         (Event::CleanedUp, Action::None),
     ]);
--- a/crates/relay/src/state_directory/test_support.rs
+++ b/crates/relay/src/state_directory/test_support.rs
@@ -1,4 +1,4 @@
-//! Values that the tests of several modules share.
+//! Values shared by the tests of several modules.
 
 use policy::types::{AttemptOutcome, MessageId};
 use relay_events::CompletedCall;
@@ -12,7 +12,7 @@
     host: 3,
 };
 
-/// The delivery of a message by an attempt.
+/// The end of a call that delivered its message.
 pub(super) fn delivered(id: MessageId, attempt: u8) -> CompletedCall {
     CompletedCall {
         id,
--- a/crates/relay/src/stored_format_tests/cached_state.rs
+++ b/crates/relay/src/stored_format_tests/cached_state.rs
@@ -1,4 +1,4 @@
-//! The cached list of hosts and outages.
+//! The stored format of the cached list of hosts and outages.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use crate::cached_state::CachedState;
 
 fn cached_state() -> CachedState {
-    let line = |at: u16| HostListEntry {
+    let entry = |at: u16| HostListEntry {
         name: format!("s-{at:04x}"),
         address: SocketAddr::from(([127, 12, 0, at as u8], 40_000)),
         zone: format!("leith-dc-{}", at % 2),
@@ -27,7 +27,7 @@
     let list = HostList {
         version: 7,
         is_full: true,
-        hosts: (0..6).map(line).collect(),
+        hosts: (0..6).map(entry).collect(),
     };
     CachedState {
         list,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn cached_state_is_written_and_read_as_before() {
+fn cached_state_is_written_and_read_as_the_golden_file() {
     let directory = directory("memory");
     cached_state()
         .save(&OsRuntime, &directory, DISK_LIMIT)
@@ -62,7 +62,7 @@
     assert_eq!(
         CachedState::load(&OsRuntime, &directory),
         cached_state(),
-        "of a version that kept no checksum"
+        "the file of a version that wrote no checksum"
     );
     fs::remove_dir_all(directory).expect("removed");
 }
--- a/crates/relay/src/stored_format_tests/handover.rs
+++ b/crates/relay/src/stored_format_tests/handover.rs
@@ -1,4 +1,4 @@
-//! The handover snapshot and the channel of call ends.
+//! The stored formats of the hand-over snapshot and of the call ends.
 
 use policy::types::{
     Action, AttemptEnd, AttemptOutcome, DestinationKind, Event, HostEntry, HostState, Idempotency,
@@ -69,7 +69,7 @@
     }
 }
 
-/// A policy with routes in every state: healthy, rejecting, failing, and with a call open.
+/// Creates a policy with routes in every state: healthy, rejecting, failing, and with an open call.
 fn policy_with_routes_in_every_state() -> DeliveryPolicy {
     let mut policy = DeliveryPolicy::new(settings(), 7);
     let mut now = 1_000_000;
@@ -120,7 +120,7 @@
     }
 }
 
-/// How an attempt ends, by its host; every tenth call stays open.
+/// The end of an attempt, which depends on its host; `None` for every tenth call, which stays open.
 fn attempt_end(action: &Action) -> Option<Event> {
     let Action::Send { id, host, .. } = *action else {
         return None;
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn handover_state_is_written_and_read_as_before() {
+fn handover_state_is_written_and_read_as_the_golden_file() {
     let text = golden("upgrade.state");
     assert_eq!(encode(&state()).expect("encodes"), text);
     let (read, size) = decode::<HandoverState>(&text)
@@ -183,7 +183,7 @@
     assert_eq!(
         encode(&read).expect("encodes"),
         text,
-        "the policy's part, too, is read completely"
+        "the policy's part is read completely as well"
     );
 }
 
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn call_ends_of_a_handover_are_written_and_read_as_before() {
+fn call_ends_are_written_and_read_as_the_golden_file() {
     let text = golden("upgrade.ends");
     let written: Vec<u8> = call_ends()
         .iter()
--- a/crates/relay/src/stored_format_tests/journal.rs
+++ b/crates/relay/src/stored_format_tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal: every kind of record.
+//! The stored format of the journal, with every kind of record.
 
 use std::fs;
 use std::path::Path;
@@ -34,7 +34,7 @@
     }
 }
 
-/// Writes every kind of record.
+/// Writes a journal with every kind of record.
 fn write_journal(directory: &Path) {
     let mut journal = Journal::open(OsRuntime, directory, DISK_LIMIT).expect("opens");
     declare_classes(&mut journal);
@@ -105,7 +105,7 @@
         .expect("written");
 }
 
-/// One resend with an attempt from before, which has the number 0, and one without.
+/// Writes one resend with a past attempt, which has the number 0, and one without.
 fn write_resends(journal: &mut Journal<OsRuntime>) {
     let origin = ResendOrigin {
         record: 12,
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn journal_is_written_as_before() {
+fn written_journal_matches_the_golden_file() {
     let directory = directory("journal-written");
     write_journal(&directory);
     assert_eq!(
@@ -138,14 +138,14 @@
 }
 
 #[test]
-fn journal_with_a_torn_tail_is_read_as_before() {
+fn golden_journal_with_a_torn_tail_is_read() {
     let directory = directory("journal-read");
     let mut bytes = golden("journal");
     let length = bytes.len();
     bytes.extend(&golden("journal")[..21]);
     fs::write(directory.join("journal"), bytes).expect("written");
     let journal = Journal::open(OsRuntime, &directory, DISK_LIMIT).expect("opens");
-    assert_eq!(journal.length(), length, "the torn tail is cut off");
+    assert_eq!(journal.length(), length, "the torn tail is truncated");
     let text = format!("{:#?}\n", summary(&journal));
     assert_eq!(
         text,
@@ -154,7 +154,7 @@
     fs::remove_dir_all(directory).expect("removed");
 }
 
-/// What a journal holds, in terms that no renaming of types or fields touches.
+/// The content of a journal, as text that does not depend on the names of types or fields.
 fn summary(journal: &Journal<OsRuntime>) -> Vec<String> {
     let messages = journal.pending().iter();
     messages
--- a/crates/relay/src/stored_format_tests/mod.rs
+++ b/crates/relay/src/stored_format_tests/mod.rs
@@ -1,5 +1,5 @@
-//! Golden files of what outlasts a process: this version writes the same bytes as the one that made the files,
-//! and reads them. The files in `tests/golden` are never rewritten by a test.
+//! Tests of the stored formats against golden files: the program writes exactly the bytes of the files, and reads them.
+//! No test rewrites the files in `tests/golden`.
 
 mod cached_state;
 mod handover;
@@ -19,7 +19,7 @@
     fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// An empty directory of the test's own.
+/// Creates an empty directory for one test.
 fn directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("stored-format-{name}-{}", std::process::id()));
     drop(fs::remove_dir_all(&path));
