--- a/crates/relay/src/call_log.rs
+++ b/crates/relay/src/call_log.rs
@@ -1,8 +1,9 @@
-//! The call log: one line for each event that the policy sees and each action that it takes, for statistics over a
+//! The call log: one line for each event that the policy handles and each action that it takes, for statistics over a
 //! fleet of relays.
 //!
-//! A line is `call_log: event time_ms=T key=value`, with `T` in Unix milliseconds; `relay-experiments fleet` parses it, and
-//! also the form of earlier versions, `fleet T label values`. Bodies, keys and names of messages are never written.
+//! A line has the form `call_log: event time_ms=T key=value`, with `T` in Unix milliseconds. `relay-experiments fleet`
+//! parses it, as well as the format of earlier versions, `fleet T label values`. Bodies, keys and names of messages are
+//! never written.
 
 #[cfg(test)]
 mod tests;
@@ -18,47 +19,47 @@
 
 use crate::host_directory::HostDirectory;
 
-/// How often table levels are written, in microseconds.
-const LEVEL_INTERVAL: Micros = 10_000_000;
-/// Microseconds in a millisecond, the unit of the lines.
+/// Interval between log lines with the table levels, in microseconds.
+const TABLE_LEVELS_INTERVAL: Micros = 10_000_000;
+/// Microseconds per millisecond, the unit of times in the log lines.
 const MICROS_PER_MS: Micros = 1000;
-/// Stands for the destination of a message that is no longer known.
+/// Logged as the destination of a message whose destination is no longer known.
 const UNKNOWN_DESTINATION: DestinationId = DestinationId::MAX;
 
-/// How full a table is.
+/// The occupancy of a table.
 pub struct TableLevel {
     /// The table's name in the call log.
     pub name: &'static str,
-    /// What the table holds.
+    /// Current occupancy, in the unit of the table.
     pub used: usize,
-    /// The most that it may hold, in the same unit.
+    /// Maximum occupancy, in the same unit.
     pub capacity: usize,
 }
 
-/// Writes the call log; does nothing where the operator file does not ask for one.
+/// Writes the call log; does nothing unless the operator file enables it.
 pub struct CallLog<R> {
     runtime: R,
     is_enabled: bool,
-    /// Destinations of the queued messages, as an event about a message's end has only its number. Bounded by the
-    /// number of queued messages.
+    /// Destinations of the queued messages. They are stored here because an event about the end of a message contains
+    /// only the message's number. The number of queued messages limits the size of this map.
     destinations: BTreeMap<MessageId, DestinationId>,
-    /// When levels are written next, in Unix time.
-    next_levels_at: Micros,
+    /// When the table levels are due next, in microseconds of Unix time.
+    next_table_levels_at: Micros,
 }
 
 impl<R: Runtime> CallLog<R> {
-    /// A call log, enabled as the operator file sets it.
+    /// Creates a call log; `is_enabled` is the setting of the operator file.
     pub fn new(runtime: R, is_enabled: bool) -> Self {
         CallLog {
             runtime,
             is_enabled,
             destinations: BTreeMap::new(),
-            next_levels_at: 0,
+            next_table_levels_at: 0,
         }
     }
 
-    /// Records that the process has started with these settings.
-    pub fn start(&self, now: Micros, settings: &Settings) {
+    /// Records that the process started with these settings.
+    pub fn record_start(&self, now: Micros, settings: &Settings) {
         if !self.is_enabled {
             return;
         }
@@ -83,7 +84,7 @@
     }
 
     /// Records the end of a call, if a connection was opened for it.
-    pub fn call(&self, now: Micros, id: MessageId, opened_connection: bool) {
+    pub fn record_call(&self, now: Micros, id: MessageId, opened_connection: bool) {
         if self.is_enabled && opened_connection {
             let destination = self.destination_of(id);
             log!(
@@ -94,30 +95,32 @@
         }
     }
 
-    /// Records the events of a round, before the policy sees them.
-    pub fn events(&mut self, now: Micros, events: &[Event], directory: &HostDirectory) {
+    /// Records the events of a round. Must be called before the policy handles them.
+    pub fn record_events(&mut self, now: Micros, events: &[Event], directory: &HostDirectory) {
         if !self.is_enabled {
             return;
         }
         for event in events {
-            self.event(now, event, directory);
+            self.record_event(now, event, directory);
         }
     }
 
-    fn event(&mut self, now: Micros, event: &Event, directory: &HostDirectory) {
+    fn record_event(&mut self, now: Micros, event: &Event, directory: &HostDirectory) {
         match event {
             Event::HostsUpdated { entries, .. } => {
                 for entry in entries {
-                    self.host_listed(now, entry, directory);
+                    self.record_listed_host(now, entry, directory);
                 }
             }
-            Event::MessageReceived(message) => self.message_queued(now, "message_arrived", message),
+            Event::MessageReceived(message) => {
+                self.record_queued_message(now, "message_arrived", message)
+            }
             Event::MessageRestored { message, .. }
             | Event::MessageResent { message, .. }
             | Event::MessageAdopted { message, .. } => {
-                self.message_queued(now, "message_restored", message);
+                self.record_queued_message(now, "message_restored", message);
             }
-            Event::AttemptEnded(end) => self.attempt_ended(now, end),
+            Event::AttemptEnded(end) => self.record_ended_attempt(now, end),
             Event::OutageRestored(outage) => log!(
                 self.runtime,
                 "call_log: outage_restored time_ms={} destination={}",
@@ -128,7 +131,7 @@
         }
     }
 
-    fn host_listed(&self, now: Micros, entry: &HostEntry, directory: &HostDirectory) {
+    fn record_listed_host(&self, now: Micros, entry: &HostEntry, directory: &HostDirectory) {
         let HostEntry {
             host,
             destination,
@@ -146,7 +149,7 @@
         );
     }
 
-    fn message_queued(&mut self, now: Micros, event: &str, message: &Message) {
+    fn record_queued_message(&mut self, now: Micros, event: &str, message: &Message) {
         self.destinations.insert(message.id, message.destination);
         let time_left = message.deadline.saturating_sub(now) / MICROS_PER_MS;
         log!(
@@ -160,7 +163,7 @@
         );
     }
 
-    fn attempt_ended(&mut self, now: Micros, end: &AttemptEnd) {
+    fn record_ended_attempt(&mut self, now: Micros, end: &AttemptEnd) {
         let destination = self.destination_of(end.id);
         let retry_after = match end.outcome {
             AttemptOutcome::Rejected { retry_after } => retry_after,
@@ -174,24 +177,24 @@
             outcome_label(end.outcome),
             retry_after / MICROS_PER_MS,
             end.elapsed / MICROS_PER_MS,
-            listed(&end.load_report)
+            join_values(&end.load_report)
         );
         if end.is_final {
             self.destinations.remove(&end.id);
         }
     }
 
-    /// Whether table levels are to be written now; schedules the next time if so.
-    pub fn wants_levels(&mut self, now: Micros) -> bool {
-        let is_due = self.is_enabled && now >= self.next_levels_at;
+    /// Whether the table levels are due. If so, schedules the next time.
+    pub fn table_levels_due(&mut self, now: Micros) -> bool {
+        let is_due = self.is_enabled && now >= self.next_table_levels_at;
         if is_due {
-            self.next_levels_at = now + LEVEL_INTERVAL;
+            self.next_table_levels_at = now + TABLE_LEVELS_INTERVAL;
         }
         is_due
     }
 
-    /// Records how full the tables are.
-    pub fn levels(&self, now: Micros, levels: &[TableLevel]) {
+    /// Records the occupancy of the tables.
+    pub fn record_table_levels(&self, now: Micros, levels: &[TableLevel]) {
         let text: String = levels
             .iter()
             .map(|level| format!(" {}={}/{}", level.name, level.used, level.capacity))
@@ -203,31 +206,37 @@
         );
     }
 
-    /// Records the actions of a round, before they are carried out.
-    pub fn actions(&mut self, now: Micros, actions: &[Action], policy: &DeliveryPolicy) {
+    /// Records the actions of a round. Must be called before they are executed.
+    pub fn record_actions(&mut self, now: Micros, actions: &[Action], policy: &DeliveryPolicy) {
         if !self.is_enabled {
             return;
         }
         for action in actions {
             match action {
                 Action::Send { id, host, .. } => {
-                    self.action(now, "attempt_sent", *id, &format!(" host={host}"), policy);
+                    self.record_action(now, "attempt_sent", *id, &format!(" host={host}"), policy);
                 }
                 Action::Reject { id, .. } => {
-                    self.message_ended(now, "message_rejected", *id, policy)
+                    self.record_ended_message(now, "message_rejected", *id, policy)
                 }
-                Action::Fail(id) => self.message_ended(now, "message_failed", *id, policy),
+                Action::Fail(id) => self.record_ended_message(now, "message_failed", *id, policy),
                 _ => {}
             }
         }
     }
 
-    fn message_ended(&mut self, now: Micros, event: &str, id: MessageId, policy: &DeliveryPolicy) {
-        self.action(now, event, id, "", policy);
+    fn record_ended_message(
+        &mut self,
+        now: Micros,
+        event: &str,
+        id: MessageId,
+        policy: &DeliveryPolicy,
+    ) {
+        self.record_action(now, event, id, "", policy);
         self.destinations.remove(&id);
     }
 
-    fn action(
+    fn record_action(
         &self,
         now: Micros,
         event: &str,
@@ -253,7 +262,7 @@
     }
 }
 
-/// The label of an outcome. Tools that count over logs match it.
+/// The label of an outcome. Tools that evaluate logs match it.
 fn outcome_label(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Delivered => "delivered",
@@ -269,7 +278,7 @@
     }
 }
 
-/// The label of a host's state, matched like that of an outcome.
+/// The label of a host's state. Tools that evaluate logs match it.
 fn state_label(state: HostState) -> &'static str {
     match state {
         HostState::Ready => "ready",
@@ -278,8 +287,8 @@
     }
 }
 
-/// The values of a load report, separated by commas; `-` if there are none.
-fn listed(report: &[f32]) -> String {
+/// Joins the values of a load report with commas; `-` if there are none.
+fn join_values(report: &[f32]) -> String {
     if report.is_empty() {
         return "-".into();
     }
--- a/crates/relay/src/call_log/tests.rs
+++ b/crates/relay/src/call_log/tests.rs
@@ -1,7 +1,7 @@
 use super::{outcome_label, state_label};
 use policy::types::{AttemptOutcome, HostState};
 
-/// The labels that counts over logs of a fleet rely on.
+/// Tools that evaluate the logs of a fleet match these labels.
 #[test]
 fn outcomes_and_host_states_keep_their_labels() {
     let outcomes = [
--- a/crates/relay/src/client_connections/accept.rs
+++ b/crates/relay/src/client_connections/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop.
+//! The accept loop of the client port.
 
 use std::io;
 use std::rc::Rc;
@@ -12,31 +12,31 @@
 use super::registry::ClientConnections;
 use super::ConnectionPolicy;
 
-/// A shared port queues connections while no process accepts. Those accepted within this time after the loop's start
-/// may have queued.
+/// A shared port queues connections while no process accepts. Connections accepted within this time after the start of
+/// the loop may have been queued.
 const STARTUP_QUEUE_WINDOW: Duration = Duration::from_millis(50);
-/// How long such a connection is taken to have queued: the deadlines of its first requests count from that much earlier.
-/// A deadline that is too early does no harm; one that is too late would promise hosts and clients time that is not left. A
-/// client that has queued for longer has long given up.
+/// Assumed queueing time of such a connection: the deadlines of its first requests are computed from this much earlier.
+/// A deadline that is too early does no harm, whereas one that is too late would promise hosts and clients time that is
+/// not left. A client that was queued for longer has already given up.
 const MAX_QUEUE_DELAY: Duration = Duration::from_secs(1);
-/// Once the process accepts no more, the port closes when no connection has come for this long ...
+/// After the process stops accepting, the port closes once no connection has arrived for this long.
 const FINAL_ACCEPT_IDLE_TIMEOUT: Duration = Duration::from_millis(5);
-/// ... and at the latest after this.
+/// Upper bound of the time for which the port stays open after the process stops accepting.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(50);
-/// The pause after the listener has failed to accept.
+/// Delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Whether the port outlasts this process.
+/// Whether the port stays open after this process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PortSharing {
-    /// The process opened the port, which closes with it.
+    /// The process opened the port, which closes when the process ends.
     Exclusive,
-    /// The process inherited the port; what queues there at its end is for the next process.
+    /// The process inherited the port; connections that are queued there when it ends are left to the next process.
     Shared,
 }
 
-/// Accepts and serves connections until the process accepts no more. The connections that have queued on an exclusive
-/// port by then are accepted too: they would be reset, and their requests with them.
+/// Accepts and serves connections until the process stops accepting. Connections that are queued on an exclusive port
+/// at that time are accepted too, because closing the port would reset them and lose their requests.
 pub async fn accept_connections<R: Runtime>(
     listener: R::Listener,
     clients: Rc<ClientConnections<R>>,
@@ -62,11 +62,11 @@
 
 struct AcceptLoop<R: Runtime> {
     started_at: Instant,
-    /// Ready as soon as the process accepts no more.
+    /// Ends a wait as soon as the process stops accepting.
     policy: watch::Receiver<ConnectionPolicy>,
-    /// The same, for the wait that ends only when no more connections come.
+    /// A second receiver, for the wait that ends only once no more connections arrive.
     closing: watch::Receiver<ConnectionPolicy>,
-    /// When the loop ends at the latest; none as long as the process accepts.
+    /// Latest end of the loop; `None` while the process accepts.
     final_deadline: Option<Instant>,
     port_sharing: PortSharing,
     events: mpsc::Sender<RelayEvent>,
@@ -130,8 +130,8 @@
         }
     }
 
-    /// Waits with a connection that was accepted, while the next ones queue on the port. It is served in any case, also
-    /// without a free slot if the process stops accepting meanwhile.
+    /// Waits for a free slot for an accepted connection; further connections queue on the port meanwhile. If the process
+    /// stops accepting first, the connection is served without a free slot.
     async fn wait_for_free_slot(&mut self) {
         tokio::select! {
             biased;
@@ -143,16 +143,16 @@
     fn spawn_connection(&self, stream: R::Stream) {
         let clock = self.clock.clone();
         let events = self.events.clone();
-        let slot = self.clients.take_slot();
+        let slot = self.clients.acquire_slot();
         let queue_delay = self.queue_delay();
         self.clients.runtime.spawn(async move {
             let connection = Connection::open(stream, &slot, &clock, events, queue_delay);
-            // A client that goes away is no fault of the relay.
+            // A client that disconnects is not an error of the relay.
             drop(connection.serve().await);
         });
     }
 
-    /// How long a connection that was just accepted may have queued.
+    /// Upper bound of the time for which a connection that was just accepted may have been queued.
     fn queue_delay(&self) -> Duration {
         let is_shared = self.port_sharing == PortSharing::Shared;
         if is_shared && self.clients.runtime.now() < self.started_at + STARTUP_QUEUE_WINDOW {
--- a/crates/relay/src/client_connections/connection.rs
+++ b/crates/relay/src/client_connections/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: reading requests, writing replies, and closing in time.
+//! One client connection: reads requests, writes replies, and closes when idle or when the process stops.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -17,20 +17,21 @@
 use super::request_handler::{Answer, RequestHandler};
 use super::{ConnectionPolicy, READ_BUFFER_BYTES};
 
-/// The most requests of one connection that are handled before their replies are written.
+/// Maximum number of requests of one connection that are handled before their replies are written.
 const MAX_PIPELINED_REQUESTS: usize = 64;
-/// A request that has begun must arrive completely within this time.
+/// Time from the first byte of a request within which it must arrive completely.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same for a request whose body is skipped, as it is too long.
+/// The same limit for a request whose body is skipped because it is too long.
 const SKIPPED_REQUEST_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// A client must read replies within this time.
+/// Time within which a client must read its replies.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The first request of a connection that was just opened is on its way: when connections close, it has this long.
+/// Time that a new connection has to send its first request before it is closed along with other idle connections: the
+/// request may already be on its way.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
-/// How often a quiet connection is checked. One without a request so far is closed then, as is any quiet one while many
-/// are open.
-const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(2100);
-/// A connection that has sent a request is closed after it was quiet for this long, also while few are open.
+/// How often an idle connection is checked. The check closes a connection that has never sent a request, and any idle
+/// connection while many are open.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(2100);
+/// A connection that has sent a request is closed after being idle for this long, even while few are open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A client connection that is being served.
@@ -41,23 +42,23 @@
     slot: &'a ConnectionSlot<R>,
     policy: watch::Receiver<ConnectionPolicy>,
     handler: RequestHandler<'a, R>,
-    /// Input that was not handled yet.
+    /// Input that has not been handled yet.
     buffer: BytesMut,
-    /// How much input was only peeked at: it is read once all requests in it are answered.
+    /// Number of input bytes that were only peeked at; they are read once all requests in them are answered.
     peeked_bytes: usize,
-    /// How much of the input belongs to a request that was rejected for its length.
+    /// Number of input bytes to discard that belong to a request rejected for its length.
     bytes_to_skip: usize,
     opened_at: Instant,
-    /// Since when the current request is incomplete, or since when the connection has been quiet.
+    /// Since when the current request has been incomplete, or since when the connection has been idle.
     waiting_since: Option<Instant>,
-    /// Whether a request was answered.
+    /// Whether any request has been answered on this connection.
     has_requested: bool,
-    /// How long the first requests may have queued before the connection was accepted.
+    /// Upper bound of the time for which the first requests may have waited before the connection was accepted.
     queue_delay: Duration,
     stream: R::Stream,
 }
 
-/// What the next part of the input is.
+/// Classification of the buffered input.
 enum Input {
     Incomplete,
     BodyTooLong,
@@ -67,21 +68,21 @@
 /// The answers to the requests that were found in the buffer.
 struct AnswerBatch {
     answers: Vec<Answer>,
-    /// Whether the connection is to be closed once they are written.
+    /// Whether the connection is to be closed once the answers are written.
     closes: bool,
 }
 
-/// What a connection waits for.
+/// Conditions under which a connection waits for input.
 struct Wait {
-    /// Whether there is no open request.
-    is_quiet: bool,
-    /// Whether the connection was just opened, and its first request is awaited.
+    /// Whether no request is open.
+    is_idle: bool,
+    /// Whether the connection was just opened and is within [`FIRST_REQUEST_GRACE`] of its first request.
     awaits_first_request: bool,
     since: Instant,
     deadline: Instant,
 }
 
-/// What ended a wait.
+/// The event that ended a wait.
 enum WaitOutcome {
     Readable(io::Result<()>),
     ConnectionsClosing,
@@ -89,7 +90,7 @@
     DeadlineReached,
 }
 
-/// What follows a wait.
+/// How to proceed after a wait.
 enum NextStep {
     Continue,
     Close,
@@ -107,7 +108,7 @@
     ) -> Self {
         let clients = &slot.clients;
         let policy = clients.control.connection_policy();
-        // Without it small writes may come late, which is no reason to end the connection.
+        // Without this option small writes may be delayed, which does not justify closing the connection.
         drop(stream.set_nodelay());
         Connection {
             runtime: &clients.runtime,
@@ -129,7 +130,7 @@
     ///
     /// # Errors
     ///
-    /// The I/O error that ended the connection; of kind `TimedOut` if the client does not read its replies.
+    /// The I/O error that ended the connection. Its kind is `TimedOut` if the client does not read its replies in time.
     pub(super) async fn serve(mut self) -> io::Result<()> {
         loop {
             let batch = self.answer_buffered_requests().await;
@@ -146,7 +147,7 @@
                 self.waiting_since = None;
                 self.has_requested = true;
                 self.queue_delay = Duration::ZERO;
-                // The other connections have their turn, also beside a client that sends at full speed.
+                // Lets other connections run even if this client sends requests continuously.
                 tokio::task::yield_now().await;
                 continue;
             }
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Handles the requests in the buffer, up to the pipelining limit. A connection that is about to be closed after too
-    /// many failed authentications answers all that it has read.
+    /// Handles the requests in the buffer, up to the pipelining limit. After too many failed authentications, all buffered
+    /// requests are answered before the connection closes.
     async fn answer_buffered_requests(&mut self) -> AnswerBatch {
         let mut answers = Vec::new();
         let mut closes = false;
@@ -213,13 +214,13 @@
         }
     }
 
-    /// Waits for the pending answers, and writes all of them at once.
+    /// Waits for the pending answers, and writes all answers at once.
     async fn write_answers(&mut self, answers: Vec<Answer>) -> io::Result<()> {
         let mut output = Vec::new();
         for answer in answers {
             let reply = match answer {
                 Answer::Immediate(reply) => reply,
-                // The event loop drops no request; if it has ended, the process ends.
+                // The event loop answers every request; it only stops when the process ends.
                 Answer::Pending(reply) => reply.await.map_err(io::Error::other)?,
             };
             reply.write(&mut output);
@@ -227,13 +228,13 @@
         self.write(&output).await
     }
 
-    /// Writes replies; fails if the client does not read them in time.
+    /// Writes replies; fails if the client does not read them within [`REPLY_WRITE_TIMEOUT`].
     async fn write(&mut self, output: &[u8]) -> io::Result<()> {
         let write = self.stream.write_all(output);
         self.runtime.timeout(REPLY_WRITE_TIMEOUT, write).await?
     }
 
-    /// Waits until something happens to the connection, and reads what has arrived.
+    /// Waits for the next event of the connection, and reads the input that has arrived.
     async fn wait_and_read(&mut self) -> io::Result<NextStep> {
         let wait = self.begin_wait();
         match self.wait(&wait).await {
@@ -241,7 +242,7 @@
                 ready?;
                 self.read_input(&wait)
             }
-            WaitOutcome::ConnectionsClosing => Ok(self.close_if_quiet(&wait).await),
+            WaitOutcome::ConnectionsClosing => Ok(self.close_if_idle(&wait).await),
             WaitOutcome::EvictionNotified => Ok(self.close_if_evicted()),
             WaitOutcome::DeadlineReached => self.handle_deadline(&wait).await,
         }
@@ -250,31 +251,31 @@
     fn begin_wait(&mut self) -> Wait {
         let awaits_first_request =
             !self.has_requested && self.runtime.now() < self.opened_at + FIRST_REQUEST_GRACE;
-        let is_quiet = self.buffer.is_empty() && self.bytes_to_skip == 0;
-        if is_quiet {
-            // A quiet connection keeps no memory.
+        let is_idle = self.buffer.is_empty() && self.bytes_to_skip == 0;
+        if is_idle {
+            // An idle connection holds no buffer memory.
             self.buffer = BytesMut::new();
-            self.slot.mark_quiet();
+            self.slot.mark_idle();
         } else {
             self.slot.mark_busy();
         }
         let since = *self.waiting_since.get_or_insert_with(|| self.runtime.now());
-        let deadline = if is_quiet {
-            self.runtime.now() + QUIET_CHECK_INTERVAL
+        let deadline = if is_idle {
+            self.runtime.now() + IDLE_CHECK_INTERVAL
         } else if self.bytes_to_skip == 0 {
             since + REQUEST_READ_TIMEOUT
         } else {
             since + SKIPPED_REQUEST_READ_TIMEOUT
         };
         Wait {
-            is_quiet,
+            is_idle,
             awaits_first_request,
             since,
             deadline,
         }
     }
 
-    /// Waits without reading, so that nothing is lost when one event ends the wait for the others.
+    /// Waits without reading, so that no input is lost when another event ends the wait.
     async fn wait(&mut self, wait: &Wait) -> WaitOutcome {
         let runtime = self.runtime;
         let policy = &mut self.policy;
@@ -287,17 +288,17 @@
                 if wait.awaits_first_request {
                     runtime.sleep_until(grace_end).await;
                 }
-            }, if wait.is_quiet => WaitOutcome::ConnectionsClosing,
-            () = self.slot.eviction_notified(), if wait.is_quiet => WaitOutcome::EvictionNotified,
+            }, if wait.is_idle => WaitOutcome::ConnectionsClosing,
+            () = self.slot.eviction_notified(), if wait.is_idle => WaitOutcome::EvictionNotified,
             () = runtime.sleep_until(wait.deadline) => WaitOutcome::DeadlineReached,
         }
     }
 
-    /// Reads what has arrived without waiting for more.
+    /// Reads the input that has arrived, without waiting for more.
     ///
-    /// While messages are rejected the process may be killed at any moment, and a request that was read by then and not
-    /// answered would be lost. One that was not read is sent again by its client. So the input is only peeked at until its
-    /// requests are answered.
+    /// While messages are rejected, the process may be killed at any time. A request that was read but not answered would
+    /// then be lost, whereas the client resends a request that was not read. The input is therefore only peeked at until
+    /// its requests are answered.
     fn read_input(&mut self, wait: &Wait) -> io::Result<NextStep> {
         self.buffer.reserve(READ_BUFFER_BYTES);
         let input = if self.policy.borrow().stage.rejects_messages() {
@@ -312,7 +313,7 @@
             Ok(_) if self.has_client_disconnected() => Ok(NextStep::Close),
             Ok(_) => {
                 self.slot.mark_busy();
-                if wait.is_quiet {
+                if wait.is_idle {
                     self.waiting_since = None;
                 }
                 Ok(NextStep::Continue)
@@ -322,29 +323,29 @@
         }
     }
 
-    /// Reads the input that was peeked at, as the requests in it are answered. The rest of it is the beginning of a request
-    /// whose end has not arrived.
+    /// Reads the input that was peeked at, once the requests in it are answered. Any remaining bytes are the beginning of
+    /// a request that has not arrived completely.
     async fn read_peeked_input(&mut self) -> io::Result<()> {
         let mut input = vec![0; std::mem::take(&mut self.peeked_bytes)];
         self.stream.read_exact(&mut input).await.map(drop)
     }
 
-    /// Whether the client sent its requests while no process accepted, and has closed the connection since: they are
-    /// not answered.
+    /// Whether the client sent its requests while no process accepted connections, and has closed the connection since.
+    /// Such requests are not answered.
     fn has_client_disconnected(&self) -> bool {
         !self.queue_delay.is_zero() && self.stream.pending_input() == PendingInput::Closed
     }
 
-    /// Closes the connection, as all are to close, unless input has arrived that would be left unread.
-    async fn close_if_quiet(&self, wait: &Wait) -> NextStep {
+    /// Closes the connection when all idle connections are to close, unless input has arrived that would be left unread.
+    async fn close_if_idle(&self, wait: &Wait) -> NextStep {
         if wait.awaits_first_request {
-            // The grace has passed; the next wait is without it.
+            // The grace period has passed, and does not apply to the next wait.
             return NextStep::Continue;
         }
         if self.stream.pending_input() != PendingInput::Bytes {
             return NextStep::Close;
         }
-        // The runtime is yet to notice those bytes.
+        // The runtime has not yet reported those bytes as readable.
         tokio::task::yield_now().await;
         NextStep::Continue
     }
@@ -358,23 +359,23 @@
         }
     }
 
-    /// Closes a connection that has been quiet for too long, or whose request did not arrive completely: it would hold its
-    /// slot forever. A quiet one is closed without reading on: a request that crosses the close stays unread, so that its
-    /// client sends it again.
+    /// Closes a connection that has been idle for too long, or whose request did not arrive completely in time, as it
+    /// would otherwise hold its slot forever. An idle connection is closed without further reads: a request that arrives
+    /// while it closes stays unread, so that its client sends the request again.
     async fn handle_deadline(&mut self, wait: &Wait) -> io::Result<NextStep> {
-        if !wait.is_quiet {
+        if !wait.is_idle {
             let mut output = Vec::new();
             Reply::Error(ProtocolError::RequestTimeout.to_string()).write(&mut output);
             self.write(&output).await?;
             return Ok(NextStep::CloseLingering);
         }
-        if self.may_stay_quiet(wait) || self.stream.pending_input() == PendingInput::Bytes {
+        if self.may_stay_idle(wait) || self.stream.pending_input() == PendingInput::Bytes {
             return Ok(NextStep::Continue);
         }
         Ok(NextStep::Close)
     }
 
-    fn may_stay_quiet(&self, wait: &Wait) -> bool {
+    fn may_stay_idle(&self, wait: &Wait) -> bool {
         self.has_requested
             && !self.slot.clients.is_under_pressure()
             && self.runtime.now() - wait.since < IDLE_TIMEOUT
--- a/crates/relay/src/client_connections/framing/mod.rs
+++ b/crates/relay/src/client_connections/framing/mod.rs
@@ -1,8 +1,8 @@
 //! RESP2 framing of requests, without I/O.
 //!
-//! A request is an array of bulk strings. Its end is found, and its limits are checked, before it is decoded: the
-//! decoder itself would accept arrays nested to any depth and counts of millions, and would need a complete body in memory
-//! before it could be rejected.
+//! A request is an array of bulk strings. Its length and limits are checked before it is decoded, because the decoder
+//! accepts arrays nested to any depth and counts of millions, and needs a complete body in memory before the body could
+//! be rejected.
 
 #[cfg(test)]
 mod tests;
@@ -12,53 +12,54 @@
 use redis_protocol::resp2::types::BytesFrame;
 use thiserror::Error;
 
-/// The longest body of a message, which is the last part of a request.
+/// Maximum size of a message body, which is the last part of a request.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// The longest request without its last part.
+/// Maximum size of a request without its last part.
 const MAX_BYTES_BEFORE_BODY: usize = 4 << 10;
-/// The most parts that a request may have.
+/// Maximum number of parts of a request.
 const MAX_REQUEST_PARTS: usize = 16;
-/// The most digits of a count or length.
+/// Maximum number of digits of a count or length.
 const MAX_LENGTH_DIGITS: usize = 12;
-/// Ends each line and each bulk string.
+/// Terminator of each line and each bulk string.
 const LINE_END: &[u8] = b"\r\n";
 
-/// What a connection's input begins with.
+/// The frame at the start of a connection's input.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Frame {
-    /// The beginning of a request, or nothing.
+    /// No input, or a request that has not arrived completely.
     Incomplete,
-    /// A request.
+    /// A complete request.
     Complete {
-        /// Its length in bytes.
+        /// Length of the request in bytes.
         length: usize,
     },
-    /// A request whose body exceeds the limit. It is to be skipped, and need not be kept in memory for that.
+    /// A request whose body exceeds the limit. The caller discards its bytes as they arrive instead of buffering them.
     BodyTooLong {
-        /// Its length in bytes, of which most may not have arrived.
+        /// Length of the request in bytes, most of which may not have arrived yet.
         length: usize,
     },
 }
 
-/// Input that no request can follow, as the end of the request is unknown. The message is the text of the error reply.
+/// Malformed input. No further request can be read, because the end of the malformed one is unknown. The message is the
+/// text of the error reply.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum ProtocolError {
-    /// The input is no array, or one of its parts is no bulk string.
+    /// The input is not an array, or one of its parts is not a bulk string.
     #[error("protocol error: no array of bulk strings")]
     NotAnArrayOfBulkStrings,
-    /// A count or length is no number, or has too many digits.
+    /// A count or length is not a number, or has too many digits.
     #[error("protocol error: no count")]
     InvalidLength,
     /// The array is empty or has too many parts.
     #[error("protocol error: wrong number of parts")]
     InvalidPartCount,
-    /// A part exceeds the limit, and is not the body of an otherwise valid request.
+    /// A part exceeds its limit and is not the body of an otherwise valid request.
     #[error("protocol error: a part is too long")]
     PartTooLong,
-    /// There is no line break where a part's length puts its end.
+    /// A part is not followed by a line break at the position given by its length.
     #[error("protocol error: a part is not as long as told")]
     PartLengthMismatch,
-    /// The decoder finds no array.
+    /// The decoder did not return an array.
     #[error("protocol error: no request")]
     NotARequest,
     /// The rest of a request did not arrive in time.
@@ -70,7 +71,7 @@
 ///
 /// # Errors
 ///
-/// The first violation of the protocol or of a limit that the input received so far shows.
+/// The first violation of the protocol or of a limit in the input received so far.
 pub(super) fn find_frame(input: &[u8]) -> Result<Frame, ProtocolError> {
     let Some(header) = parse_length_line(input, 0, b'*')? else {
         return Ok(Frame::Incomplete);
@@ -117,7 +118,7 @@
 ///
 /// # Errors
 ///
-/// [`ProtocolError::NotARequest`] if the bytes are not exactly what [`find_frame`] calls a complete request.
+/// [`ProtocolError::NotARequest`] if the bytes are not exactly one request that [`find_frame`] reports as complete.
 pub(super) fn decode_request(mut frame: BytesMut) -> Result<Vec<Bytes>, ProtocolError> {
     let Ok(Some((BytesFrame::Array(parts), _, _))) = decode_bytes_mut(&mut frame) else {
         return Err(ProtocolError::NotARequest);
@@ -131,13 +132,13 @@
 
 /// A line of a type byte and a number: an array's count of parts, or a bulk string's length in bytes.
 struct LengthLine {
-    /// Where the next line begins.
+    /// Offset of the first byte after the line.
     end: usize,
     /// The number.
     length: usize,
 }
 
-/// Parses the line that begins at `start`; none if it has not arrived completely.
+/// Parses the line that begins at `start`; `None` if it has not arrived completely.
 fn parse_length_line(
     input: &[u8],
     start: usize,
--- a/crates/relay/src/client_connections/framing/tests.rs
+++ b/crates/relay/src/client_connections/framing/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn malformed_input_is_rejected_with_its_reason() {
+fn malformed_input_is_rejected_with_the_matching_error() {
     for (input, expected) in [
         ("PING\r\n", ProtocolError::NotAnArrayOfBulkStrings),
         ("*1\r\n:4\r\n", ProtocolError::NotAnArrayOfBulkStrings),
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn line_is_malformed_before_its_end_has_arrived() {
+fn malformed_line_is_rejected_before_its_end_has_arrived() {
     for (input, expected) in [
         ("*", Ok(Frame::Incomplete)),
         ("*1", Ok(Frame::Incomplete)),
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn longest_body_is_accepted_and_a_longer_one_is_skipped() {
+fn body_of_maximum_size_is_accepted_and_a_longer_one_is_skipped() {
     let body = vec![b'x'; MAX_BODY_BYTES];
     let request = encode(&[b"ENQUEUE", &body]);
     let length = request.len();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn too_long_body_is_recognised_by_its_length_line() {
+fn oversized_body_is_detected_from_its_length_line() {
     let header = b"*2\r\n$7\r\nENQUEUE\r\n$65537\r\n";
     let length = header.len() + 65_537 + 2;
     assert_eq!(find_frame(header), Ok(Frame::BodyTooLong { length }));
@@ -117,7 +117,7 @@
 
 #[test]
 fn parts_before_the_body_are_limited() {
-    // Everything before the body, but for the content of the first part.
+    // All bytes before the body except the content of the first part.
     let framing_bytes = "*2\r\n$4079\r\n\r\n$0\r\n".len();
     let longest = vec![b'x'; MAX_BYTES_BEFORE_BODY - framing_bytes];
     assert_eq!(longest.len(), 4079);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn limit_before_the_body_is_recognised_before_the_part_has_arrived() {
+fn limit_before_the_body_is_enforced_before_the_part_has_arrived() {
     assert_eq!(
         find_frame(b"*2\r\n$4096\r\n"),
         Err(ProtocolError::PartTooLong)
@@ -141,12 +141,12 @@
 #[test]
 fn complete_request_is_decoded_into_its_parts() {
     let request = encode(&[b"ENQUEUE", b"", b"a\r\nb"]);
-    let parts = decode_request(BytesMut::from(&request[..])).expect("a request");
+    let parts = decode_request(BytesMut::from(&request[..])).expect("valid request");
     assert_eq!(parts, [&b"ENQUEUE"[..], b"", b"a\r\nb"]);
 }
 
 #[test]
-fn input_that_is_no_array_is_not_decoded() {
+fn input_that_is_not_an_array_is_not_decoded() {
     let decoded = decode_request(BytesMut::from(&b"$4\r\nPING\r\n"[..]));
     assert_eq!(decoded, Err(ProtocolError::NotARequest));
 }
--- a/crates/relay/src/client_connections/lingering_close.rs
+++ b/crates/relay/src/client_connections/lingering_close.rs
@@ -1,4 +1,4 @@
-//! Closing a connection so that its last reply arrives.
+//! Closes a connection in such a way that its last reply reaches the client.
 
 use std::io;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use runtime::{PendingInput, Runtime, Stream};
 use tokio::io::AsyncWriteExt;
 
-/// How long the client may take to read its last reply and close, after the sending side was shut down.
+/// Time that the client has to read its last reply and close, after the sending side was shut down.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Shuts the sending side down, and closes the connection once the client has done so or a limit is reached.
 ///
-/// Closing at once with unread input would reset the connection, which can destroy an error reply on its way to the
-/// client. The input is left unread: a request in it was never taken, and its client learns that from the reset in the
-/// end.
+/// Closing at once with unread input would reset the connection, and the reset can discard an error reply on its way to
+/// the client. The input is left unread: a request in it was not accepted, and the reset that follows at the end reports
+/// this to the client.
 ///
 /// # Errors
 ///
@@ -23,7 +23,7 @@
     let deadline = runtime.now() + LINGER_TIMEOUT;
     let readable = runtime.timeout_at(deadline, stream.readable()).await;
     if matches!(readable, Ok(Ok(()))) && stream.pending_input() == PendingInput::Bytes {
-        // Whether the client has closed behind these bytes is unknown without reading them.
+        // Without reading these bytes it is unknown whether the client has closed the connection after them.
         runtime.sleep_until(deadline).await;
     }
     Ok(())
--- a/crates/relay/src/client_connections/mod.rs
+++ b/crates/relay/src/client_connections/mod.rs
@@ -1,8 +1,8 @@
 //! Client connections: RESP2 requests in, one reply for each, in the order of the requests.
 //!
-//! [`framing`] and [`request`] decode input without I/O. [`registry`] knows the open connections and decides which of
-//! them is closed when capacity runs out. [`accept`] takes new connections, [`connection`] serves one of them with the
-//! help of [`request_handler`], and [`lingering_close`] ends one without losing the last reply.
+//! [`framing`] and [`request`] decode input without I/O. [`registry`] tracks the open connections and selects the one to
+//! close when capacity runs out. [`accept`] accepts new connections, [`connection`] serves one connection by means of
+//! [`request_handler`], and [`lingering_close`] closes a connection without losing its last reply.
 
 mod accept;
 mod connection;
@@ -17,8 +17,8 @@
 pub use registry::ClientConnections;
 pub use request::Authentication;
 
-// The control socket's type for what connections may do; named here alone.
+// The submodules import this type of the control socket from here.
 use crate::control_socket::ConnectionPolicy;
 
-/// Bytes that are reserved in a buffer before each read.
+/// Number of bytes reserved in the buffer before each read.
 const READ_BUFFER_BYTES: usize = 4 << 10;
--- a/crates/relay/src/client_connections/registry.rs
+++ b/crates/relay/src/client_connections/registry.rs
@@ -1,4 +1,4 @@
-//! The open client connections: admission of new ones, and eviction of quiet ones when capacity runs out.
+//! The open client connections: admission of new connections, and eviction of idle ones when capacity runs out.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,19 +12,20 @@
 use super::request::Authentication;
 use crate::control_socket::Control;
 
-/// While some slots are free, only a connection that has been quiet for this long is evicted: the request of a more
-/// recent one may be on its way.
-const EVICTION_MIN_QUIET: Duration = Duration::from_millis(250);
-/// The same once no slot is free.
-const EVICTION_MIN_QUIET_WHEN_FULL: Duration = Duration::from_millis(20);
-/// Thirds of the slots from which on quiet connections are closed sooner.
+/// Minimum idle time of an evicted connection while slots are free. A request of a connection that has been idle for a
+/// shorter time may be on its way.
+const EVICTION_MIN_IDLE_TIME: Duration = Duration::from_millis(250);
+/// Minimum idle time of an evicted connection once no slot is free.
+const EVICTION_MIN_IDLE_TIME_WHEN_FULL: Duration = Duration::from_millis(20);
+/// Idle connections are closed at their next check once this many thirds of the slots are taken.
 const PRESSURE_THIRDS: usize = 1;
-/// Thirds of the slots from which on quiet connections are evicted.
+/// Idle connections are evicted once this many thirds of the slots are taken.
 const EVICTION_THIRDS: usize = 2;
-/// How often another connection is looked for while no slot is free: the one chosen may turn out to have a request.
+/// How often a connection to evict is selected while no slot is free: the one selected before may have received a
+/// request in the meantime.
 const EVICTION_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The client connections that are open, and which of them may be closed to free a slot.
+/// The open client connections, with the state that decides which of them may be closed to free a slot.
 pub struct ClientConnections<R> {
     pub(super) runtime: R,
     pub(super) control: Rc<Control<R>>,
@@ -37,14 +38,14 @@
 }
 
 struct OpenConnection {
-    /// Since when no request has been open; none while one is.
-    quiet_since: Option<Instant>,
-    /// Whether it was chosen to be closed.
+    /// Since when no request has been open; `None` while a request is open.
+    idle_since: Option<Instant>,
+    /// Whether the connection was selected for closing.
     is_evicted: bool,
     eviction: Rc<Notify>,
 }
 
-/// An open connection's slot, which is released when this is dropped.
+/// The slot of an open connection; dropping it releases the slot.
 pub(super) struct ConnectionSlot<R> {
     /// The registry that the slot belongs to.
     pub(super) clients: Rc<ClientConnections<R>>,
@@ -54,17 +55,17 @@
 
 impl<R: Runtime> ConnectionSlot<R> {
     /// Records that the connection has no open request.
-    pub(super) fn mark_quiet(&self) {
+    pub(super) fn mark_idle(&self) {
         if let Some(connection) = self.clients.open.borrow_mut().get_mut(&self.id) {
             let now = || self.clients.runtime.now();
-            connection.quiet_since.get_or_insert_with(now);
+            connection.idle_since.get_or_insert_with(now);
         }
     }
 
     /// Records that the connection has an open request, which revokes an eviction.
     pub(super) fn mark_busy(&self) {
         if let Some(connection) = self.clients.open.borrow_mut().get_mut(&self.id) {
-            connection.quiet_since = None;
+            connection.idle_since = None;
             connection.is_evicted = false;
         }
     }
@@ -78,7 +79,7 @@
             .is_none_or(|connection| connection.is_evicted)
     }
 
-    /// Ready once the connection was chosen for eviction, which may have been revoked since.
+    /// Completes once the connection was selected for eviction. The eviction may have been revoked since.
     pub(super) fn eviction_notified(&self) -> Notified<'_> {
         self.eviction.notified()
     }
@@ -92,7 +93,7 @@
 }
 
 impl<R: Runtime> ClientConnections<R> {
-    /// A registry without connections, for at most `max_connections` at once.
+    /// Creates an empty registry for at most `max_connections` open connections.
     pub fn new(
         runtime: R,
         control: Rc<Control<R>>,
@@ -111,7 +112,7 @@
         })
     }
 
-    /// Whether the port is open, or connections that had queued there are still being accepted.
+    /// Whether the accept loop is running, including its final phase that accepts the connections queued on the port.
     pub fn is_accepting(&self) -> bool {
         self.is_accepting.get()
     }
@@ -121,25 +122,25 @@
         self.is_accepting.set(is_accepting);
     }
 
-    /// The number of connections that are open.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Whether quiet connections take up slots that clients need: a client that is limited to this many connections
-    /// itself has none left to send requests on.
+    /// Whether idle connections occupy slots that clients need: a client that is itself limited to this many connections
+    /// has none left to send requests on.
     pub(super) fn is_under_pressure(&self) -> bool {
         self.count() >= self.max_connections / 3 * PRESSURE_THIRDS
     }
 
-    /// Waits until there is a free slot, and evicts quiet connections to free one. Eviction begins when
-    /// [`EVICTION_THIRDS`] of the slots are taken.
+    /// Waits until a slot is free, and evicts idle connections to free one. Eviction begins when [`EVICTION_THIRDS`]
+    /// thirds of the slots are taken.
     pub(super) async fn wait_for_free_slot(&self) {
         if self.count() >= self.max_connections / 3 * EVICTION_THIRDS {
-            self.evict_quietest(EVICTION_MIN_QUIET);
+            self.evict_longest_idle(EVICTION_MIN_IDLE_TIME);
         }
         while self.count() >= self.max_connections {
-            self.evict_quietest(EVICTION_MIN_QUIET_WHEN_FULL);
+            self.evict_longest_idle(EVICTION_MIN_IDLE_TIME_WHEN_FULL);
             let released = self.slot_released.notified();
             let _ = self
                 .runtime
@@ -148,34 +149,34 @@
         }
     }
 
-    /// Evicts the connection that has been quiet for longest, and for at least `min_quiet`; at most one at a time, and
-    /// none with an open request.
+    /// Evicts the connection that has been idle for longest, and for at least `min_idle_time`. At most one connection is
+    /// under eviction at a time, and none with an open request is selected.
     ///
-    /// Clients that keep connections without using them would keep all others out otherwise. A connection counts as
-    /// quiet whether or not it has sent a request before.
-    fn evict_quietest(&self, min_quiet: Duration) {
+    /// Otherwise clients that hold connections without using them would lock out all others. A connection counts as idle
+    /// whether or not it has sent a request before.
+    fn evict_longest_idle(&self, min_idle_time: Duration) {
         let now = self.runtime.now();
         let mut open = self.open.borrow_mut();
         if open.values().any(|connection| connection.is_evicted) {
             return;
         }
-        let quietest = open
+        let longest_idle = open
             .values_mut()
-            .filter_map(|connection| Some((connection.quiet_since?, connection)))
-            .filter(|(quiet_since, _)| now - *quiet_since >= min_quiet)
-            .min_by_key(|(quiet_since, _)| *quiet_since);
-        if let Some((_, connection)) = quietest {
+            .filter_map(|connection| Some((connection.idle_since?, connection)))
+            .filter(|(idle_since, _)| now - *idle_since >= min_idle_time)
+            .min_by_key(|(idle_since, _)| *idle_since);
+        if let Some((_, connection)) = longest_idle {
             connection.is_evicted = true;
             connection.eviction.notify_one();
         }
     }
 
-    /// Takes a slot for a connection that was just accepted.
-    pub(super) fn take_slot(self: &Rc<Self>) -> ConnectionSlot<R> {
+    /// Acquires a slot for a connection that was just accepted.
+    pub(super) fn acquire_slot(self: &Rc<Self>) -> ConnectionSlot<R> {
         let id = self.next_id.replace(self.next_id.get() + 1);
         let eviction = Rc::new(Notify::new());
         let connection = OpenConnection {
-            quiet_since: Some(self.runtime.now()),
+            idle_since: Some(self.runtime.now()),
             is_evicted: false,
             eviction: eviction.clone(),
         };
--- a/crates/relay/src/client_connections/request/mod.rs
+++ b/crates/relay/src/client_connections/request/mod.rs
@@ -1,4 +1,4 @@
-//! Parsing of requests: from the parts of a RESP2 array to a typed command, without I/O.
+//! Parses the parts of a RESP2 array into a typed command, without I/O.
 
 #[cfg(test)]
 mod tests;
@@ -9,11 +9,11 @@
 use tenancy::secret::MAX_SECRET_BYTES;
 use thiserror::Error;
 
-/// The longest name of a message, a tenant or an idempotency key.
+/// Maximum length of the name of a message or tenant, and of an idempotency key.
 const MAX_NAME_BYTES: usize = 128;
-/// The longest part that is read as text.
+/// Maximum length of a part that is read as text.
 const MAX_TEXT_BYTES: usize = 1024;
-/// The longest time to live that a client may ask for, in milliseconds (a day); a longer one is cut to this.
+/// Maximum time to live that a client may request, in milliseconds (one day); a longer one is reduced to this.
 const MAX_TIME_TO_LIVE_MILLIS: u64 = 86_400_000;
 const MICROS_PER_MILLI: Micros = 1000;
 
@@ -28,20 +28,18 @@
 
 /// A command with its arguments.
 pub(super) enum Request {
-    /// `PING`: asks whether the relay takes messages.
+    /// `PING`: asks whether the relay accepts messages.
     Ping,
     /// `ENQUEUE`: submits a message.
     Enqueue(Box<EnqueueRequest>),
-    /// `AUTH`: names a tenant and shows its secret; none if no tenant can have this name or this secret.
+    /// `AUTH`: authenticates as a tenant; `None` if no tenant can have this name or this secret.
     Authenticate(Option<Credentials>),
 }
 
 /// The arguments of `AUTH`.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Credentials {
-    /// The tenant's name.
     pub(super) name: String,
-    /// The tenant's secret.
     pub(super) secret: Vec<u8>,
 }
 
@@ -57,10 +55,10 @@
     /// `AUTH` has the wrong number of arguments.
     #[error("AUTH takes a name and a secret")]
     AuthenticateArguments,
-    /// The ordering key is no hexadecimal number of 64 bits.
+    /// The ordering key is not a hexadecimal number of up to 64 bits.
     #[error("the key is not valid")]
     InvalidOrderingKey,
-    /// The message's name is empty, too long, or has characters that are not allowed.
+    /// The message's name is empty or too long, or contains characters that are not allowed.
     #[error("the id is not valid")]
     InvalidMessageName,
     /// The list of fields is too long or not printable ASCII.
@@ -69,22 +67,22 @@
     /// A required field is missing.
     #[error("the list lacks {0}")]
     MissingField(&'static str),
-    /// The time to live is no number.
+    /// The time to live is not a number.
     #[error("d is no number of milliseconds")]
     InvalidTimeToLive,
-    /// The idempotency key is empty, too long, or has characters that are not allowed.
+    /// The idempotency key is empty or too long, or contains characters that are not allowed.
     #[error("k is not valid")]
     InvalidIdempotencyKey,
-    /// The destination is no number of 16 bits.
+    /// The destination is not a 16-bit number.
     #[error("dest is no number of a destination")]
     InvalidDestination,
-    /// The body exceeds the limit, and was not read.
+    /// The body exceeds the limit and was discarded.
     #[error("the body is too long")]
     BodyTooLong,
-    /// The connection is about to be closed, after too many failed authentications.
+    /// The connection is about to be closed after too many failed authentications.
     #[error("too many failed authentications")]
     AuthenticationExhausted,
-    /// The relay takes no messages now; the reply to `PING`.
+    /// The reply to `PING` while the relay does not accept messages.
     #[error("takes no clients now")]
     NotReady,
 }
@@ -93,7 +91,7 @@
 ///
 /// # Errors
 ///
-/// The first argument that is not valid, in the order of the request's parts.
+/// The error of the first invalid argument, in the order of the request's parts.
 pub(super) fn parse_request(
     parts: &[Bytes],
     sent_at: Micros,
@@ -125,8 +123,7 @@
     }))
 }
 
-/// Parses the arguments of `ENQUEUE`. Whether the class, the tenant and the destination exist is for the event loop to
-/// decide.
+/// Parses the arguments of `ENQUEUE`. The event loop checks whether the class, the tenant and the destination exist.
 fn parse_enqueue(arguments: &[Bytes], sent_at: Micros) -> Result<EnqueueRequest, RequestError> {
     let [ordering_key, name, fields, body] = arguments else {
         return Err(RequestError::EnqueueArguments);
@@ -147,7 +144,7 @@
         name: name.into(),
         ordering_key,
         class: fields.require("c")?.into(),
-        // Where the settings define no tenants, clients name none.
+        // Clients send no tenant if the settings define none.
         tenant: fields.get("t").unwrap_or_default().into(),
         destination: fields
             .require("dest")?
@@ -162,7 +159,7 @@
     })
 }
 
-/// Parses a hexadecimal ordering key; 0 means none.
+/// Parses a hexadecimal ordering key; 0 stands for no key.
 fn parse_ordering_key(part: &[u8]) -> Result<Option<u64>, RequestError> {
     let key = parse_text(part)
         .and_then(|key| u64::from_str_radix(key, 16).ok())
@@ -170,7 +167,7 @@
     Ok(Some(key).filter(|key| *key != 0))
 }
 
-/// The fields of `ENQUEUE`: `name=value` pairs between commas. Of two with the same name, the first counts.
+/// The fields of `ENQUEUE`: `name=value` pairs separated by commas. If a name occurs twice, the first pair applies.
 struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
@@ -194,7 +191,7 @@
     (1..=MAX_NAME_BYTES).contains(&text.len()) && !text.contains(' ')
 }
 
-/// Parses a part of printable ASCII, which is safe to put in a header.
+/// Parses a part that must be printable ASCII, so that it is safe to use in a header.
 fn parse_text(part: &[u8]) -> Option<&str> {
     let is_printable = part.iter().all(|byte| (b' '..=b'~').contains(byte));
     std::str::from_utf8(part)
--- a/crates/relay/src/client_connections/request/tests.rs
+++ b/crates/relay/src/client_connections/request/tests.rs
@@ -26,24 +26,24 @@
 ) -> Result<EnqueueRequest, RequestError> {
     match parse(&["ENQUEUE", ordering_key, name, fields, "body"])? {
         Request::Enqueue(request) => Ok(*request),
-        _ => panic!("another command"),
+        _ => panic!("unexpected command"),
     }
 }
 
 fn enqueue_error(ordering_key: &str, name: &str, fields: &str) -> String {
     let error = parse_enqueue(ordering_key, name, fields).err();
-    error.expect("an error").to_string()
+    error.expect("invalid request").to_string()
 }
 
 fn parse_auth(arguments: &[&str]) -> Result<Option<Credentials>, RequestError> {
     match parse(&[&["AUTH"], arguments].concat())? {
         Request::Authenticate(credentials) => Ok(credentials),
-        _ => panic!("another command"),
+        _ => panic!("unexpected command"),
     }
 }
 
 #[test]
-fn command_is_recognised_in_either_case() {
+fn command_name_is_case_insensitive() {
     for command in ["PING", "ping", "PiNg"] {
         assert!(matches!(parse(&[command]), Ok(Request::Ping)), "{command}");
     }
@@ -52,7 +52,7 @@
 #[test]
 fn unknown_or_missing_command_is_rejected() {
     for parts in [&["HELLO", "3"][..], &[""], &[]] {
-        let error = parse(parts).err().expect("an error");
+        let error = parse(parts).err().expect("invalid request");
         assert_eq!(error.to_string(), "unknown command", "{parts:?}");
     }
 }
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn impossible_credentials_are_no_parse_error() {
+fn impossible_credentials_are_not_a_parse_error() {
     let longest_secret = "s".repeat(256);
     let too_long_secret = "s".repeat(257);
     assert!(matches!(
@@ -90,7 +90,7 @@
 #[test]
 fn auth_with_wrong_number_of_arguments_is_rejected() {
     for arguments in [&["acme"][..], &[], &["acme", "secret", "more"]] {
-        let error = parse_auth(arguments).expect_err("an error");
+        let error = parse_auth(arguments).expect_err("invalid request");
         assert_eq!(error.to_string(), "AUTH takes a name and a secret");
     }
 }
@@ -98,7 +98,7 @@
 #[test]
 fn enqueue_fields_are_parsed() {
     let fields = "c=event,t=acme,d=2000,k=key-1,dest=7,r=1,new=x";
-    let request = parse_enqueue("00000000000000ff", "m-1", fields).expect("a request");
+    let request = parse_enqueue("00000000000000ff", "m-1", fields).expect("valid request");
     assert_eq!(request.name, "m-1");
     assert_eq!(request.ordering_key, Some(255));
     assert_eq!(request.class, "event");
@@ -113,7 +113,7 @@
 
 #[test]
 fn optional_enqueue_fields_may_be_missing() {
-    let request = parse_enqueue("0", "m-1", "c=event,d=2000,dest=7").expect("a request");
+    let request = parse_enqueue("0", "m-1", "c=event,d=2000,dest=7").expect("valid request");
     assert_eq!(request.ordering_key, None);
     assert_eq!(request.tenant, "");
     assert_eq!(request.idempotency_key, None);
@@ -121,16 +121,16 @@
 }
 
 #[test]
-fn first_of_two_fields_with_the_same_name_counts() {
+fn first_of_two_fields_with_the_same_name_applies() {
     let request = parse_enqueue("0", "m-1", "c=event,c=other,d=1,dest=7,dest=8");
-    let request = request.expect("a request");
+    let request = request.expect("valid request");
     assert_eq!((request.class.as_str(), request.destination), ("event", 7));
 }
 
 #[test]
-fn time_to_live_is_cut_to_a_day() {
+fn time_to_live_is_limited_to_one_day() {
     let request = parse_enqueue("0", "m-1", "c=event,d=18446744073709551615,dest=7");
-    let deadline = request.expect("a request").deadline;
+    let deadline = request.expect("valid request").deadline;
     assert_eq!(deadline, SENT_AT + 86_400_000_000);
 }
 
@@ -141,7 +141,7 @@
         &["ENQUEUE", "0", "m-1", "c=event,d=1,dest=7"],
         &["ENQUEUE", "0", "m-1", "c=event,d=1,dest=7", "body", "more"],
     ] {
-        let error = parse(parts).err().expect("an error").to_string();
+        let error = parse(parts).err().expect("invalid request").to_string();
         assert_eq!(error, "ENQUEUE takes a key, an id, a list and a body");
     }
 }
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn arguments_are_checked_in_their_order() {
+fn arguments_are_checked_in_the_order_of_the_request() {
     assert_eq!(enqueue_error("zz", "a b", "\n"), "the key is not valid");
     assert_eq!(enqueue_error("0", "a b", "\n"), "the id is not valid");
     assert_eq!(enqueue_error("0", "m-1", "\n"), "the list is not valid");
--- a/crates/relay/src/client_connections/request_handler.rs
+++ b/crates/relay/src/client_connections/request_handler.rs
@@ -1,4 +1,4 @@
-//! Handling of one connection's requests: which of them reach the event loop, and as whom.
+//! Handles one connection's requests: authenticates the client and forwards its messages to the event loop.
 
 use std::time::Duration;
 
@@ -12,25 +12,25 @@
 use super::request::{parse_request, Authentication, Credentials, Request, RequestError};
 use crate::control_socket::Control;
 
-/// A connection with this many failed authentications is closed, so that secrets cannot be guessed at full speed.
+/// A connection is closed after this many failed authentications, which slows down the guessing of secrets.
 const MAX_FAILED_AUTHENTICATIONS: u32 = 3;
 
-/// The reply to a request, now or once the event loop has decided.
+/// The reply to a request, which is either known at once or pending in the event loop.
 pub(super) enum Answer {
-    /// A reply that is known at once.
+    /// The reply is known.
     Immediate(Reply),
-    /// The reply of the event loop, which drops no request as long as the process lives.
+    /// The event loop will send the reply. It answers every request while the process runs.
     Pending(oneshot::Receiver<Reply>),
 }
 
 impl Answer {
-    /// An error reply with the error's message.
+    /// Creates an error reply with the error's message.
     pub(super) fn from_error(error: &impl std::error::Error) -> Self {
         Answer::Immediate(Reply::Error(error.to_string()))
     }
 }
 
-/// Whom a connection has authenticated as.
+/// The authentication state of a connection.
 struct AuthenticatedSession {
     authentication: Authentication,
     login: Option<Session>,
@@ -46,7 +46,7 @@
 }
 
 impl<'a, R: Runtime> RequestHandler<'a, R> {
-    /// A handler for a connection that has not authenticated.
+    /// Creates the handler of a connection that has not authenticated.
     pub(super) fn new(
         control: &'a Control<R>,
         clock: &'a Clock<R>,
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Handles the request with these parts, which may have waited for `queue_delay` before the relay could read it.
+    /// Handles a request given as its parts. It may have been queued for up to `queue_delay` before the relay could read
+    /// it.
     pub(super) async fn handle(&mut self, parts: &[Bytes], queue_delay: Duration) -> Answer {
         let sent_at = self
             .clock
@@ -100,8 +101,7 @@
         }
     }
 
-    /// Authenticates the client for the requests that follow. After a failure it is not authenticated at all, whoever
-    /// it was before.
+    /// Authenticates the client for the requests that follow. A failure also ends an earlier authentication.
     async fn authenticate(&mut self, credentials: Option<Credentials>) -> Reply {
         self.session.login = None;
         if let Some(credentials) = credentials {
--- a/crates/relay/src/config.rs
+++ b/crates/relay/src/config.rs
@@ -1,4 +1,4 @@
-//! The relay's configuration: the environment's variables and the configuration file.
+//! The relay's configuration: environment variables and the configuration file.
 
 mod error;
 
@@ -16,28 +16,29 @@
 
 pub use error::ConfigError;
 
-/// How long a host that drains may still get calls, where the settings do not say.
+/// Default time for which a draining host may still receive calls.
 const DEFAULT_DRAIN_GRACE: Duration = Duration::from_secs(2);
-/// The largest Retry-After for clients, in microseconds.
-const LONGEST_RETRY_AFTER: Micros = 3_600_000_000;
-/// The longest tick, in microseconds.
-const LONGEST_TICK: Micros = 1_000_000;
-/// No span of the settings is as long as this, in microseconds.
-const LONGEST_SPAN: f64 = 1e12;
-/// With fewer file descriptors the relay could not hold a call and a client at once.
+/// Upper bound of the maximum Retry-After for clients, in microseconds.
+const MAX_RETRY_AFTER: Micros = 3_600_000_000;
+/// Upper bound of the tick, in microseconds.
+const MAX_TICK: Micros = 1_000_000;
+/// Exclusive upper bound of the durations in the settings, in microseconds.
+const DURATION_LIMIT: f64 = 1e12;
+/// Minimum number of file descriptors. With fewer, the relay could not serve a client and a call at the same time.
 const MIN_SOCKETS: usize = 64;
-/// With less disk space the journal could not hold a message.
+/// Minimum disk space in megabytes. With less, the journal could not store a message.
 const MIN_DISK_MB: f64 = 0.25;
 
 /// Limits of the machine that the relay runs on.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct Limits {
-    /// File descriptors, sockets among them.
+    /// Number of file descriptors, including sockets.
     pub sockets: usize,
-    /// Megabytes in the state directory.
+    /// Disk space of the state directory, in megabytes.
     pub disk_mb: f64,
 }
 
+/// The contents of the configuration file.
 #[derive(Deserialize)]
 struct File {
     listen: Option<String>,
@@ -51,24 +52,24 @@
     settings: Value,
 }
 
-/// The configuration, checked as a whole.
+/// A complete and valid configuration.
 pub struct Config {
-    /// Paths of all keys of the file, except those within lists.
+    /// Paths of all keys of the file, except those inside lists.
     pub keys: BTreeSet<String>,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The state directory, which outlasts the process.
+    /// The state directory, which persists across processes.
     pub state: PathBuf,
-    /// Where the control socket listens, if there is one.
+    /// Address of the control socket; `None` if there is none.
     pub control: Option<SocketAddr>,
     /// Seed of all random numbers.
     pub seed: u64,
-    /// Limits of the machine.
+    /// Limits of the machine that the relay runs on.
     pub limits: Limits,
-    /// The list of hosts as this relay last had it.
-    pub known: HostList,
+    /// The last known host list; empty if the file has none.
+    pub known_hosts: HostList,
     /// The policy's settings.
     pub settings: Settings,
     /// Names of the classes, by index.
@@ -79,25 +80,26 @@
     pub kinds: Vec<String>,
     /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// Names of the values in load reports, by index.
-    pub report: Vec<String>,
-    /// How long a connection may take to be established.
+    /// Names of the values in hosts' load reports, by index.
+    pub load_report_fields: Vec<String>,
+    /// Time limit for opening a connection to a host.
     pub dial_timeout: Duration,
-    /// Hosts close connections that have been idle for this long.
-    pub idle_close: Duration,
-    /// How long after it was announced as draining or removed a host may still get calls.
+    /// Time after which hosts close idle connections.
+    pub host_idle_timeout: Duration,
+    /// Time for which a host may still receive calls after it was announced as draining or removed.
     pub drain_grace: Duration,
 }
 
 impl Config {
-    /// Reads the environment's variables and the configuration file.
+    /// Reads the environment variables and the configuration file.
     ///
-    /// Variables take precedence over the file, except for discovery: the file is replaced while the process runs, and the
-    /// variables, which are not, would send it, or the next process, back to an address that is out of use.
+    /// Variables take precedence over the file, except for the address of discovery. The file may be replaced while the
+    /// process runs but the variables may not, so the variable would direct this process or the next one to an address
+    /// that is no longer in use.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] names the first value that is missing or cannot be used.
+    /// [`ConfigError`] for the first value that is missing or invalid.
     pub fn load(runtime: &impl Runtime) -> Result<Self, ConfigError> {
         let (keys, file) = read_file(runtime)?;
         let variable = |name: &str| runtime.env_var(name);
@@ -109,8 +111,8 @@
         let discovery = discovery_address(runtime, file.discovery)?;
         let settings = parse_settings(file.settings.to_string().as_bytes())?;
         let root = &file.settings;
-        let classes = names(root, "/services")?;
-        check_spans(&settings)?;
+        let classes = parse_names(root, "/services")?;
+        check_durations(&settings)?;
         Ok(Config {
             keys,
             listen: parse_address(&required("BALANCER_LISTEN", file.listen)?)?,
@@ -122,26 +124,26 @@
                 .transpose()?,
             seed: parse_seed(file.seed)?,
             limits: check_limits(file.limits)?,
-            known: file.known,
+            known_hosts: file.known,
             classes,
-            tenants: names(root, "/tenants")?,
-            kinds: names(root, "/skus")?,
-            zones: names(root, "/dcs")?,
-            report: names(root, "/stats/fields")?,
-            dial_timeout: span(root, "/limits/dialTimeout")?,
-            idle_close: span(root, "/limits/idleClose")?,
-            drain_grace: drain_grace(root)?,
+            tenants: parse_names(root, "/tenants")?,
+            kinds: parse_names(root, "/skus")?,
+            zones: parse_names(root, "/dcs")?,
+            load_report_fields: parse_names(root, "/stats/fields")?,
+            dial_timeout: parse_duration(root, "/limits/dialTimeout")?,
+            host_idle_timeout: parse_duration(root, "/limits/idleClose")?,
+            drain_grace: parse_drain_grace(root)?,
             settings,
         })
     }
 
-    /// A key of the configuration in force that this one lacks: a file that was cut, or written by half, would silently set
-    /// its missing keys to nothing.
+    /// A key of the configuration in force that this one lacks, if any. The missing keys of a truncated or partially
+    /// written file would otherwise silently be treated as unset.
     pub fn missing_key(&self, in_force: &Config) -> Option<String> {
         in_force.keys.difference(&self.keys).next().cloned()
     }
 
-    /// Keys whose new values count from the next start on only.
+    /// Keys whose values have changed but only take effect at the next start.
     pub fn changes_for_next_start(&self, in_force: &Config) -> Vec<&'static str> {
         let (old, new) = (in_force, self);
         let (before, after) = (&old.settings, &new.settings);
@@ -156,7 +158,10 @@
                 "settings.dcs",
                 old.zones != new.zones || before.zone != after.zone,
             ),
-            ("settings.stats", old.report != new.report),
+            (
+                "settings.stats",
+                old.load_report_fields != new.load_report_fields,
+            ),
             ("settings.siblings", before.replicas != after.replicas),
             ("settings.tick", before.tick != after.tick),
             (
@@ -169,7 +174,7 @@
             ),
             (
                 "settings.limits.idleClose",
-                old.idle_close != new.idle_close,
+                old.host_idle_timeout != new.host_idle_timeout,
             ),
             (
                 "settings.rules.drainGrace",
@@ -183,7 +188,7 @@
             .collect()
     }
 
-    /// Applies what may change while the process runs.
+    /// Applies the settings that may change while the process runs.
     pub fn apply(&mut self, new: Config) {
         let old = std::mem::take(&mut self.settings);
         self.settings = Settings {
@@ -204,7 +209,7 @@
     }
 }
 
-/// Reads the file that `BALANCER_CONFIG` names, with the paths of all its keys.
+/// Reads the file that `BALANCER_CONFIG` points to. Returns the paths of its keys, and its contents.
 fn read_file(runtime: &impl Runtime) -> Result<(BTreeSet<String>, File), ConfigError> {
     let name = "BALANCER_CONFIG";
     let path = runtime.env_var(name).ok_or(ConfigError::NotSet { name })?;
@@ -223,16 +228,17 @@
     }
 }
 
-/// Collects the paths of a value's keys. Entries of lists come and go, and so do hosts: they do not count.
-fn collect_keys(value: &Value, parent: &str, found: &mut BTreeSet<String>) {
+/// Collects the paths of a value's keys. Keys inside lists are omitted, because entries of lists, such as hosts, may be
+/// removed at any time.
+fn collect_keys(value: &Value, parent: &str, paths: &mut BTreeSet<String>) {
     for (key, value) in value.as_object().into_iter().flatten() {
         let path = if parent.is_empty() {
             key.clone()
         } else {
             format!("{parent}.{key}")
         };
-        collect_keys(value, &path, found);
-        found.insert(path);
+        collect_keys(value, &path, paths);
+        paths.insert(path);
     }
 }
 
@@ -254,9 +260,9 @@
         .ok_or(ConfigError::NotSet { name: "discovery" })
 }
 
-fn check_spans(settings: &Settings) -> Result<(), ConfigError> {
-    if settings.max_retry_after > LONGEST_RETRY_AFTER || settings.tick > LONGEST_TICK {
-        return Err(ConfigError::SpanOutOfRange);
+fn check_durations(settings: &Settings) -> Result<(), ConfigError> {
+    if settings.max_retry_after > MAX_RETRY_AFTER || settings.tick > MAX_TICK {
+        return Err(ConfigError::DurationOutOfRange);
     }
     Ok(())
 }
@@ -278,8 +284,8 @@
     Ok(limits)
 }
 
-/// The names in a list of strings, or of objects with a name; an absent list is empty.
-fn names(root: &Value, path: &'static str) -> Result<Vec<String>, ConfigError> {
+/// Parses the names in a list of strings or of objects with a `name`. A missing list is empty.
+fn parse_names(root: &Value, path: &'static str) -> Result<Vec<String>, ConfigError> {
     let list = root
         .pointer(path)
         .and_then(Value::as_array)
@@ -295,20 +301,20 @@
         .collect()
 }
 
-fn span(root: &Value, path: &'static str) -> Result<Duration, ConfigError> {
+fn parse_duration(root: &Value, path: &'static str) -> Result<Duration, ConfigError> {
     let micros = root
         .pointer(path)
         .and_then(Value::as_f64)
-        .filter(|micros| (1.0..LONGEST_SPAN).contains(micros));
+        .filter(|micros| (1.0..DURATION_LIMIT).contains(micros));
     micros
         .map(|micros| Duration::from_micros(micros as u64))
-        .ok_or(ConfigError::MissingSpan { path })
+        .ok_or(ConfigError::MissingDuration { path })
 }
 
-fn drain_grace(root: &Value) -> Result<Duration, ConfigError> {
+fn parse_drain_grace(root: &Value) -> Result<Duration, ConfigError> {
     let path = "/rules/drainGrace";
     match root.pointer(path) {
-        Some(_) => span(root, path),
+        Some(_) => parse_duration(root, path),
         None => Ok(DEFAULT_DRAIN_GRACE),
     }
 }
--- a/crates/relay/src/config/error.rs
+++ b/crates/relay/src/config/error.rs
@@ -1,71 +1,71 @@
-//! Why a configuration cannot be used.
+//! Errors of the configuration.
 
 use std::io;
 
 use adapter::SettingsError;
 use thiserror::Error;
 
-/// Why a configuration cannot be used. Each message is one plain line for the operator.
+/// A configuration that cannot be used. Each message is a single line for the operator.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A value is neither in the environment nor in the file.
+    /// A required value is set neither in the environment nor in the file.
     #[error("{name} is not set")]
     NotSet {
-        /// The variable, or the key.
+        /// Name of the environment variable or of the key.
         name: &'static str,
     },
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the configuration file.
         path: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file is no JSON, or lacks a key, or has one of a wrong type.
+    /// The file is not valid JSON, lacks a key, or has a key of the wrong type.
     #[error("{path} is no usable configuration: {source}")]
     Malformed {
-        /// The file.
+        /// Path of the configuration file.
         path: String,
-        /// What the parser says.
+        /// Error of the parser.
         source: serde_json::Error,
     },
     /// The platform's settings cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A time span of the settings is longer than the relay supports.
-    #[error("settings hold a span that is out of range")]
-    SpanOutOfRange,
-    /// An address has no port, or is no IP address.
+    /// The maximum Retry-After or the tick is longer than the relay supports.
+    #[error("settings contain a duration that is out of range")]
+    DurationOutOfRange,
+    /// An address is not an IP address with a port.
     #[error("{text:?} is no address and port")]
     InvalidAddress {
-        /// The value.
+        /// The invalid value.
         text: String,
     },
-    /// The seed is no number.
-    #[error("seed {text:?} is no hexadecimal number")]
+    /// The seed is not a hexadecimal number of up to 64 bits.
+    #[error("seed {text:?} is not a 64-bit hexadecimal number")]
     InvalidSeed {
-        /// The value.
+        /// The invalid value.
         text: String,
     },
-    /// The machine's limits leave no room for a call and a client at once.
+    /// The machine's limits do not suffice for a client and a call at the same time, or for a message in the journal.
     #[error("limits are too small: {sockets} sockets, {disk_mb} MB")]
     LimitsTooSmall {
-        /// File descriptors.
+        /// Configured number of file descriptors.
         sockets: usize,
-        /// Megabytes in the state directory.
+        /// Configured disk space of the state directory, in megabytes.
         disk_mb: f64,
     },
     /// An entry of a list has no name.
     #[error("settings lack a name at {path}")]
     MissingName {
-        /// The list, as a JSON pointer.
+        /// JSON pointer to the list within the settings.
         path: &'static str,
     },
-    /// A time span is missing, or is none.
-    #[error("settings lack a span at {path}")]
-    MissingSpan {
-        /// The key, as a JSON pointer.
+    /// A duration is missing or not a number within the supported range.
+    #[error("settings lack a duration at {path}")]
+    MissingDuration {
+        /// JSON pointer to the duration within the settings.
         path: &'static str,
     },
 }
--- a/crates/relay/src/control_socket/commands.rs
+++ b/crates/relay/src/control_socket/commands.rs
@@ -1,4 +1,4 @@
-//! Execution of operators' commands.
+//! Executes the commands of operators.
 
 use control::{protocol, Command, LifecycleEvent, LifecycleState};
 use runtime::Runtime;
@@ -6,7 +6,7 @@
 use super::shared_state::Control;
 
 impl<R: Runtime> Control<R> {
-    /// Executes a command, and returns the reply.
+    /// Executes a command and returns the reply.
     pub(super) fn execute(&self, command: Command) -> String {
         match command {
             Command::Ready => self.report_readiness(),
@@ -31,7 +31,7 @@
         protocol::fail_reply(&format!("takes no clients: {}", self.state().as_str()))
     }
 
-    /// Brings the process to a state; succeeds also if it is in that state already.
+    /// Handles an event that leads to the state `target`. Also succeeds if the process is already in that state.
     fn change_state(&self, event: LifecycleEvent, target: LifecycleState, success: &str) -> String {
         let has_changed = self.handle_event(event);
         let state = self.state();
--- a/crates/relay/src/control_socket/connection.rs
+++ b/crates/relay/src/control_socket/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the control socket: a command is read, executed and answered.
+//! One connection of the control socket: reads a command, executes it and writes the reply.
 
 use std::cell::RefCell;
 use std::io;
@@ -13,18 +13,18 @@
 use super::shared_state::Control;
 use crate::client_connections::close_lingering;
 
-/// Time in which the complete command must arrive. An operator may type it.
+/// Time within which the complete command must arrive; long enough for an operator to type it.
 const COMMAND_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time in which the reply must be written, so that a peer that does not read holds no slot.
+/// Time within which the reply must be written, so that a peer that does not read it cannot hold a slot.
 const REPLY_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a connection got no command executed. The message is the reply's text.
+/// The reason why no command was executed. The message is the text of the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 enum CommandError {
-    /// The line is no command.
+    /// The line is not a valid command.
     #[error(transparent)]
     Line(#[from] LineError),
-    /// The connection had to make room for a newer one.
+    /// The connection was evicted for a newer one.
     #[error("too many callers")]
     Evicted,
     /// The command did not arrive within [`COMMAND_READ_TIMEOUT`].
@@ -32,7 +32,7 @@
     TimedOut,
 }
 
-/// Serves one connection until its reply is written or it fails, and releases its slot.
+/// Serves one connection until its reply is written or the connection fails, and releases its slot.
 pub(super) async fn serve<R: Runtime>(
     mut stream: R::Stream,
     control: &Control<R>,
@@ -46,7 +46,7 @@
         Err(error) => protocol::fail_reply(&error.to_string()),
     });
     if let Some(reply) = reply {
-        // A peer that has disconnected, or does not read, misses only its own reply.
+        // A peer that has disconnected or does not read only misses its own reply.
         drop(send_reply(&control.runtime, stream, &reply).await);
     }
     if holds_slot {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads the command; `None` if the peer closes the connection before it is complete.
+/// Reads the command; `None` if the peer closes the connection before the command is complete.
 async fn read_command<R: Runtime>(
     runtime: &R,
     stream: &mut R::Stream,
--- a/crates/relay/src/control_socket/connection_slots.rs
+++ b/crates/relay/src/control_socket/connection_slots.rs
@@ -1,5 +1,5 @@
-//! Slots of the control socket's connections. A new connection evicts the oldest one that has not sent its command, so
-//! that silent connections do not keep operators out.
+//! Slots of the control socket's connections. When all are taken, a new connection evicts the oldest one that has not
+//! sent its command, so that silent connections cannot lock operators out.
 
 #[cfg(test)]
 mod tests;
@@ -9,7 +9,7 @@
 
 use tokio::sync::Notify;
 
-/// Most connections at once. Operators and the load balancer hold a connection for one command only.
+/// Maximum number of concurrent connections. Operators and the load balancer hold a connection for one command only.
 pub(super) const MAX_CONNECTIONS: usize = 16;
 
 /// The slot of one connection.
@@ -20,24 +20,24 @@
 }
 
 impl ConnectionSlot {
-    /// Completes once the connection has to make room for a newer one.
+    /// Completes once the connection is evicted for a newer one.
     pub(super) async fn evicted(&self) {
         self.evicted.notified().await;
     }
 }
 
-/// All slots.
+/// The slots of all open connections.
 #[derive(Debug, Default)]
 pub(super) struct ConnectionSlots {
-    /// Connections that have not sent their command yet, the oldest first.
+    /// Connections that have not sent their command yet, oldest first.
     silent: VecDeque<ConnectionSlot>,
     open: usize,
     last_number: u64,
 }
 
 impl ConnectionSlots {
-    /// A slot for a new connection. If none is free, the oldest silent connection is evicted; if no connection is
-    /// silent, the bound is exceeded until one of them has its reply.
+    /// Acquires a slot for a new connection. If none is free, the oldest silent connection is evicted. If no connection is
+    /// silent, [`MAX_CONNECTIONS`] is exceeded until one of the connections has received its reply.
     pub(super) fn acquire(&mut self) -> ConnectionSlot {
         while self.open >= MAX_CONNECTIONS {
             let Some(oldest) = self.silent.pop_front() else {
@@ -56,8 +56,8 @@
         slot
     }
 
-    /// Protects a connection that has sent its command from eviction; false if it was evicted before, and so holds no
-    /// slot to release.
+    /// Protects a connection that has sent its command from eviction. Returns false if it was already evicted, and thus
+    /// holds no slot to release.
     pub(super) fn protect(&mut self, slot: &ConnectionSlot) -> bool {
         let silent_before = self.silent.len();
         self.silent.retain(|other| other.number != slot.number);
--- a/crates/relay/src/control_socket/connection_slots/tests.rs
+++ b/crates/relay/src/control_socket/connection_slots/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections are evicted for newer ones.
+//! Tests of the eviction of connections for newer ones.
 
 use super::{ConnectionSlot, ConnectionSlots, MAX_CONNECTIONS};
 
@@ -10,10 +10,13 @@
 fn oldest_silent_connection_is_evicted_for_a_new_one() {
     let mut slots = ConnectionSlots::default();
     let first = fill(&mut slots);
-    assert!(slots.protect(&first[0]), "it has sent its command");
+    assert!(slots.protect(&first[0]), "connection has sent its command");
     let newest = slots.acquire();
     assert_eq!(slots.open, MAX_CONNECTIONS);
-    assert!(!slots.protect(&first[1]), "it was the oldest silent one");
+    assert!(
+        !slots.protect(&first[1]),
+        "oldest silent connection must be evicted"
+    );
     assert!(slots.protect(&first[2]));
     assert!(slots.protect(&newest));
 }
@@ -25,11 +28,11 @@
     assert!(slots.protect(&first[3]));
     slots.release();
     slots.acquire();
-    assert!(slots.protect(&first[0]), "nobody was evicted");
+    assert!(slots.protect(&first[0]), "no connection may be evicted");
 }
 
 #[test]
-fn connection_is_accepted_beyond_the_bound_if_none_is_silent() {
+fn limit_is_exceeded_if_no_connection_is_silent() {
     let mut slots = ConnectionSlots::default();
     for slot in fill(&mut slots) {
         assert!(slots.protect(&slot));
--- a/crates/relay/src/control_socket/mod.rs
+++ b/crates/relay/src/control_socket/mod.rs
@@ -1,7 +1,7 @@
 //! The control socket: operators connect, send one command and get one reply.
 //!
-//! [`shared_state`] is the state that the relay's parts share, [`commands`] executes what operators send, [`server`] accepts
-//! connections, and [`connection`] serves one of them. What the bytes mean is the crate `control`'s.
+//! [`shared_state`] holds the state that the parts of the relay share, [`commands`] executes operators' commands,
+//! [`server`] accepts connections, and [`connection`] serves one of them. The protocol is defined in the crate `control`.
 
 mod commands;
 mod connection;
@@ -10,4 +10,4 @@
 mod shared_state;
 
 pub use server::{serve_operators, SOCKETS};
-pub use shared_state::{end_of_failure, end_of_reply, ConnectionPolicy, Control};
+pub use shared_state::{message_end_for_failure, message_end_for_reply, ConnectionPolicy, Control};
--- a/crates/relay/src/control_socket/server.rs
+++ b/crates/relay/src/control_socket/server.rs
@@ -10,12 +10,13 @@
 use super::connection_slots::{ConnectionSlots, MAX_CONNECTIONS};
 use super::shared_state::Control;
 
-/// Descriptors that the control socket takes: its listener, its connections, and one that is being accepted.
+/// Number of file descriptors that the control socket uses: its listener, its connections, and one that is being
+/// accepted.
 pub const SOCKETS: usize = MAX_CONNECTIONS + 2;
-/// Delay after a failed accept, such as for want of descriptors, before the next one.
+/// Delay before the next accept after a failed one, for example when no file descriptor is available.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts and serves connections for as long as the process lives.
+/// Accepts and serves connections until the process exits.
 pub async fn serve_operators<R: Runtime>(listener: R::Listener, control: Rc<Control<R>>) {
     let slots: Rc<RefCell<ConnectionSlots>> = Rc::default();
     loop {
--- a/crates/relay/src/control_socket/shared_state.rs
+++ b/crates/relay/src/control_socket/shared_state.rs
@@ -1,5 +1,5 @@
-//! The lifecycle and the metrics of this process, shared by the control socket, the event loop and the clients'
-//! connections. Nobody waits in a queue for them.
+//! The lifecycle and the metrics of this process, shared by the control socket, the event loop and the client
+//! connections, which access them directly and not through the event queue.
 
 use std::cell::{Cell, RefCell, RefMut};
 use std::rc::Rc;
@@ -12,17 +12,17 @@
 use runtime::{log, Runtime};
 use tokio::sync::{watch, Notify};
 
-/// Longest age of the host counts in the metrics; counting them takes a pass over all hosts.
+/// Maximum age of the host counts in the metrics. Counting requires a pass over all hosts.
 const HOST_COUNT_INTERVAL: Duration = Duration::from_millis(100);
-/// How often the connection policy is computed again while time alone may change it.
+/// How often the connection policy is recomputed while the passage of time alone may change it.
 const TRANSITION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the accept loop and the clients' connections do.
+/// The behaviour required of the accept loop and the client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionPolicy {
-    /// New connections are accepted.
+    /// Whether new connections are accepted.
     pub accepts: bool,
-    /// What open connections do.
+    /// How open connections behave.
     pub stage: ConnectionStage,
 }
 
@@ -32,10 +32,10 @@
     started_at: Instant,
     lifecycle: RefCell<Lifecycle>,
     metrics: RefCell<Metrics>,
-    /// Messages written completely to hosts, counted by the host connections.
+    /// Number of requests written completely to hosts, counted by the host connections.
     dispatches: Rc<Cell<u64>>,
     host_counts: Cell<HostCounts>,
-    /// When the host counts are due, if there is a control socket to show them.
+    /// When the host counts are due; `None` if there is no control socket to report them.
     next_host_count_at: Cell<Option<Instant>>,
     connection_policy: watch::Sender<ConnectionPolicy>,
     /// Wakes the event loop after a change of the lifecycle.
@@ -43,7 +43,7 @@
 }
 
 impl<R: Runtime> Control<R> {
-    /// The state of a process that starts, with the classes of the settings.
+    /// Creates the state of a starting process. `classes` are the names of the classes in the settings.
     pub fn new(runtime: &R, classes: &[String], has_control_socket: bool) -> Rc<Self> {
         let (connection_policy, _) = watch::channel(ConnectionPolicy {
             accepts: true,
@@ -63,17 +63,17 @@
         })
     }
 
-    /// The metrics, to record in. The borrow must not be held across an `await`.
+    /// The metrics, for recording. The borrow must not be held across an `await`.
     pub fn metrics(&self) -> RefMut<'_, Metrics> {
         self.metrics.borrow_mut()
     }
 
-    /// The counter of dispatches.
+    /// The shared counter of requests written completely to hosts.
     pub fn dispatches(&self) -> Rc<Cell<u64>> {
         self.dispatches.clone()
     }
 
-    /// The current connection policy, and its changes.
+    /// Subscribes to the connection policy.
     pub fn connection_policy(&self) -> watch::Receiver<ConnectionPolicy> {
         self.connection_policy.subscribe()
     }
@@ -82,7 +82,7 @@
         self.runtime.now() - self.started_at
     }
 
-    /// The state of the lifecycle.
+    /// The current state of the lifecycle.
     pub fn state(&self) -> LifecycleState {
         self.lifecycle.borrow().state()
     }
@@ -92,7 +92,7 @@
         self.lifecycle.borrow().is_ready()
     }
 
-    /// Whether new messages are rejected, as clients are to go to another relay.
+    /// Whether new messages are rejected so that clients go to another relay.
     pub fn rejects_messages(&self) -> bool {
         self.lifecycle
             .borrow()
@@ -100,7 +100,7 @@
             .rejects_messages()
     }
 
-    /// Handles an event of the lifecycle; false if it changes nothing.
+    /// Handles an event of the lifecycle. Returns false if it has no effect.
     pub fn handle_event(&self, event: LifecycleEvent) -> bool {
         let has_changed = self.lifecycle.borrow_mut().handle(event, self.uptime());
         if has_changed {
@@ -121,7 +121,8 @@
         self.state_changed.notified().await;
     }
 
-    /// Publishes the connection policy that holds now. Returns how soon to do so again, if time alone may change it.
+    /// Publishes the current connection policy. Returns the delay after which to call this again, if the passage of time
+    /// alone may change the policy.
     pub fn publish_stage(&self) -> Option<Duration> {
         let (lifecycle, now) = (self.lifecycle.borrow(), self.uptime());
         let policy = ConnectionPolicy {
@@ -135,15 +136,15 @@
             .then_some(TRANSITION_POLL_INTERVAL)
     }
 
-    /// Whether the process exits now. `is_idle` is evaluated only if that matters.
+    /// Whether the process exits now. `is_idle` is evaluated only in state [`LifecycleState::Stopping`].
     pub fn should_exit(&self, is_idle: impl FnOnce() -> bool) -> bool {
         let lifecycle = *self.lifecycle.borrow();
         lifecycle.state() == LifecycleState::Stopping
             && lifecycle.should_exit(self.uptime(), is_idle())
     }
 
-    /// The same while the port is open: an idle process first accepts the connections that wait there, and stays until
-    /// the port is closed or its time to stop has run out.
+    /// Like [`Self::should_exit`], for use while the port is open: an idle process first accepts the connections that are
+    /// queued on the port, and exits once the port is closed or its time to stop has run out.
     pub fn should_exit_listening(&self, is_idle: impl FnOnce() -> bool) -> bool {
         if !self.should_exit(is_idle) {
             return false;
@@ -155,7 +156,7 @@
         must_exit
     }
 
-    /// Whether everything is to be handed over to another process now.
+    /// Whether the hand-over to another process is to start now, given the number of open client connections.
     pub fn should_start_handover(&self, clients: usize) -> bool {
         self.lifecycle
             .borrow()
@@ -167,30 +168,30 @@
         self.lifecycle.borrow().is_drained()
     }
 
-    /// Sets whether the previous process was drained.
+    /// Adopts from the previous process whether an operator has drained the relay.
     pub fn restore_drained(&self, is_drained: bool) {
         self.lifecycle.borrow_mut().restore_drained(is_drained);
     }
 
-    /// The time until the last call must have ended, if the process stops.
+    /// The time left until the last call must have ended; `None` if the process is not stopping.
     pub fn time_left_for_calls(&self) -> Option<Duration> {
         let deadline = self.lifecycle.borrow().time_left_for_calls()?;
         Some(deadline.saturating_sub(self.uptime()))
     }
 
-    /// When the host counts are due next, if ever.
+    /// When the host counts are due next; `None` if there is no control socket to report them.
     pub fn next_host_count_at(&self) -> Option<Instant> {
         self.next_host_count_at.get()
     }
 
-    /// Sets the host counts.
+    /// Sets the host counts, and schedules the next count.
     pub fn set_host_counts(&self, host_counts: HostCounts) {
         self.host_counts.set(host_counts);
         self.next_host_count_at
             .set(Some(self.runtime.now() + HOST_COUNT_INTERVAL));
     }
 
-    /// The metrics as text.
+    /// Renders the metrics as text.
     pub(super) fn render_metrics(&self) -> String {
         self.metrics
             .borrow()
@@ -198,8 +199,8 @@
     }
 }
 
-/// How the metrics count a message that got this reply instead of being accepted.
-pub fn end_of_reply(reply: &Reply) -> MessageEnd {
+/// The metrics category of a message that was answered with this reply instead of being accepted.
+pub fn message_end_for_reply(reply: &Reply) -> MessageEnd {
     match reply {
         Reply::Busy(_) => MessageEnd::Overload,
         Reply::Error(_) | Reply::NoAuth | Reply::WrongPass => MessageEnd::Error,
@@ -207,8 +208,8 @@
     }
 }
 
-/// How the metrics count an accepted message that failed.
-pub fn end_of_failure(failure: DeliveryFailure) -> MessageEnd {
+/// The metrics category of an accepted message that failed.
+pub fn message_end_for_failure(failure: DeliveryFailure) -> MessageEnd {
     match failure {
         DeliveryFailure::Undeliverable => MessageEnd::Error,
         DeliveryFailure::Deferred(_) => MessageEnd::Overload,
--- a/crates/relay/src/discovery_client/error.rs
+++ b/crates/relay/src/discovery_client/error.rs
@@ -1,4 +1,4 @@
-//! Why an exchange with discovery failed.
+//! Errors of exchanges with discovery.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 use runtime::Elapsed;
 use thiserror::Error;
 
-/// Why discovery did not answer, or why its answer can't be used.
+/// Discovery did not answer, or its answer cannot be used.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
     /// Discovery did not respond in time.
@@ -21,50 +21,50 @@
     /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The response has a status other than the one that was expected.
+    /// The response does not have the expected status.
     #[error("answered {0}")]
     UnexpectedStatus(StatusCode),
-    /// The body of the response is longer than is accepted.
+    /// The body of the response exceeds the size limit.
     #[error("length limit exceeded")]
     ResponseTooLong,
-    /// Discovery ended the watch.
+    /// Discovery closed the watch.
     #[error("it was closed")]
     WatchClosed,
-    /// Discovery has got another address.
+    /// The address of discovery changed in the configuration.
     #[error("it moved")]
     AddressChanged,
-    /// The event loop has ended and takes no events.
+    /// The event loop has stopped and accepts no events.
     #[error("channel closed")]
     EventLoopStopped,
-    /// Discovery has sent a list that can't be used. Unlike after the other errors, the relay counts as notified of what
-    /// the list contains, so it needs a full snapshot.
+    /// Discovery sent a list that cannot be used. Unlike after other errors, discovery assumes that the relay has received
+    /// the contents of the list, so the relay has to request a full snapshot.
     #[error(transparent)]
     InvalidList(#[from] InvalidListError),
 }
 
 impl DiscoveryError {
-    /// Whether discovery has sent a list that can't be used.
+    /// Whether discovery sent a list that cannot be used.
     pub fn is_invalid_list(&self) -> bool {
         matches!(self, DiscoveryError::InvalidList(_))
     }
 }
 
-/// Why a list can't be used.
+/// A host list that cannot be used.
 #[derive(Debug, Error)]
 pub enum InvalidListError {
     /// The list is longer than [`MAX_LIST_BYTES`](super::list_decoder::MAX_LIST_BYTES).
     #[error("a list is too long")]
     TooLong,
-    /// The list ended before its last bracket.
+    /// The list ended before its closing bracket.
     #[error("a list was cut off")]
     Truncated,
     /// The rest of the list did not arrive in time.
     #[error("half of a list came")]
     Incomplete,
-    /// The input is no JSON object.
+    /// The input is not a JSON object.
     #[error("a line is no list")]
     NotAList,
-    /// The list is malformed.
+    /// The list is a JSON object that does not match the expected form.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// The list is older than the current one.
@@ -72,7 +72,7 @@
     Stale {
         /// Version of the list that was received.
         received: u64,
-        /// Version of the current list.
+        /// Version of the current list, which is newer.
         current: u64,
     },
 }
--- a/crates/relay/src/discovery_client/list_decoder.rs
+++ b/crates/relay/src/discovery_client/list_decoder.rs
@@ -1,7 +1,6 @@
 //! Decodes a stream of host lists, without I/O.
 //!
-//! Lists are JSON objects that follow one another, each on one line or indented over several. They arrive in chunks of
-//! any size.
+//! Lists are consecutive JSON objects, each on one line or indented over several. They arrive in chunks of any size.
 
 #[cfg(test)]
 mod tests;
@@ -11,15 +10,15 @@
 
 use super::error::InvalidListError;
 
-/// Upper bound of the size of a list in bytes, enough for some twenty thousand hosts.
+/// Maximum size of a list in bytes, sufficient for about twenty thousand hosts.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// One item of the stream.
 #[derive(Debug, PartialEq)]
 pub enum StreamItem {
-    /// A full snapshot of the list, or its changes.
+    /// A full snapshot of the host list, or changes to it.
     List(HostList),
-    /// An empty line: nothing has changed.
+    /// An empty line: the list has not changed.
     Heartbeat,
 }
 
@@ -27,13 +26,13 @@
 #[derive(Default)]
 pub struct ListDecoder {
     buffer: BytesMut,
-    /// Number of bytes at the start of `buffer` that were examined.
+    /// Number of bytes at the start of `buffer` that have been examined.
     examined: usize,
-    /// Number of brackets and braces that are open after these bytes.
+    /// Number of open brackets and braces after the examined bytes.
     depth: usize,
     is_in_string: bool,
     is_after_backslash: bool,
-    /// Only blanks have followed the end of a line within a list.
+    /// Whether the current line within a list contains only blanks so far.
     is_line_empty: bool,
 }
 
@@ -43,14 +42,14 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether a list has begun and is not complete.
+    /// Whether a list has begun but is not complete.
     pub fn is_in_list(&self) -> bool {
         self.depth > 0
     }
 
-    /// Returns the next complete item, or `None` if more bytes are needed for one.
+    /// Returns the next complete item, or `None` if more bytes are needed.
     ///
-    /// After an error the decoder can't continue: the start of the next item is unknown.
+    /// The decoder cannot continue after an error, because the start of the next item is unknown.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, InvalidListError> {
         while let Some(byte) = self.buffer.get(self.examined).copied() {
             self.examined += 1;
@@ -73,7 +72,7 @@
     }
 
     fn examine_in_string(&mut self, byte: u8) -> Result<(), InvalidListError> {
-        // JSON strings contain no line ends, so the rest of this list will not arrive.
+        // JSON strings contain no line ends, so this list was truncated.
         if byte == b'\n' {
             return Err(InvalidListError::Truncated);
         }
--- a/crates/relay/src/discovery_client/list_decoder/tests.rs
+++ b/crates/relay/src/discovery_client/list_decoder/tests.rs
@@ -5,7 +5,7 @@
 const ONE_LINE: &str = r#"{"seq":43,"whole":false,"hosts":[{"host":"a\"}","dial":"10.1.0.1:80","block":3,"health":"draining"}]}"#;
 const INDENTED: &str = "{\n  \"seq\": 43,\n  \"whole\": false,\n  \"hosts\": [\r\n    {\n      \"host\": \"a\\\"}\",\n      \"dial\": \"10.1.0.1:80\",\n      \"block\": 3,\n      \"health\": \"draining\"\n    }\n  ]\n}\n";
 
-/// Positions in [`ONE_LINE`] behind a value and within a string.
+/// Positions in [`ONE_LINE`] after a value and within a string.
 const TRUNCATED_LENGTHS: [usize; 2] = [45, 60];
 
 type DecodedItem = Result<StreamItem, InvalidListError>;
@@ -28,11 +28,11 @@
 }
 
 fn ends_with_error(items: &[DecodedItem]) -> bool {
-    items.last().expect("an item").is_err()
+    items.last().expect("at least one item").is_err()
 }
 
 #[test]
-fn list_is_the_same_on_one_line_indented_and_in_chunks() {
+fn list_is_decoded_on_one_line_or_indented_for_any_chunk_size() {
     for chunk_size in [1, 2, 7, 1000] {
         for text in [ONE_LINE, INDENTED] {
             let items = decode_in_chunks(&format!("\n{text}\n \n"), chunk_size);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn incomplete_list_is_no_error() {
+fn incomplete_list_is_not_an_error() {
     let mut decoder = ListDecoder::default();
     decoder.extend(&ONE_LINE.as_bytes()[..TRUNCATED_LENGTHS[1]]);
     assert!(matches!(decoder.next_item(), Ok(None)));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn input_that_is_no_list_is_an_error() {
+fn input_that_is_not_a_list_is_an_error() {
     for text in [
         "noise\n",
         "[1]\n",
--- a/crates/relay/src/discovery_client/mod.rs
+++ b/crates/relay/src/discovery_client/mod.rs
@@ -1,4 +1,4 @@
-//! Everything the relay exchanges with discovery: the watch of the host list, and notifications to the platform.
+//! The client of discovery: watches the host list, and sends notifications to the platform.
 
 mod error;
 mod list_decoder;
@@ -7,6 +7,6 @@
 mod request_channel;
 mod watch;
 
-pub use notification_sender::notify;
+pub use notification_sender::send_notifications;
 pub use notifications::Notifications;
-pub use watch::follow;
+pub use watch::watch_host_list;
--- a/crates/relay/src/discovery_client/notification_sender.rs
+++ b/crates/relay/src/discovery_client/notification_sender.rs
@@ -1,4 +1,4 @@
-//! Sends notifications to the platform.
+//! Sends notifications of undelivered messages to the platform.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,20 +16,21 @@
 
 const NOTIFICATIONS_PATH: &str = "/v1/notices";
 
-/// Upper bound of each wait: for a connection, for the head of the response and for its body.
+/// Timeout of each of: opening a connection, receiving the head of the response, and receiving its body.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A longer response is an error.
+/// Maximum size of a response body in bytes; a longer one is an error.
 const RESPONSE_MAX_BYTES: usize = 64 << 10;
 
 /// Backoff after the first failure to send notifications.
 const RETRY_BACKOFF_MIN: Duration = Duration::from_millis(50);
 
-/// Upper bound of the backoff.
+/// Maximum backoff.
 const RETRY_BACKOFF_MAX: Duration = Duration::from_secs(1);
 
-/// Sends notifications to the current address until the event loop ends, each until it was answered with status 204.
-pub async fn notify<R: Runtime>(
+/// Sends notifications to the current address until the event loop ends. Each is retried until it is answered with status
+/// 204.
+pub async fn send_notifications<R: Runtime>(
     runtime: R,
     mut current_address: watch::Receiver<SocketAddr>,
     notifications: Rc<Notifications>,
@@ -68,7 +69,7 @@
     }
 }
 
-/// Sends a batch, and after a failure waits for the backoff.
+/// Sends a batch. After a failure, waits for the backoff before returning the error.
 async fn send_batch<R: Runtime>(
     runtime: &R,
     channel: &mut Option<RequestChannel<R>>,
@@ -89,7 +90,7 @@
     posted
 }
 
-/// Posts notifications on the channel, or on a new one if there is none that can be used.
+/// Posts notifications on the channel, or on a new one if the channel is missing or not usable.
 async fn post<R: Runtime>(
     runtime: &R,
     channel: &mut Option<RequestChannel<R>>,
--- a/crates/relay/src/discovery_client/notifications.rs
+++ b/crates/relay/src/discovery_client/notifications.rs
@@ -1,4 +1,4 @@
-//! The notifications that the platform has not accepted yet.
+//! The queue of notifications that the platform has not accepted yet.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,12 +9,12 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-/// Upper bound of the number of notifications in one request.
+/// Maximum number of notifications in one request.
 const MAX_BATCH_LEN: usize = 200;
 
 /// Notifications that the platform has not accepted yet.
 ///
-/// Each belongs to a message in the journal, whose size bounds their number.
+/// Each belongs to a message in the journal, so the size of the journal limits their number.
 #[derive(Default)]
 pub struct Notifications {
     pending: RefCell<BTreeMap<MessageId, PendingNotification>>,
@@ -26,14 +26,14 @@
     failure: DeliveryFailure,
 }
 
-/// The notifications of one request.
+/// The notifications to send in one request.
 pub(super) struct NotificationBatch {
     pub(super) ids: Vec<MessageId>,
-    /// One JSON object a line.
+    /// The encoded notifications, one JSON object per line.
     pub(super) body: Bytes,
 }
 
-/// A notification in the platform's form.
+/// A notification in the platform's JSON format.
 #[derive(Serialize)]
 struct EncodedNotification<'a> {
     #[serde(rename = "id")]
@@ -44,7 +44,7 @@
 }
 
 impl Notifications {
-    /// Adds the notification that a message was not delivered.
+    /// Queues the notification that a message was not delivered.
     pub fn add(&self, id: MessageId, message_name: String, failure: DeliveryFailure) {
         let notification = PendingNotification {
             message_name,
@@ -59,12 +59,12 @@
         self.pending.borrow().len()
     }
 
-    /// Ready once a notification was added, also if that was before the call.
+    /// Completes once a notification has been added; at once if that happened before the call.
     pub(super) async fn wait_until_added(&self) {
         self.added.notified().await;
     }
 
-    /// The notifications that are to be sent next; empty if there are none.
+    /// The next notifications to send; empty if there are none.
     pub(super) fn next_batch(&self) -> NotificationBatch {
         let mut ids = Vec::new();
         let mut lines = String::new();
--- a/crates/relay/src/discovery_client/request_channel.rs
+++ b/crates/relay/src/discovery_client/request_channel.rs
@@ -14,7 +14,7 @@
 
 use super::error::DiscoveryError;
 
-/// A connection to discovery. It is closed when this is dropped.
+/// A connection to discovery. Dropping it closes the connection.
 pub(super) struct RequestChannel<R: Runtime> {
     runtime: R,
     address: SocketAddr,
@@ -46,7 +46,7 @@
         self.address
     }
 
-    /// Whether the channel can take another request within `timeout`.
+    /// Waits up to `timeout` for the channel to accept another request; false if it does not.
     pub(super) async fn becomes_ready(&mut self, timeout: Duration) -> bool {
         let ready = self.runtime.timeout(timeout, self.sender.ready()).await;
         matches!(ready, Ok(Ok(())))
@@ -76,7 +76,7 @@
     }
 }
 
-/// Reads the body of a response. One of more than `max_bytes` is an error.
+/// Reads the body of a response. A body of more than `max_bytes` bytes is an error.
 pub(super) async fn collect_body(
     body: Incoming,
     max_bytes: usize,
--- a/crates/relay/src/discovery_client/watch.rs
+++ b/crates/relay/src/discovery_client/watch.rs
@@ -1,4 +1,4 @@
-//! Watches the host list for changes.
+//! Watches the host list of discovery for changes.
 
 #[cfg(test)]
 mod tests;
@@ -26,14 +26,15 @@
 
 const LIST_PATH: &str = "/catalog/members";
 
-/// A new watch that delivers nothing for this long confirms the current list: discovery sends what has changed at once.
+/// A new watch that delivers nothing for this long confirms the current list, because discovery sends pending changes
+/// at once.
 const CONFIRMATION_DELAY: Duration = Duration::from_millis(100);
 
 /// Watches the host list at the current address until the event loop ends.
 ///
-/// Each watch of the same address continues at the version that the one before has reached; the first one starts at
-/// `version`.
-pub async fn follow<R: Runtime>(
+/// The first watch starts at `version`. Each further watch of the same address continues at the version that the
+/// previous one reached.
+pub async fn watch_host_list<R: Runtime>(
     runtime: R,
     mut current_address: watch::Receiver<SocketAddr>,
     version: u64,
@@ -48,13 +49,13 @@
         watch.address = *current_address.borrow_and_update();
         tokio::select! {
             biased;
-            // A watch of an address that the configuration no longer names must not deliver anything more.
+            // A watch must not deliver anything after its address was removed from the configuration.
             changed = current_address.changed() => if changed.is_err() {
                 return;
             },
             () = watch.run() => return,
         }
-        // What the old address has sent remains valid, but the versions of the new one may differ.
+        // Lists from the old address remain valid, but the new address may number its versions differently.
         watch.needs_full_snapshot = true;
         if watch.deliver_list().await.is_err() {
             return;
@@ -68,19 +69,19 @@
     address: SocketAddr,
     /// Version of the current list.
     version: u64,
-    /// The changes since the current list are not known, so a full snapshot has to be requested.
+    /// Whether the changes since the current list are unknown, so that a full snapshot has to be requested.
     needs_full_snapshot: bool,
-    /// Discovery has neither confirmed nor sent a list to this process.
+    /// Whether discovery has neither confirmed nor sent a list to this process.
     is_unconfirmed: bool,
-    /// The watch that is running has delivered something.
+    /// Whether the running watch has delivered a list or a heartbeat.
     has_received: bool,
-    /// A list that was applied here and not yet sent to the event loop.
+    /// A list that was applied here but not yet sent to the event loop.
     undelivered_list: Option<HostList>,
     members: Rc<RefCell<HostMembership>>,
     inputs: mpsc::Sender<RelayEvent>,
 }
 
-/// A response whose body is still to be read.
+/// A response whose body has not been read yet.
 struct OpenResponse<R: Runtime> {
     body: Incoming,
     /// Keeps the connection of the body open.
@@ -95,8 +96,8 @@
         members: Rc<RefCell<HostMembership>>,
         inputs: mpsc::Sender<RelayEvent>,
     ) -> Self {
-        // An agent on the same machine answers a request for a full snapshot at once, while a watch may stay silent
-        // until its first heartbeat after 2 s.
+        // In push mode, the agent runs on the same machine and answers a request for a full snapshot at once, whereas a
+        // watch may stay silent until its first heartbeat after 2 s.
         let needs_full_snapshot = members.borrow().poll_schedule.is_push();
         DiscoveryWatch {
             runtime,
@@ -120,7 +121,7 @@
             let Err(error) = self.watch_once().await;
             let delay = self.next_delay(&error, started);
             self.needs_full_snapshot |= error.is_invalid_list();
-            // One line for a series of failures.
+            // Logs only the first of a series of failures.
             if !is_failure_logged || self.has_received {
                 self.log_failure(&error);
             }
@@ -136,8 +137,8 @@
     fn next_delay(&self, error: &DiscoveryError, started: Instant) -> Duration {
         let schedule = &mut self.members.borrow_mut().poll_schedule;
         let is_invalid_list = error.is_invalid_list();
-        // A full snapshot that is valid, followed at once by an invalid list, is no success: discovery may keep
-        // answering in this way.
+        // A valid full snapshot that is followed at once by an invalid list does not count as a success: discovery may
+        // repeat this on each request.
         let was_long = || self.runtime.now() >= started + WATCH_SILENCE_TIMEOUT;
         if self.has_received && (!is_invalid_list || was_long()) {
             schedule.record_success();
@@ -177,7 +178,7 @@
         let OpenResponse {
             channel: _channel,
             mut body,
-        } = self.send_poll(&path).await?;
+        } = self.send_list_request(&path).await?;
         let mut decoder = ListDecoder::default();
         let mut transfer_started = None;
         loop {
@@ -197,10 +198,10 @@
         }
     }
 
-    /// Until when the next bytes of a watch are awaited. `transfer_started` is the time since which a list is incomplete.
+    /// The deadline for the next bytes of a watch. `transfer_started` is the time since which a list has been incomplete.
     fn read_deadline(&self, is_in_list: bool, transfer_started: &mut Option<Instant>) -> Instant {
         let now = self.runtime.now();
-        // Discovery may fall silent with its connections open, which no error reports.
+        // Discovery may stop responding while its connections stay open, which causes no error.
         let mut deadline = now + WATCH_SILENCE_TIMEOUT;
         if is_in_list {
             let transfer_timeout = self.members.borrow().poll_schedule.transfer_timeout();
@@ -215,7 +216,7 @@
         deadline
     }
 
-    /// Handles a watch that delivered nothing until its deadline.
+    /// Handles a watch that delivered no bytes before its deadline.
     async fn handle_read_timeout(
         &mut self,
         is_in_list: bool,
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Handles the items that are complete.
+    /// Handles the complete items in the decoder.
     async fn handle_items(&mut self, decoder: &mut ListDecoder) -> Result<(), DiscoveryError> {
         while let Some(item) = decoder.next_item()? {
             match item {
@@ -243,7 +244,7 @@
     }
 
     async fn handle_heartbeat(&mut self) -> Result<(), DiscoveryError> {
-        // In poll mode the time of each confirmation is cached for the process that starts next.
+        // In poll mode, the time of each confirmation is cached for the next process.
         let is_poll = !self.members.borrow().poll_schedule.is_push();
         if self.is_unconfirmed || is_poll {
             self.deliver_confirmation().await?;
@@ -251,7 +252,8 @@
         Ok(())
     }
 
-    /// Applies a list, or what may be used of a list that is older than the current one.
+    /// Applies a list. From a list that is older than the current one, applies only the hosts that are draining or removed,
+    /// and then fails.
     async fn apply_list(&mut self, list: HostList) -> Result<(), DiscoveryError> {
         let received = ReceivedList {
             version: list.version,
@@ -289,7 +291,7 @@
     /// Sends the undelivered list, if there is one, to the event loop.
     ///
     /// The list stays in place until the event loop has capacity for it. If the address changes in the meantime, the
-    /// future of the watch is dropped, and [`follow`] delivers the list.
+    /// future of the watch is dropped, and [`watch_host_list`] delivers the list.
     async fn deliver_list(&mut self) -> Result<(), DiscoveryError> {
         if self.undelivered_list.is_some() {
             let permit = self
@@ -304,7 +306,7 @@
         Ok(())
     }
 
-    /// Reports to the event loop that the current list is the latest.
+    /// Reports to the event loop that the current list is up to date.
     async fn deliver_confirmation(&mut self) -> Result<(), DiscoveryError> {
         self.is_unconfirmed = false;
         self.inputs
@@ -317,7 +319,7 @@
         let OpenResponse {
             channel: _channel,
             body,
-        } = self.send_poll(LIST_PATH).await?;
+        } = self.send_list_request(LIST_PATH).await?;
         let transfer_timeout = self.members.borrow().poll_schedule.transfer_timeout();
         let body = collect_body(body, MAX_LIST_BYTES);
         let text = self.runtime.timeout(transfer_timeout, body).await??;
@@ -327,14 +329,15 @@
         Ok(list)
     }
 
-    /// Sends a request on a connection of its own, and returns once the head of the response has arrived.
-    async fn send_poll(&self, path: &str) -> Result<OpenResponse<R>, DiscoveryError> {
+    /// Sends a request on a new connection, and returns once the head of the response has arrived.
+    async fn send_list_request(&self, path: &str) -> Result<OpenResponse<R>, DiscoveryError> {
         let timeout = {
             let mut members = self.members.borrow_mut();
             members.poll_started(self.runtime.now());
             members.poll_schedule.response_timeout()
         };
-        // One timeout for both: an agent whose connection is not established is as silent as one that does not answer.
+        // One timeout covers both steps, as failing to connect and failing to answer have the same cause: an unresponsive
+        // agent.
         let deadline = self.runtime.now() + timeout;
         let mut channel = RequestChannel::open(&self.runtime, self.address, timeout).await?;
         let remaining = deadline.saturating_duration_since(self.runtime.now());
--- a/crates/relay/src/discovery_client/watch/tests.rs
+++ b/crates/relay/src/discovery_client/watch/tests.rs
@@ -32,27 +32,28 @@
             "born_ms": 0
         }]
     });
-    serde_json::from_value(list).expect("a list")
+    serde_json::from_value(list).expect("valid list")
 }
 
-/// The address changes, by SIGHUP, while a list waits until the event loop takes more events.
+/// A reload by SIGHUP changes the address while a list waits for the event loop to accept more events. The list must not
+/// be lost.
 async fn assert_waiting_list_survives_address_change(version: u64) {
     let (inputs, mut events) = mpsc::channel(1);
     inputs
         .try_send(RelayEvent::HostListConfirmed)
-        .expect("capacity for one");
+        .expect("capacity for one event");
     let mut watch = watch_with_inputs(inputs);
-    // Dropped while it waits, as `follow` does when the address changes.
+    // The timeout drops the future while it waits, as `watch_host_list` does when the address changes.
     let apply = watch.apply_list(list_with_draining_host(version));
     let applied = tokio::time::timeout(Duration::ZERO, apply).await;
-    assert!(applied.is_err(), "there is no capacity");
+    assert!(applied.is_err(), "the event channel must be full");
     assert!(matches!(
         events.try_recv(),
         Ok(RelayEvent::HostListConfirmed)
     ));
-    watch.deliver_list().await.expect("the events are received");
+    watch.deliver_list().await.expect("event channel is open");
     let Ok(RelayEvent::HostListReceived(delivered)) = events.try_recv() else {
-        panic!("the list was lost")
+        panic!("list was lost")
     };
     assert_eq!(
         delivered.hosts[0].state,
@@ -66,7 +67,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("build runtime");
     let (newer, older) = (CURRENT_VERSION + 1, CURRENT_VERSION - 1);
     runtime.block_on(assert_waiting_list_survives_address_change(newer));
     runtime.block_on(assert_waiting_list_survives_address_change(older));
--- a/crates/relay/src/event_loop/actions.rs
+++ b/crates/relay/src/event_loop/actions.rs
@@ -32,7 +32,7 @@
         };
         self.control
             .metrics()
-            .record_rejected(&message.class, control_socket::end_of_reply(reply));
+            .record_rejected(&message.class, control_socket::message_end_for_reply(reply));
         self.tenants.message_rejected(&message.tenant);
     }
 
--- a/crates/relay/src/event_loop/admission.rs
+++ b/crates/relay/src/event_loop/admission.rs
@@ -81,7 +81,7 @@
     fn reject_request(&mut self, class: &str, reply: oneshot::Sender<Reply>, rejection: Reply) {
         self.control
             .metrics()
-            .record_rejected(class, control_socket::end_of_reply(&rejection));
+            .record_rejected(class, control_socket::message_end_for_reply(&rejection));
         drop(reply.send(rejection));
     }
 
@@ -165,7 +165,7 @@
         self.pending_events.push(Event::MessageWithdrawn(id));
         self.control
             .metrics()
-            .record_rejected(&class, control_socket::end_of_reply(&reply));
+            .record_rejected(&class, control_socket::message_end_for_reply(&reply));
     }
 }
 
--- a/crates/relay/src/event_loop/attempts.rs
+++ b/crates/relay/src/event_loop/attempts.rs
@@ -57,7 +57,7 @@
             key: pending.accepted.idempotency_key.clone(),
             body: pending.accepted.body.clone(),
             timeout: Duration::from_micros(timeout),
-            begin_by: self.idempotency_deadline(pending),
+            latest_start: self.idempotency_deadline(pending),
             start: self.attempt_start(id, number, attempt, host),
         };
         if let Err(error) = journal.prepare_attempt(id, number, attempt) {
@@ -164,7 +164,7 @@
     /// Records how an attempt ended, and passes it to the policy.
     pub(super) fn attempt_ended(&mut self, call: CompletedCall) {
         self.call_log
-            .call(self.clock.now(), call.id, call.opened_connection);
+            .record_call(self.clock.now(), call.id, call.opened_connection);
         self.forget_open_call(call.id, call.attempt);
         let (destination, is_failed_or_gone) = {
             let journal = self.journal.borrow();
@@ -256,7 +256,7 @@
 
     /// The values of a load report; empty if there is none that can be used.
     fn read_load_report(&self, text: Option<&str>) -> Vec<f32> {
-        let names = self.config.report.iter();
+        let names = self.config.load_report_fields.iter();
         let fields = names.zip(&self.config.settings.report_fields);
         text.and_then(|text| parse_load_report(fields, text))
             .unwrap_or_default()
--- a/crates/relay/src/event_loop/completion.rs
+++ b/crates/relay/src/event_loop/completion.rs
@@ -51,7 +51,7 @@
         let end = if is_resend {
             MessageEnd::Other
         } else {
-            control_socket::end_of_failure(failure)
+            control_socket::message_end_for_failure(failure)
         };
         self.control.metrics().record_end(&accepted.class, end);
         let recorded = self.journal.borrow_mut().record_failure(id, failure);
--- a/crates/relay/src/event_loop/mod.rs
+++ b/crates/relay/src/event_loop/mod.rs
@@ -242,10 +242,10 @@
     fn decide(&mut self, now: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         self.call_log
-            .events(now, &self.pending_events, &self.host_directory);
+            .record_events(now, &self.pending_events, &self.host_directory);
         let events = std::mem::take(&mut self.pending_events);
         self.policy.handle(now, events, &mut actions);
-        self.call_log.actions(now, &actions, &self.policy);
+        self.call_log.record_actions(now, &actions, &self.policy);
         actions
     }
 
--- a/crates/relay/src/event_loop/restore.rs
+++ b/crates/relay/src/event_loop/restore.rs
@@ -83,7 +83,7 @@
     /// the last process received, and discovery may be silent, so the cached list keeps draining hosts from getting
     /// calls.
     fn restore_host_list(&mut self) {
-        let mut known = std::mem::take(&mut self.config.known);
+        let mut known = std::mem::take(&mut self.config.known_hosts);
         self.host_directory
             .add_destinations(known.hosts.iter().map(|entry| entry.destination));
         if self.cached_state.list.version > known.version {
--- a/crates/relay/src/event_loop/startup.rs
+++ b/crates/relay/src/event_loop/startup.rs
@@ -24,7 +24,7 @@
 use crate::host_directory::HostDirectory;
 use crate::in_flight::InFlightMessages;
 use crate::journal::Journal;
-use crate::operator_config::Operator;
+use crate::operator_config::OperatorConfig;
 use crate::state_directory::{DirectoryOwner, HandoverState};
 use crate::tenant_service::Tenants;
 use crate::undeliverable_service::{self, UndeliverableService};
@@ -72,7 +72,11 @@
 
 impl SocketBudget {
     /// Half of the sockets are for clients. Of the other half, calls come before idle connections.
-    fn new(config: &Config, operator: &Operator, may_overlap: bool) -> Result<Self, StartupError> {
+    fn new(
+        config: &Config,
+        operator: &OperatorConfig,
+        may_overlap: bool,
+    ) -> Result<Self, StartupError> {
         let max_calls = config.settings.max_calls;
         let admin = operator
             .admin
@@ -115,7 +119,7 @@
         let runtime = resources.runtime;
         let mut config = Config::load(runtime)?;
         let operator_file = resources.operator_file.map(PathBuf::as_path);
-        let operator = Operator::load(runtime, operator_file)?;
+        let operator = OperatorConfig::load(runtime, operator_file)?;
         let handover = directory_owner.read_handover().await;
         let disk_limit = (config.limits.disk_mb * BYTES_PER_MB) as u64;
         let journal = open_journal(runtime, &config, disk_limit).await?;
@@ -169,7 +173,8 @@
     /// Restores the state. The clock's anchor is written before any moment that is counted by that clock.
     fn start(&mut self, handover: Option<HandoverState>) -> Result<(), PolicyAborted> {
         self.clock_anchor.ensure_written(&self.runtime, &self.clock);
-        self.call_log.start(self.clock.now(), &self.config.settings);
+        self.call_log
+            .record_start(self.clock.now(), &self.config.settings);
         self.restore(handover)?;
         clock_anchor::log_difference(&self.runtime, &self.clock);
         Ok(())
@@ -193,7 +198,7 @@
 fn open_tenants<R: Runtime>(
     resources: &LoopResources<'_, R>,
     config: &Config,
-    operator: &Operator,
+    operator: &OperatorConfig,
 ) -> Result<Tenants<R>, StartupError> {
     Tenants::open(
         resources.runtime,
@@ -241,7 +246,7 @@
         resources.runtime.clone(),
         membership.clone(),
         config.dial_timeout,
-        config.idle_close,
+        config.host_idle_timeout,
         max_idle,
         resources.control.dispatches(),
     ))
--- a/crates/relay/src/event_loop/table_levels.rs
+++ b/crates/relay/src/event_loop/table_levels.rs
@@ -14,8 +14,8 @@
 impl<R: Runtime> EventLoop<R> {
     /// Writes the levels to the call log when they are due.
     pub(super) fn log_table_levels(&mut self, now: Micros) {
-        if self.call_log.wants_levels(now) {
-            self.call_log.levels(now, &self.table_levels());
+        if self.call_log.table_levels_due(now) {
+            self.call_log.record_table_levels(now, &self.table_levels());
         }
     }
 
--- a/crates/relay/src/host_connections/attempt.rs
+++ b/crates/relay/src/host_connections/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt at a call: get a connection, check that the call may still start, exchange request and response, and
-//! derive the outcome.
+//! One attempt at a call: obtains a connection, checks that the call may still start, exchanges request and response,
+//! and derives the outcome.
 
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
@@ -17,34 +17,34 @@
 use super::response::{self, ResponseReport};
 use super::{Call, HostConnections};
 
-/// A response with this status says that the message was delivered, even if the rest of it is malformed.
+/// A response with this status means that the message was delivered, even if the rest of the response is malformed.
 const DELIVERED_STATUS: u16 = 200;
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub(super) struct AttemptResult<R: Runtime> {
     pub(super) report: ResponseReport,
-    /// A new connection was opened, or was to be opened, instead of reusing an idle one.
+    /// The attempt opened a connection, or tried to, instead of reusing an idle one.
     pub(super) opened_connection: bool,
-    /// What has to be read before the connection can be used again.
+    /// The response to read before the connection can be reused; `None` if the connection is not kept.
     pub(super) unread_response: Option<UnreadResponse<R>>,
 }
 
-/// A response whose head was read and whose body was not.
+/// A response whose head has been read, but not its body.
 pub(super) struct UnreadResponse<R: Runtime> {
     pub(super) connection: Connection<R>,
     pub(super) response: Response<Incoming>,
 }
 
-/// Where the connection of an attempt comes from.
+/// The origin of an attempt's connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionOrigin {
-    /// It was idle in the pool, and the host may have closed it meanwhile.
+    /// The connection was idle in the pool. The host may have closed it in the meantime.
     Reused,
-    /// It was opened for the attempt.
+    /// The connection was opened for the attempt.
     Opened,
 }
 
-/// What came of writing a request and waiting for the head of its response.
+/// The result of writing a request and waiting for the head of its response.
 enum Exchange {
     Response(Response<Incoming>),
     /// The connection failed before the last byte of the request was written, so the host has not executed the call.
@@ -55,18 +55,18 @@
     Cancelled,
 }
 
-/// When an attempt has to end.
+/// The conditions that end an attempt early.
 pub(super) struct AttemptLimits<'a> {
     pub(super) deadline: Instant,
-    /// Ready when the call is cancelled, also by dropping the sender.
+    /// Completes when the call is cancelled, which includes dropping the sender.
     pub(super) cancel: &'a mut oneshot::Receiver<()>,
 }
 
 impl<R: Runtime> HostConnections<R> {
     /// Makes one attempt.
     ///
-    /// The host may have closed an idle connection. The request then goes to the next one; each turn uses one up, and a
-    /// connection that was opened for the attempt is the last.
+    /// The host may have closed an idle connection, in which case the request is written to the next one. Each iteration
+    /// consumes one idle connection; the last iteration uses a connection that was opened for the attempt.
     pub(super) async fn attempt(
         &self,
         call: &Call,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Opens a connection within the dial timeout, as a host that has disappeared does not answer.
+    /// Opens a connection within the dial timeout, because a host that has disappeared does not answer at all.
     async fn open_connection(
         &self,
         call: &Call,
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Makes the attempt on a connection, unless the call must not start any more.
+    /// Makes the attempt on a connection, unless the call may no longer start.
     ///
-    /// Continues with another connection if this one was lost before the host could execute the call.
+    /// Returns `Continue` to retry on another connection if this one was lost before the host could execute the call.
     async fn attempt_on(
         &self,
         call: &Call,
@@ -118,7 +118,7 @@
         origin: ConnectionOrigin,
     ) -> ControlFlow<AttemptResult<R>> {
         if let Some(outcome) = self.reason_not_to_start(call) {
-            self.keep(call.host, connection);
+            self.return_to_pool(call.host, connection);
             return ControlFlow::Break(AttemptResult::without_response(outcome, origin));
         }
         let remaining = limits
@@ -142,7 +142,7 @@
                 call.start.retract();
                 match origin {
                     ConnectionOrigin::Reused => ControlFlow::Continue(()),
-                    // A new connection that takes no request belongs to a host that can't be reached.
+                    // A host whose new connection fails before the request is written counts as unreachable.
                     ConnectionOrigin::Opened => ControlFlow::Break(
                         AttemptResult::without_response(AttemptOutcome::ConnectFailed, origin),
                     ),
@@ -170,22 +170,22 @@
         }
     }
 
-    /// The outcome of a call that must not start any more; `None` if it may.
+    /// The outcome of a call that may no longer start; `None` if it may.
     ///
-    /// Opening a connection takes time in which the conditions of the call may change. Nothing of it was written yet, so
-    /// the policy can still choose another host or a later time.
+    /// The conditions of the call may have changed while the connection was opened. No byte of the request has been
+    /// written yet, so the policy can still choose another host or a later time.
     fn reason_not_to_start(&self, call: &Call) -> Option<AttemptOutcome> {
         let now = self.runtime.now();
         // The host was announced as draining or removed.
         if !self.members.borrow().may_start_call(call.host, now) {
             return Some(AttemptOutcome::NotStarted);
         }
-        // Another call on the route was answered with a wait.
+        // The response to another call on the route requested a wait.
         if self.retry_after.borrow().is_waiting(call.route, now) {
             return Some(AttemptOutcome::Obsolete);
         }
-        // An earlier attempt may have been executed, and the host may have forgotten the idempotency key by now.
-        if call.begin_by.is_some_and(|latest| latest < now) {
+        // An earlier attempt may have been executed, and the host may no longer store the idempotency key.
+        if call.latest_start.is_some_and(|latest| latest < now) {
             return Some(AttemptOutcome::Obsolete);
         }
         None
@@ -206,7 +206,7 @@
                 Err(_) if !connection.progress().is_request_complete() => Exchange::RequestIncomplete,
                 Err(_) => Exchange::ResponseFailed,
             },
-            // Bounds the time and the memory that a response's head may take.
+            // Limits the time and the memory that the head of a response may take.
             () = head_overrun => Exchange::ResponseFailed,
             () = self.runtime.sleep_until(limits.deadline) => Exchange::DeadlineReached,
             _ = &mut *limits.cancel => Exchange::Cancelled,
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Ends an attempt whose response is missing, malformed, or over its limits of size or time.
+    /// Ends an attempt whose response is missing, malformed, or exceeds its size or time limit.
     async fn end_failed_response(
         &self,
         call: &Call,
@@ -255,7 +255,8 @@
         };
         let result = close_and_report(call, connection, outcome, origin).await;
         if is_connection_lost {
-            // The other idle connections may be lost as well. The next call opens one, which shows whether the host is up.
+            // The other idle connections may be lost as well. The next call opens a new connection, which shows whether
+            // the host is up.
             self.close_idle(call.host);
         }
         result
@@ -263,7 +264,7 @@
 }
 
 impl<R: Runtime> AttemptResult<R> {
-    /// The result of an attempt that ended before a response's head was complete.
+    /// The result of an attempt that ended before the head of a response was complete.
     fn without_response(outcome: AttemptOutcome, origin: ConnectionOrigin) -> Self {
         AttemptResult {
             report: ResponseReport {
@@ -279,8 +280,8 @@
 
 /// Ends an attempt whose connection can't be reused, and returns once it is closed.
 ///
-/// The outcome is the given one, unless the response began with status 200. A request that was not written completely
-/// cannot be executed, so that its start is retracted.
+/// The outcome is `outcome`, unless the response began with status 200. A request that was not written completely
+/// cannot have been executed, so its start is retracted.
 async fn close_and_report<R: Runtime>(
     call: &Call,
     connection: Connection<R>,
--- a/crates/relay/src/host_connections/attempt_start.rs
+++ b/crates/relay/src/host_connections/attempt_start.rs
@@ -1,35 +1,35 @@
-//! The start of an attempt: the moment from which a host may execute it.
+//! Records the start of an attempt: the instant from which a host may execute it.
 
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
 
-/// Keeps the start of an attempt where it outlasts the process.
+/// Stores the start of an attempt persistently, so that it survives the process.
 pub trait AttemptRecorder {
     /// Records that a host may execute the attempt from now on.
     ///
     /// # Errors
-    /// If it cannot be recorded, or the attempt must not be made any more. Nothing is written to the host then.
+    /// Fails if the start cannot be stored or the attempt may no longer be made. Nothing is then written to the host.
     fn record_start(&self) -> io::Result<()>;
 
     /// Records that no host can have executed the attempt, as its request was not written completely.
     ///
     /// # Errors
-    /// If the record is another process' by now. The attempt still counts as started there.
+    /// Fails if another process owns the record by now. The attempt still counts as started there.
     fn retract_start(&self) -> io::Result<()>;
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StartState {
-    /// Nothing was written to a host.
+    /// Nothing has been written to a host.
     Pending,
-    /// The start is recorded; bytes may have been written.
+    /// The start is recorded; bytes may have been written to a host.
     Recorded,
     /// The start could not be recorded; nothing may be written.
     Failed,
 }
 
-/// Whether the start of one attempt is recorded. It is, from right before the first byte of the request on.
+/// The state of one attempt's start, which is recorded immediately before the first byte of the request is written.
 #[derive(Clone)]
 pub struct AttemptStart {
     recorder: Rc<dyn AttemptRecorder>,
@@ -37,7 +37,7 @@
 }
 
 impl AttemptStart {
-    /// The start of an attempt for which nothing was written yet.
+    /// Creates the start of an attempt for which nothing has been written yet.
     pub fn new(recorder: Rc<dyn AttemptRecorder>) -> Self {
         AttemptStart {
             recorder,
@@ -45,10 +45,10 @@
         }
     }
 
-    /// Records the start, if that was not done before.
+    /// Records the start, unless it is already recorded.
     ///
     /// # Errors
-    /// The error of the recorder; nothing may be written then.
+    /// Returns the error of the recorder. Nothing may be written to the host then.
     pub(super) fn record(&self) -> io::Result<()> {
         if self.state.get() == StartState::Recorded {
             return Ok(());
@@ -61,7 +61,7 @@
         recorded
     }
 
-    /// Takes the start back after a request that was not written completely.
+    /// Retracts the start after a request that was not written completely.
     pub(super) fn retract(&self) {
         let is_recorded = self.state.get() == StartState::Recorded;
         if is_recorded && self.recorder.retract_start().is_ok() {
--- a/crates/relay/src/host_connections/connection.rs
+++ b/crates/relay/src/host_connections/connection.rs
@@ -15,42 +15,42 @@
 use super::attempt_start::AttemptStart;
 use super::watched_stream::{TransferMonitor, TransferProgress, WatchedStream};
 
-/// Upper bound of a response's head in bytes, from its first line on.
+/// Maximum size of the head of a response in bytes, including its first line.
 const RESPONSE_HEAD_MAX_BYTES: usize = 32 << 10;
 
-/// Upper bound of the time between the first byte of a response and the end of its head.
+/// Maximum time between the first byte of a response and the end of its head.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Upper bound of the informational (1xx) responses before a response, in bytes.
+/// Maximum total size in bytes of the informational (1xx) responses that precede a response.
 const INFORMATIONAL_RESPONSES_MAX_BYTES: usize = 64 << 10;
 
-/// A connection to a host. It is closed when this is dropped.
+/// A connection to a host. Dropping it closes the connection.
 pub(super) struct Connection<R: Runtime> {
     pub(super) address: SocketAddr,
     pub(super) sender: SendRequest<Full<Bytes>>,
-    /// Moves the bytes. Aborting it closes the connection.
+    /// Drives the connection's I/O. Aborting the task closes the connection.
     task: R::Task,
     monitor: TransferMonitor,
-    /// When the last call on the connection ended, or else when it was opened.
+    /// When the last call on the connection ended, or when it was opened if it has had no call.
     pub(super) idle_since: Instant,
 }
 
 impl<R: Runtime> Connection<R> {
-    /// Opens a connection whose complete requests are counted in `dispatches`.
+    /// Opens a connection that counts the requests written completely in `dispatches`.
     ///
-    /// The time this takes is not bounded here: a host that has disappeared does not answer.
+    /// The caller has to apply a timeout, because a host that has disappeared does not answer at all.
     pub(super) async fn open(
         runtime: &R,
         address: SocketAddr,
         dispatches: Rc<Cell<u64>>,
     ) -> io::Result<Self> {
         let stream = runtime.connect(address).await?;
-        // Without it small writes may come late, which is no reason to give the connection up.
+        // Without this option small writes may be delayed, which does not justify closing the connection.
         drop(stream.set_nodelay());
         let monitor = TransferMonitor::default();
         let stream = WatchedStream::new(stream, monitor.clone(), dispatches);
         let mut builder = http1::Builder::new();
-        // Bounds the memory that a response's head may take.
+        // Limits the memory that the head of a response may take.
         builder.max_buf_size(RESPONSE_HEAD_MAX_BYTES);
         let (sender, connection) = builder
             .handshake(TokioIo::new(stream))
@@ -67,8 +67,7 @@
         })
     }
 
-    /// Prepares for a request of `size` bytes that is about to be written, and whose start is recorded before its first
-    /// byte.
+    /// Prepares for a request of `size` bytes that is about to be written. `start` is recorded before its first byte.
     pub(super) fn begin_request(&self, size: u64, start: AttemptStart) {
         self.monitor
             .progress
@@ -76,17 +75,17 @@
             .begin_request(size, start);
     }
 
-    /// What has passed on the connection.
+    /// The progress of the current request and its response.
     pub(super) fn progress(&self) -> Ref<'_, TransferProgress> {
         self.monitor.progress.borrow()
     }
 
-    /// The progress as a handle of its own, for use while the connection is borrowed.
+    /// A shared handle to the progress, for use while the connection is borrowed.
     pub(super) fn monitor(&self) -> TransferMonitor {
         self.monitor.clone()
     }
 
-    /// Closes the connection and returns once it is closed. Until then, the message must not be sent again.
+    /// Closes the connection and returns once it is closed. The message must not be resent before that.
     pub(super) async fn close(mut self) {
         self.task.abort();
         self.task.join().await;
@@ -101,7 +100,7 @@
 
 /// Returns once the head of the response to the current request has exceeded its limits of size or time.
 ///
-/// The caller drops the future when the head is complete, as it does not notice that itself.
+/// The caller has to drop the future when the head is complete, which the future does not detect itself.
 pub(super) async fn response_head_overrun<R: Runtime>(runtime: R, monitor: TransferMonitor) {
     let bytes_read = || monitor.progress.borrow().response.bytes_read();
     while !monitor.progress.borrow().response.has_started() {
--- a/crates/relay/src/host_connections/connection_pool.rs
+++ b/crates/relay/src/host_connections/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The idle connections that are kept for further calls.
+//! The idle connections to hosts that are kept for reuse.
 
 #[cfg(test)]
 mod tests;
@@ -12,7 +12,7 @@
 
 use super::connection::Connection;
 
-/// Idle connections by host, each host's from the one that is idle longest to the newest.
+/// Idle connections by host. Those of one host are ordered from the longest idle to the most recently used.
 pub(super) struct ConnectionPool<R: Runtime> {
     idle: BTreeMap<HostId, Vec<Connection<R>>>,
     idle_timeout: Duration,
@@ -21,7 +21,7 @@
 }
 
 impl<R: Runtime> ConnectionPool<R> {
-    /// Creates an empty pool of at most `max_idle` connections, each of which serves until it was idle for `idle_timeout`.
+    /// Creates an empty pool of at most `max_idle` connections. A connection expires after being idle for `idle_timeout`.
     pub(super) fn new(idle_timeout: Duration, max_idle: usize) -> Self {
         ConnectionPool {
             idle: BTreeMap::new(),
@@ -41,23 +41,23 @@
         self.max_idle
     }
 
-    /// Whether the pool takes no more connections.
+    /// Whether the pool accepts no more connections.
     pub(super) fn is_retired(&self) -> bool {
         self.is_retired
     }
 
-    /// Closes all connections, and takes none from now on.
+    /// Closes all connections. The pool must not be given any more connections.
     pub(super) fn retire(&mut self) {
         self.is_retired = true;
         self.idle.clear();
     }
 
-    /// Closes the connections to a host.
+    /// Closes the idle connections to a host.
     pub(super) fn close_host(&mut self, host: HostId) {
         self.idle.remove(&host);
     }
 
-    /// Closes the connections that were idle for too long or were closed by their host.
+    /// Closes the connections that have been idle for the idle timeout, or were closed by their host.
     pub(super) fn close_expired(&mut self, now: Instant) {
         let idle_timeout = self.idle_timeout;
         self.idle.retain(|_, connections| {
@@ -68,7 +68,8 @@
         });
     }
 
-    /// Removes the newest connection to a host at an address that is usable; newer ones that are not are closed.
+    /// Removes and returns the most recently used connection to a host that is usable and connected to `address`. More
+    /// recently used ones that do not qualify are closed.
     pub(super) fn take(
         &mut self,
         host: HostId,
@@ -86,7 +87,7 @@
         None
     }
 
-    /// Adds a connection that has just become idle. If the pool is full, the one that is idle longest is closed.
+    /// Adds a connection that has just become idle. If that exceeds the limit, the longest idle connection is closed.
     pub(super) fn put(&mut self, host: HostId, mut connection: Connection<R>, now: Instant) {
         connection.idle_since = now;
         self.idle.entry(host).or_default().push(connection);
@@ -104,8 +105,8 @@
     }
 }
 
-/// The host whose first connection has been idle longest. A host whose last connection was just taken has an empty list,
-/// which does not count.
+/// The host whose first connection has been idle longest. Hosts with an empty list, whose last connection was just
+/// taken, are ignored.
 fn host_of_longest_idle<T>(
     idle: &BTreeMap<HostId, Vec<T>>,
     idle_since: impl Fn(&T) -> Instant,
--- a/crates/relay/src/host_connections/connection_pool/tests.rs
+++ b/crates/relay/src/host_connections/connection_pool/tests.rs
@@ -3,7 +3,7 @@
 
 use super::host_of_longest_idle;
 
-/// An empty list once counted as the longest idle one, and the removal of its first connection panicked.
+/// If an empty list counted as the longest idle one, removing its first connection would panic.
 #[test]
 fn host_without_idle_connections_is_never_the_longest_idle() {
     let start = Instant::now();
--- a/crates/relay/src/host_connections/mod.rs
+++ b/crates/relay/src/host_connections/mod.rs
@@ -1,8 +1,8 @@
-//! Calls to hosts, and the connections that are reused for them.
+//! Makes calls to hosts, over connections that are reused between calls.
 //!
-//! [`HostConnections`] joins the parts: [`connection_pool`] keeps idle connections, [`attempt`] makes one attempt on a
-//! [`connection`], [`watched_stream`] records what passes on it, and [`request`], [`response`] and [`status_line`]
-//! encode and parse without I/O.
+//! [`HostConnections`] combines the submodules: [`connection_pool`] keeps idle connections, [`attempt`] makes one attempt
+//! on a [`connection`], [`watched_stream`] records the progress of the transfer, and [`request`], [`response`] and
+//! [`status_line`] encode and parse without I/O.
 
 mod attempt;
 mod attempt_start;
@@ -39,39 +39,40 @@
 use response::ResponseReport;
 use retry_after::RetryAfterDeadlines;
 
-/// How long the body of a response may take before its connection is closed instead of reused.
+/// Time limit for reading the body of a response, after which its connection is closed instead of reused.
 const RESPONSE_BODY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A longer response body is not read, and its connection is closed instead of reused.
+/// Maximum size of a response body in bytes. The connection of a longer one is closed instead of reused.
 const RESPONSE_BODY_MAX_BYTES: usize = 64 << 10;
 
-/// How long the outcome of a call waits for its connection to become idle, so that the next call can reuse it.
+/// Maximum time for which reporting the outcome of a call is delayed until its connection is idle, so that the next call
+/// can reuse the connection.
 const OUTCOME_DELAY_MAX: Duration = Duration::from_millis(5);
 
 /// A call to be made.
 pub struct Call {
-    /// The message.
+    /// The message that the call delivers.
     pub id: MessageId,
-    /// Number of the attempt, from 0.
+    /// Number of the message's attempt, from 0.
     pub attempt: u8,
-    /// The host.
+    /// The host to call.
     pub host: HostId,
-    /// The route to which a wait holds that a host requests in response to the call.
+    /// The route that a wait requested by the response applies to.
     pub route: RouteKey,
     /// The address at which the host accepts connections.
     pub address: SocketAddr,
     /// The message's name, sent unchanged.
     pub name: String,
-    /// Its idempotency key, sent unchanged.
+    /// The message's idempotency key, sent unchanged; `None` if it has none.
     pub key: Option<String>,
-    /// Its body, sent unchanged.
+    /// The message's body, sent unchanged.
     pub body: Bytes,
-    /// How long the attempt may take.
+    /// Maximum duration of the attempt.
     pub timeout: Duration,
-    /// The call must not start later, as the host may have forgotten its idempotency key by then. `None` if it may start
-    /// at any time.
-    pub begin_by: Option<Instant>,
-    /// Records the start of the attempt, right before the first byte of its request.
+    /// Latest time at which the call may start, because the host may have discarded its idempotency key after that.
+    /// `None` if it may start at any time.
+    pub latest_start: Option<Instant>,
+    /// Records the start of the attempt immediately before the first byte of its request.
     pub start: AttemptStart,
 }
 
@@ -79,11 +80,11 @@
 pub struct HostConnections<R: Runtime> {
     runtime: R,
     pool: RefCell<ConnectionPool<R>>,
-    /// Which hosts may be called.
+    /// Determines which hosts may be called.
     members: Rc<RefCell<HostMembership>>,
     retry_after: RefCell<RetryAfterDeadlines>,
     dial_timeout: Duration,
-    /// Number of requests that were written completely.
+    /// Number of requests that were written completely, on all connections.
     dispatches: Rc<Cell<u64>>,
 }
 
@@ -100,7 +101,7 @@
         max_idle: usize,
         dispatches: Rc<Cell<u64>>,
     ) -> Self {
-        // A tenth shorter than the host's, so that no request is sent while the host closes the connection.
+        // A tenth shorter than the timeout of hosts, so that no request is sent while the host closes the connection.
         let idle_timeout = host_idle_timeout - host_idle_timeout / 10;
         HostConnections {
             runtime,
@@ -122,7 +123,7 @@
         self.pool.borrow().max_idle()
     }
 
-    /// Closes the connections that were idle for too long, and forgets the waits that have ended.
+    /// Closes the connections that have expired, and removes the `Retry-After` waits that have ended.
     pub fn close_expired(&self) {
         let now = self.runtime.now();
         self.retry_after.borrow_mut().remove_expired(now);
@@ -131,12 +132,12 @@
 
     /// Closes the idle connections to a host.
     ///
-    /// A connection that is in use is closed at the end of its call if the host is draining or removed by then.
+    /// A connection in use is closed at the end of its call if the host is draining or removed by then.
     pub fn close_idle(&self, host: HostId) {
         self.pool.borrow_mut().close_host(host);
     }
 
-    /// Closes all idle connections, and from now on each connection as soon as it is idle.
+    /// Closes all idle connections, and from now on each connection as soon as it becomes idle.
     pub fn retire(&self) {
         self.pool.borrow_mut().retire();
     }
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Reads the body of a response, so that its connection can be reused; closes the connection if that fails.
+    /// Reads the body of a response, so that its connection can be reused. Closes the connection if that fails.
     async fn finish_response(&self, host: HostId, unread: UnreadResponse<R>) {
         let UnreadResponse {
             mut connection,
@@ -200,13 +201,13 @@
             matches!(collected, Ok(Ok(_)))
         };
         if is_body_read && self.becomes_ready(&mut connection).await {
-            self.keep(host, connection);
+            self.return_to_pool(host, connection);
         } else {
             connection.close().await;
         }
     }
 
-    /// Whether a connection can take another request within [`RESPONSE_BODY_TIMEOUT`].
+    /// Waits up to [`RESPONSE_BODY_TIMEOUT`] for a connection to accept another request; false if it does not.
     async fn becomes_ready(&self, connection: &mut Connection<R>) -> bool {
         let ready = self
             .runtime
@@ -215,15 +216,15 @@
         matches!(ready, Ok(Ok(())))
     }
 
-    /// The newest idle connection that can be used for a call.
+    /// Takes the most recently used idle connection that is usable for a call from the pool.
     fn reuse_idle_connection(&self, call: &Call) -> Option<Connection<R>> {
         let now = self.runtime.now();
         self.pool.borrow_mut().take(call.host, call.address, now)
     }
 
-    /// Keeps a connection for further calls. It is closed if there can't be any, as its host is draining or removed or
-    /// the process is ending.
-    fn keep(&self, host: HostId, connection: Connection<R>) {
+    /// Returns a connection to the pool for further calls. The connection is closed instead if no further calls are
+    /// possible, because its host is draining or removed or the process is ending.
+    fn return_to_pool(&self, host: HostId, connection: Connection<R>) {
         let mut pool = self.pool.borrow_mut();
         if !pool.is_retired() && self.members.borrow().is_ready(host) {
             pool.put(host, connection, self.runtime.now());
--- a/crates/relay/src/host_connections/request.rs
+++ b/crates/relay/src/host_connections/request.rs
@@ -15,7 +15,7 @@
 const IDEMPOTENCY_KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 const REMAINING_TIME_HEADER: HeaderName = HeaderName::from_static("x-expires-in-ms");
 
-/// Length of `: ` and the line's end around each header.
+/// Length of `: ` and the line end of each header.
 const HEADER_SEPARATORS_LEN: usize = 4;
 
 /// Length of the empty line after the headers.
@@ -24,11 +24,11 @@
 /// A request and the number of bytes that the HTTP library writes for it.
 pub(super) struct EncodedRequest {
     pub(super) request: Request<Full<Bytes>>,
-    /// If fewer bytes than these were written, the host cannot have executed the call.
+    /// Size of the encoded request in bytes. If fewer bytes were written, the host cannot have executed the call.
     pub(super) size: u64,
 }
 
-/// Builds the request of a call that times out after `remaining`.
+/// Builds the request of a call that expires after `remaining`.
 ///
 /// Returns `None` if the message's name or idempotency key can't be sent as a header.
 pub(super) fn build(call: &Call, remaining: Duration) -> Option<EncodedRequest> {
@@ -46,7 +46,7 @@
 }
 
 fn headers(call: &Call, remaining: Duration) -> Option<HeaderMap> {
-    // Zero would say that the message has expired already.
+    // Zero would mean that the message has already expired.
     let remaining_millis = remaining.as_millis().max(1);
     let mut headers = HeaderMap::new();
     headers.insert(HOST, header_value(&call.address.to_string())?);
--- a/crates/relay/src/host_connections/response.rs
+++ b/crates/relay/src/host_connections/response.rs
@@ -1,4 +1,4 @@
-//! What the head of a host's response means for the message, without I/O.
+//! Derives the outcome of an attempt from the head of the host's response, without I/O.
 
 #[cfg(test)]
 mod tests;
@@ -9,31 +9,31 @@
 /// The host's current load, as free text.
 const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
 
-/// With status 429: how many milliseconds to wait before the next request.
+/// With status 429: milliseconds to wait before the next request.
 const RETRY_AFTER_HEADER: &str = "x-backoff-ms";
 
-/// With status 503 and the value 1: the host's own way out is full.
+/// With status 503 and the value 1: the host's own egress is at capacity.
 const EGRESS_FULL_HEADER: &str = "x-egress-full";
 
-/// Longer load reports are cut off.
+/// Maximum length of a load report; a longer one is truncated.
 const LOAD_REPORT_MAX_CHARS: usize = 256;
 
-/// A longer wait than one day is shortened to it.
+/// Maximum wait (one day); a longer one is reduced to this.
 const RETRY_AFTER_MAX_MILLIS: u64 = 86_400_000;
 
-/// What a response says about an attempt.
+/// The result of an attempt as reported by its response.
 #[derive(Debug, PartialEq)]
 pub(super) struct ResponseReport {
     pub(super) outcome: AttemptOutcome,
-    /// The message needs no further attempt, whatever the outcome.
+    /// The message needs no further attempt, regardless of the outcome.
     pub(super) is_final: bool,
-    /// The host's load report, as it was sent.
+    /// The host's load report as sent, up to [`LOAD_REPORT_MAX_CHARS`] characters; `None` if there is none.
     pub(super) load_report: Option<String>,
 }
 
-/// Interprets a response's status and headers by the table in the protocol's description.
+/// Interprets a response's status and headers according to the table in the protocol's description.
 ///
-/// A response that the table does not list leaves open whether the message was executed.
+/// After a response that the table does not list, it is unknown whether the message was executed.
 pub(super) fn interpret<B>(response: &Response<B>) -> ResponseReport {
     let load_report = header(response, LOAD_REPORT_HEADER)
         .map(|text| text.chars().take(LOAD_REPORT_MAX_CHARS).collect());
--- a/crates/relay/src/host_connections/response/tests.rs
+++ b/crates/relay/src/host_connections/response/tests.rs
@@ -5,7 +5,7 @@
     for (name, value) in headers {
         builder = builder.header(*name, *value);
     }
-    interpret(&builder.body(()).expect("a response"))
+    interpret(&builder.body(()).expect("valid response"))
 }
 
 fn outcome(status: u16, headers: &[(&str, &str)]) -> AttemptOutcome {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn too_many_requests_is_a_rejection_only_with_a_valid_wait() {
+fn status_429_is_a_rejection_only_with_a_valid_wait() {
     let with_wait = |millis| outcome(429, &[(RETRY_AFTER_HEADER, millis)]);
     let rejected = |retry_after| AttemptOutcome::Rejected { retry_after };
     assert_eq!(with_wait(" 250 "), rejected(250_000));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn full_egress_makes_an_unavailable_host_obsolete_for_the_message() {
+fn unavailable_host_with_full_egress_makes_the_attempt_obsolete() {
     let with_egress = |value| outcome(503, &[(EGRESS_FULL_HEADER, value)]);
     assert_eq!(with_egress(" 1 "), AttemptOutcome::Obsolete);
     assert_eq!(
--- a/crates/relay/src/host_connections/retry_after.rs
+++ b/crates/relay/src/host_connections/retry_after.rs
@@ -1,18 +1,18 @@
-//! The waits that hosts have requested by `Retry-After`.
+//! The `Retry-After` waits that hosts have requested.
 
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::time::Instant;
 
 use policy::RouteKey;
 
-/// Until when no call on a route may start.
+/// For each route with a requested wait, the time before which no call may start.
 #[derive(Default)]
 pub(super) struct RetryAfterDeadlines {
     deadlines: BTreeMap<RouteKey, Instant>,
 }
 
 impl RetryAfterDeadlines {
-    /// Records a wait. It never shortens one that was recorded earlier.
+    /// Records a wait until `deadline`. It never shortens a wait that was recorded earlier.
     pub(super) fn extend(&mut self, route: RouteKey, deadline: Instant) {
         match self.deadlines.entry(route) {
             Entry::Vacant(entry) => {
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Whether calls on a route have to wait.
+    /// Whether calls on a route have to wait at `now`.
     pub(super) fn is_waiting(&self, route: RouteKey, now: Instant) -> bool {
         self.deadlines
             .get(&route)
             .is_some_and(|deadline| *deadline > now)
     }
 
-    /// Forgets the waits that have ended.
+    /// Removes the waits that have ended.
     pub(super) fn remove_expired(&mut self, now: Instant) {
         self.deadlines.retain(|_, deadline| *deadline > now);
     }
--- a/crates/relay/src/host_connections/status_line.rs
+++ b/crates/relay/src/host_connections/status_line.rs
@@ -1,12 +1,12 @@
-//! Finds the status code in the bytes of an HTTP/1 response, without I/O.
+//! Extracts the status code from the bytes of an HTTP/1 response, without I/O.
 
 #[cfg(test)]
 mod tests;
 
-/// Reads the status line of a response from its bytes as they arrive, past informational (1xx) responses.
+/// Parses the status line of a response incrementally, skipping informational (1xx) responses.
 ///
-/// The HTTP library reports no status if a response turns out to be malformed after its first line. A message whose
-/// response began with status 200 was delivered all the same, so the status is read here as well.
+/// The HTTP library reports no status if a response is malformed after its first line. A message whose response began
+/// with status 200 was delivered nevertheless, so the status is parsed separately here.
 #[derive(Default)]
 pub(super) struct StatusLineParser {
     status: Option<u16>,
@@ -16,10 +16,10 @@
 }
 
 impl StatusLineParser {
-    /// The status that represents a first line that is malformed or too long.
+    /// The status that stands for a first line that is malformed or too long.
     pub(super) const INVALID_STATUS: u16 = 0;
 
-    /// A longer first line is malformed.
+    /// Maximum length of the first line; a longer one counts as malformed.
     const MAX_LINE_BYTES: usize = 1024;
 
     /// The status code of the response, or [`Self::INVALID_STATUS`]; `None` while its first line is incomplete.
@@ -37,7 +37,7 @@
         self.status.is_some() || !self.is_in_informational_head && !self.line.is_empty()
     }
 
-    /// Adds bytes that were read from the connection.
+    /// Processes bytes that were read from the connection.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         self.bytes_read += bytes.len();
         for byte in bytes {
--- a/crates/relay/src/host_connections/status_line/tests.rs
+++ b/crates/relay/src/host_connections/status_line/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn status_is_found_past_informational_responses_in_any_chunks() {
+fn status_is_found_after_informational_responses_for_any_chunk_size() {
     for chunk_size in CHUNK_SIZES {
         let status = |text: &str| parse_in_chunks(text, chunk_size);
         assert_eq!(status("HTTP/1.1 200 OK\r\nX: \u{1}"), Some(200));
--- a/crates/relay/src/host_connections/tests.rs
+++ b/crates/relay/src/host_connections/tests.rs
@@ -29,15 +29,15 @@
         key: key.map(String::from),
         body: Bytes::copy_from_slice(body),
         timeout: CALL_TIMEOUT,
-        begin_by: None,
-        start: AttemptStart::new(Rc::new(Unrecorded)),
+        latest_start: None,
+        start: AttemptStart::new(Rc::new(NoopRecorder)),
     }
 }
 
-/// Calls of these tests are not journaled.
-struct Unrecorded;
+/// Discards the starts of attempts, as most of these tests do not check them.
+struct NoopRecorder;
 
-impl AttemptRecorder for Unrecorded {
+impl AttemptRecorder for NoopRecorder {
     fn record_start(&self) -> std::io::Result<()> {
         Ok(())
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// Connections of a relay that may call the host [`HOST_ID`].
+/// Creates the host connections of a relay that may call the host [`HOST_ID`].
 fn host_connections(max_idle: usize) -> HostConnections<OsRuntime> {
     let mut members = HostMembership::new(
         &DiscoverySettings {
@@ -72,13 +72,15 @@
 }
 
 async fn listen() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("bind listener");
+    let address = listener.local_addr().expect("listener address");
     (listener, address)
 }
 
 async fn accept(listener: &TcpListener) -> TcpStream {
-    listener.accept().await.expect("accepted").0
+    listener.accept().await.expect("accept connection").0
 }
 
 async fn make_call(hosts: &HostConnections<OsRuntime>, call: Call) -> CompletedCall {
@@ -87,22 +89,27 @@
     hosts.call(call, cancelled, inputs).await;
     match events.recv().await {
         Some(RelayEvent::CallCompleted(completed)) => completed,
-        _ => panic!("the call reported no outcome"),
+        _ => panic!("call reported no outcome"),
     }
 }
 
 fn encoded_size(call: &Call) -> usize {
-    request::build(call, CALL_TIMEOUT).expect("a request").size as usize
+    request::build(call, CALL_TIMEOUT)
+        .expect("valid request")
+        .size as usize
 }
 
-/// Asserts that a host that accepted a connection was sent no byte on it.
+/// Accepts a connection and asserts that no byte arrives on it.
 async fn assert_nothing_was_written(listener: &TcpListener) {
     let mut stream = accept(listener).await;
     let read = timeout(Duration::from_millis(50), stream.read(&mut [0])).await;
-    assert!(!matches!(read, Ok(Ok(1..))), "not a byte of it was written");
+    assert!(
+        !matches!(read, Ok(Ok(1..))),
+        "a byte of the request was written"
+    );
 }
 
-/// Counts how often the start of an attempt is recorded and taken back.
+/// Counts how often the start of an attempt is recorded and retracted.
 #[derive(Default)]
 struct CountingRecorder {
     fails: bool,
@@ -152,7 +159,7 @@
 }
 
 #[test]
-fn start_is_recorded_once_and_retracted_where_the_request_breaks_off() {
+fn start_is_recorded_once_and_retracted_if_the_request_is_incomplete() {
     run_local(async {
         for (body_size, expected) in [(1, (1, 0)), (32 << 20, (1, 1))] {
             let (listener, address) = listen().await;
@@ -161,8 +168,15 @@
             let call = recorded_call(address, &recorder, &vec![7; body_size]);
             let peer = async {
                 let mut stream = accept(&listener).await;
-                stream.read_exact(&mut [0; 10]).await.expect("some of it");
-                assert_eq!(recorder.counts().0, 1, "before the first byte");
+                stream
+                    .read_exact(&mut [0; 10])
+                    .await
+                    .expect("read start of request");
+                assert_eq!(
+                    recorder.counts().0,
+                    1,
+                    "start is recorded before the first byte"
+                );
             };
             let _ = tokio::join!(make_call(&hosts, call), peer);
             assert_eq!(recorder.counts(), expected, "{body_size} bytes");
@@ -185,9 +199,9 @@
     });
 }
 
-/// If the computed size were too large, calls that were executed would be sent again.
+/// If the computed size were too large, calls that were executed would count as not executed and be sent again.
 #[test]
-fn computed_request_size_is_what_is_written() {
+fn computed_request_size_equals_the_bytes_written() {
     run_local(async {
         for (key, body) in [
             (None, &b""[..]),
@@ -201,8 +215,14 @@
             let peer = async {
                 let mut stream = accept(&listener).await;
                 let mut request = vec![0; size];
-                stream.read_exact(&mut request).await.expect("all of it");
-                stream.write_all(OK_RESPONSE).await.expect("written");
+                stream
+                    .read_exact(&mut request)
+                    .await
+                    .expect("read complete request");
+                stream
+                    .write_all(OK_RESPONSE)
+                    .await
+                    .expect("response written");
                 assert!(request.ends_with(body));
                 let mut excess = [0];
                 let excess = timeout(Duration::from_millis(100), stream.read(&mut excess)).await;
@@ -215,38 +235,38 @@
 }
 
 #[test]
-fn call_past_its_latest_start_is_not_written() {
+fn call_after_its_latest_start_is_not_written() {
     run_local(async {
         let (listener, address) = listen().await;
         let hosts = host_connections(1);
         let call = Call {
-            begin_by: Instant::now().checked_sub(Duration::from_millis(1)),
+            latest_start: Instant::now().checked_sub(Duration::from_millis(1)),
             ..call_to(address, Some("k"), b"x")
         };
         let completed = make_call(&hosts, call).await;
         assert_eq!(
             completed.outcome,
             AttemptOutcome::Obsolete,
-            "it is known not to have run"
+            "call must be reported as not executed"
         );
         assert_nothing_was_written(&listener).await;
     });
 }
 
-/// The host is announced as draining while the call has its connection and has written nothing.
+/// The host is announced as draining when the call has a connection but has not written any byte.
 #[test]
-fn call_to_a_host_that_drains_meanwhile_is_not_written() {
+fn call_to_a_host_that_began_draining_is_not_written() {
     for reuses_connection in [false, true] {
         run_local(async move {
             let (listener, address) = listen().await;
             let hosts = host_connections(1);
             if reuses_connection {
                 let opened = Connection::open(&OsRuntime, address, Rc::default()).await;
-                let mut connection = opened.expect("opened");
-                connection.sender.ready().await.expect("ready");
-                hosts.keep(HOST_ID, connection);
+                let mut connection = opened.expect("connection opened");
+                connection.sender.ready().await.expect("connection ready");
+                hosts.return_to_pool(HOST_ID, connection);
             }
-            // What the event loop does at a drain, except for closing idle connections.
+            // Same as the event loop when a host drains, except that idle connections stay open.
             hosts.members.borrow_mut().set_unavailable(HOST_ID);
             let completed = make_call(&hosts, call_to(address, Some("k"), b"x")).await;
             assert_eq!(
@@ -259,27 +279,30 @@
 }
 
 #[test]
-fn connection_that_breaks_before_the_last_byte_counts_as_failed_connect() {
+fn connection_lost_before_the_last_request_byte_counts_as_connect_failure() {
     run_local(async {
         let (listener, address) = listen().await;
-        // More than the sockets' buffers hold, so that the end can't have been written.
+        // Exceeds the sockets' buffers, so that the last byte cannot have been written.
         let call = call_to(address, None, &vec![7; 32 << 20]);
         let hosts = host_connections(1);
         let peer = async {
             let mut stream = accept(&listener).await;
-            stream.read_exact(&mut [0; 1000]).await.expect("some of it");
+            stream
+                .read_exact(&mut [0; 1000])
+                .await
+                .expect("read start of request");
         };
         let (completed, ()) = tokio::join!(make_call(&hosts, call), peer);
         assert_eq!(completed.outcome, AttemptOutcome::ConnectFailed);
     });
 }
 
-/// When a duplicate response arrives.
+/// When the duplicate of a response arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DuplicateTiming {
     WithTheResponse,
     WhileIdle,
-    /// So late that the HTTP library has not noticed it when the next call starts.
+    /// Too late for the HTTP library to detect it before the next call starts.
     JustBeforeTheNextRequest,
 }
 
@@ -302,19 +325,24 @@
 
     let peer = async {
         let mut stream = accept(&listener).await;
-        stream.read_exact(&mut vec![0; size]).await.expect("a call");
+        stream
+            .read_exact(&mut vec![0; size])
+            .await
+            .expect("read request");
         let response = match timing {
             DuplicateTiming::WithTheResponse => [OK_RESPONSE, OK_RESPONSE].concat(),
             _ => OK_RESPONSE.to_vec(),
         };
-        stream.write_all(&response).await.expect("written");
+        stream.write_all(&response).await.expect("response written");
         stream
     };
     let (completed, stream) = tokio::join!(make_call(&hosts, call()), peer);
     assert_eq!(completed.outcome, AttemptOutcome::Delivered);
 
     if timing != DuplicateTiming::WithTheResponse {
-        SockRef::from(&stream).send(OK_RESPONSE).expect("written");
+        SockRef::from(&stream)
+            .send(OK_RESPONSE)
+            .expect("response written");
     }
     if timing == DuplicateTiming::WhileIdle {
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -322,13 +350,19 @@
 
     let peer = async {
         let mut stream = accept(&listener).await;
-        stream.read_exact(&mut vec![0; size]).await.expect("a call");
-        stream.write_all(BUSY_RESPONSE).await.expect("written");
+        stream
+            .read_exact(&mut vec![0; size])
+            .await
+            .expect("read request");
+        stream
+            .write_all(BUSY_RESPONSE)
+            .await
+            .expect("response written");
     };
     let both = async { tokio::join!(make_call(&hosts, call()), peer) };
     let (completed, ()) = timeout(Duration::from_secs(60), both)
         .await
-        .expect("a call on a new connection");
+        .expect("call on a new connection completes");
     assert_eq!(
         completed.outcome,
         AttemptOutcome::Rejected { retry_after: 0 },
--- a/crates/relay/src/host_connections/watched_stream.rs
+++ b/crates/relay/src/host_connections/watched_stream.rs
@@ -1,4 +1,4 @@
-//! A stream that records what passes on it, below the HTTP library.
+//! A stream below the HTTP library that records the progress of requests and responses.
 //!
 //! The library does not report how much of a failed request was written or how a malformed response began. Both decide
 //! whether the message may have been executed.
@@ -16,7 +16,7 @@
 use super::attempt_start::AttemptStart;
 use super::status_line::StatusLineParser;
 
-/// What has passed on a connection.
+/// Progress of the transfer on a connection.
 #[derive(Default)]
 pub(super) struct TransferProgress {
     /// Bytes written since the connection was opened.
@@ -25,15 +25,14 @@
     request_start: u64,
     /// Size of the current request in bytes.
     request_size: u64,
-    /// The start of the attempt that the current request belongs to.
+    /// Start of the attempt that the current request belongs to; `None` before the first request.
     start: Option<AttemptStart>,
     /// The response to the current request.
     pub(super) response: StatusLineParser,
 }
 
 impl TransferProgress {
-    /// Prepares for a request of `size` bytes that is about to be written, and whose start is recorded before its first
-    /// byte.
+    /// Prepares for a request of `size` bytes that is about to be written. `start` is recorded before its first byte.
     pub(super) fn begin_request(&mut self, size: u64, start: AttemptStart) {
         self.request_start = self.bytes_written;
         self.request_size = size;
@@ -41,7 +40,7 @@
         self.response = StatusLineParser::default();
     }
 
-    /// Whether the last byte of the current request was written. Before that, the host cannot have executed it.
+    /// Whether the last byte of the current request was written. Before that, the host cannot have executed the call.
     pub(super) fn is_request_complete(&self) -> bool {
         self.bytes_written >= self.request_start + self.request_size
     }
@@ -88,8 +87,8 @@
         result
     }
 
-    /// Prepares for a write: before the first byte of a request the connection is checked, and the start of the attempt
-    /// is recorded.
+    /// Called before each write. Before the first byte of a request, checks the connection for unsolicited input and
+    /// records the start of the attempt.
     fn prepare_write(&self) -> io::Result<()> {
         if self.monitor.progress.borrow().has_request_started() {
             return Ok(());
@@ -101,13 +100,13 @@
 
     /// Fails if input is pending before the first byte of a request is written.
     ///
-    /// Such bytes answer no request. The HTTP library would take them for the response to the request that follows, so
-    /// the connection must not be used any more.
+    /// Such bytes do not belong to the response to any request. The HTTP library would treat them as the response to the
+    /// request that follows, so the connection must not be used for it.
     fn reject_unsolicited_input(&self) -> io::Result<()> {
         if self.stream.pending_input() != PendingInput::Empty {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                "bytes that answer nothing",
+                "unsolicited input before the request",
             ));
         }
         Ok(())
--- a/crates/relay/src/operator_config.rs
+++ b/crates/relay/src/operator_config.rs
@@ -1,4 +1,4 @@
-//! The operator file: settings beyond the platform's configuration. Without the file, none of these functions is on.
+//! The operator file: settings beyond the platform's configuration. Without the file, all these functions are disabled.
 
 mod error;
 
@@ -12,55 +12,55 @@
 use error::InvalidValue;
 pub use error::OperatorFileError;
 
-/// Least value of the limit on a registry replica, in MiB.
+/// Smallest configurable limit on the size of a registry replica, in MiB.
 const MIN_STORE_MB: u64 = 1;
-/// Largest value of the limit on a registry replica, in MiB.
+/// Largest configurable limit on the size of a registry replica, in MiB.
 const MAX_STORE_MB: u64 = 4096;
-/// Least value of the limit on a file of the audit log, in MiB.
+/// Smallest configurable limit on the size of an audit log file, in MiB.
 const MIN_AUDIT_MB: u64 = 1;
-/// Largest value of the limit on a file of the audit log, in MiB.
+/// Largest configurable limit on the size of an audit log file, in MiB.
 const MAX_AUDIT_MB: u64 = 4096;
-/// Least number of rotated files of the audit log.
+/// Smallest configurable number of rotated audit log files.
 const MIN_AUDIT_FILES: u64 = 1;
-/// Largest number of rotated files of the audit log.
+/// Largest configurable number of rotated audit log files.
 const MAX_AUDIT_FILES: u64 = 1000;
-/// Bytes in a MiB, the unit of the sizes in the file.
+/// Bytes per MiB, the unit of the sizes in the file.
 const MIB: u64 = 1 << 20;
 
 /// The settings of the operator file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
-    /// The registry of tenants that administrators change.
+pub struct OperatorConfig {
+    /// The tenant registry, which administrators can change; disabled if absent.
     pub tenants: Option<Tenants>,
-    /// The store of undeliverable messages, and their resends.
+    /// The store of undeliverable messages and their resends; disabled if absent.
     pub undeliverable: Option<crate::undeliverable_service::Settings>,
-    /// The administration API.
+    /// The administration API; disabled if absent.
     pub admin: Option<admin::Settings>,
-    /// Log a line for each accepted message, call and response, for statistics over a fleet.
+    /// Whether to log a line for each accepted message, call and response, for statistics over a fleet of relays.
     #[serde(default)]
     pub log_calls: bool,
 }
 
-/// The registry of tenants that administrators change.
+/// Settings of the tenant registry, which administrators can change.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenants {
-    /// The folder of the registry and the audit log: an absolute path of an existing folder that no other relay uses.
+    /// Folder of the registry and the audit log: the absolute path of an existing folder that no other relay uses.
     pub folder: String,
-    /// Clients have to authenticate with `AUTH`, and may submit messages of their own tenant only.
+    /// Whether clients have to authenticate with `AUTH`, and may only submit messages of their own tenant.
     #[serde(default)]
     pub auth: bool,
-    /// A new registry begins with the tenants of the settings.
+    /// Whether a new registry is initialized with the tenants of the settings.
     #[serde(default = "default_import")]
     pub import: bool,
-    /// Largest size of each of the registry's two replicas, in MiB.
+    /// Maximum size of each of the registry's two replicas, in MiB.
     #[serde(default = "default_store_mb")]
     store_mb: u64,
-    /// Largest size of a file of the audit log, in MiB.
+    /// Maximum size of an audit log file, in MiB.
     #[serde(default = "default_audit_mb")]
     audit_mb: u64,
-    /// Rotated files of the audit log that are kept.
+    /// Number of rotated audit log files to keep.
     #[serde(default = "default_audit_files")]
     audit_files: u32,
 }
@@ -68,9 +68,9 @@
 /// The limits of the audit log.
 #[derive(Clone, Copy, Debug)]
 pub struct AuditLogLimits {
-    /// Largest size of a file, in bytes.
+    /// Maximum size of a file, in bytes.
     pub max_file_bytes: u64,
-    /// Number of rotated files that are kept besides the current one.
+    /// Number of rotated files to keep in addition to the current one.
     pub max_rotated_files: u32,
 }
 
@@ -91,7 +91,7 @@
 }
 
 impl Tenants {
-    /// Largest size of each of the registry's two replicas, in bytes.
+    /// Maximum size of each of the registry's two replicas, in bytes.
     pub fn max_replica_bytes(&self) -> u64 {
         self.store_mb * MIB
     }
@@ -124,15 +124,15 @@
     }
 }
 
-impl Operator {
-    /// Reads the file and checks it as a whole. Without a path, all is off.
+impl OperatorConfig {
+    /// Reads and checks the file. Without a path, returns the default settings, which disable all functions.
     ///
     /// # Errors
     ///
-    /// [`OperatorFileError`] says what is wrong with the file.
+    /// [`OperatorFileError`] if the file cannot be read or is invalid.
     pub fn load(runtime: &impl Runtime, path: Option<&Path>) -> Result<Self, OperatorFileError> {
         let Some(path) = path else {
-            return Ok(Operator::default());
+            return Ok(OperatorConfig::default());
         };
         let file_name = || path.display().to_string();
         let bytes = runtime
@@ -143,7 +143,7 @@
             })?;
         let text = String::from_utf8(bytes)
             .map_err(|_| OperatorFileError::NotText { path: file_name() })?;
-        let operator: Operator =
+        let operator: OperatorConfig =
             toml::from_str(&text).map_err(|source| OperatorFileError::Malformed {
                 path: file_name(),
                 source,
@@ -157,7 +157,7 @@
         Ok(operator)
     }
 
-    /// The tokens of the administration API; none if the API is off.
+    /// The tokens of the administration API; empty if the API is disabled.
     pub fn tokens(&self) -> Tokens {
         Tokens::new(self.admin.as_ref().map_or(&[], |admin| &admin.tokens))
     }
@@ -172,20 +172,20 @@
         if let Some(admin) = &self.admin {
             admin.check().map_err(InvalidValue::Administration)?;
             if self.tenants.is_none() && self.undeliverable.is_none() {
-                return Err(InvalidValue::NothingToAdministrate);
+                return Err(InvalidValue::NothingToAdminister);
             }
         }
         Ok(())
     }
 }
 
-/// Reads the file again, and puts its tokens in force. A file that cannot be used changes nothing; all other settings
-/// apply from the next start on.
+/// Reads the operator file again and applies its tokens. An invalid file changes nothing. All other settings take effect
+/// at the next start.
 pub fn reload_tokens(runtime: &impl Runtime, path: Option<&Path>, tokens: &watch::Sender<Tokens>) {
     if path.is_none() {
         return;
     }
-    match Operator::load(runtime, path) {
+    match OperatorConfig::load(runtime, path) {
         Ok(new) => {
             log!(
                 *runtime,
--- a/crates/relay/src/operator_config/error.rs
+++ b/crates/relay/src/operator_config/error.rs
@@ -1,4 +1,4 @@
-//! Why an operator file cannot be used.
+//! Errors of the operator file.
 
 use std::io;
 
@@ -6,69 +6,69 @@
 
 use crate::undeliverable_service::SettingsError;
 
-/// Why an operator file cannot be used. Each message is one plain line for the operator.
+/// An operator file that cannot be used. Each message is a single line for the operator.
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the operator file.
         path: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file is no UTF-8.
-    #[error("{path} is no text")]
+    /// The file is not valid UTF-8.
+    #[error("{path} is not valid UTF-8")]
     NotText {
-        /// The file.
+        /// Path of the operator file.
         path: String,
     },
-    /// The file is no TOML, or has a key that is unknown or of a wrong type.
-    #[error("{path} is no usable operator file: {}", single_line(.source))]
+    /// The file is not valid TOML, lacks a key, or has a key that is unknown or of the wrong type.
+    #[error("{path} is not a valid operator file: {}", single_line(.source))]
     Malformed {
-        /// The file.
+        /// Path of the operator file.
         path: String,
-        /// What the parser says.
+        /// Error of the parser.
         source: toml::de::Error,
     },
-    /// A value is out of bounds.
-    #[error("{path} is no usable operator file: {}", single_line(.source))]
+    /// A value is invalid.
+    #[error("{path} is not a valid operator file: {}", single_line(.source))]
     Invalid {
-        /// The file.
+        /// Path of the operator file.
         path: String,
-        /// Which value.
+        /// The error of the first invalid value.
         source: InvalidValue,
     },
 }
 
-/// A value of the operator file that is out of bounds.
+/// An invalid value in the operator file.
 #[derive(Debug, Error)]
 pub enum InvalidValue {
     /// A number is out of its range.
     #[error("tenants.{key} is not from {min} to {max}")]
     OutOfRange {
-        /// The key.
+        /// Name of the key in the section `tenants`.
         key: &'static str,
-        /// The least value.
+        /// Smallest allowed value.
         min: u64,
-        /// The largest value.
+        /// Largest allowed value.
         max: u64,
     },
-    /// The directory of the tenant registry is not named by an absolute path.
-    #[error("tenants.folder: {folder:?} is no absolute path")]
+    /// The folder of the tenant registry is not an absolute path.
+    #[error("tenants.folder: {folder:?} is not an absolute path")]
     RelativeFolder {
-        /// The value.
+        /// The invalid value.
         folder: String,
     },
-    /// A value of the undeliverable messages' section.
+    /// A value in the section `undeliverable`.
     #[error("{0}")]
     Undeliverable(SettingsError),
-    /// A value of the administration API's section.
+    /// A value in the section `admin`.
     #[error(transparent)]
     Administration(admin::SettingsError),
-    /// The administration API has nothing to administrate.
-    #[error("admin needs tenants or undeliverable: there is nothing else to administrate")]
-    NothingToAdministrate,
+    /// The administration API is enabled, but neither of the functions that it administers is.
+    #[error("admin requires tenants or undeliverable: otherwise there is nothing to administer")]
+    NothingToAdminister,
 }
 
 fn single_line(error: &impl ToString) -> String {
--- a/crates/relay/src/process/departing.rs
+++ b/crates/relay/src/process/departing.rs
@@ -1,5 +1,5 @@
-//! A process that has handed over: waits for its open calls to end, and reclaims the state directory if its successor
-//! has exited.
+//! The departing phase of a process after the hand-over: waits for its open calls to end, and reclaims the state
+//! directory if its successor has exited.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 use crate::event_loop::RETRY_ELSEWHERE_MS;
 use crate::state_directory::{DepartingProcess, DirectoryOwner};
 
-/// How often a departing process checks whether it may end, or whether its successor has exited.
+/// How often a departing process checks whether it may exit and whether its successor has exited.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 impl<R: Runtime> Process<R> {
-    /// Waits for the open calls to end. Returns the state directory if this process has reclaimed it; otherwise the
-    /// process ends.
+    /// Waits for the open calls to end. Returns the state directory if this process has reclaimed it, and `None` if the
+    /// process is to exit.
     pub(super) async fn finish_calls(
         &mut self,
         mut departing: DepartingProcess<R>,
@@ -45,7 +45,8 @@
         self.control.state() == LifecycleState::Stopping
     }
 
-    /// Whether the process may end: all calls have ended and the successor serves, or the time to stop has run out.
+    /// Whether the process may exit: all calls have ended, all clients have disconnected, and either the process is
+    /// stopping or the successor is serving; or the time to stop has run out.
     fn may_depart(&self, departing: &DepartingProcess<R>, clients: &ClientConnections<R>) -> bool {
         let is_idle = departing.is_idle() && clients.count() == 0;
         if is_idle && (self.is_stopping() || departing.is_replaced()) {
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Reports ended calls to the new owner, and sends clients elsewhere. All other events are the new owner's.
+    /// Reports ended calls to the new owner of the state directory, and rejects messages so that clients go to another
+    /// relay. All other events are ignored, as the new owner handles them.
     fn handle_event_departing(&self, event: RelayEvent, departing: &mut DepartingProcess<R>) {
         match event {
             RelayEvent::CallCompleted(call) => {
