--- a/crates/relay/src/process/error.rs
+++ b/crates/relay/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Why a relay cannot start or go on.
+//! Errors that prevent a relay from starting or continuing.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 use crate::operator_config::OperatorFileError;
 use crate::state_directory::OwnershipError;
 
-/// Why a relay cannot start or go on. Each message is one plain line for the operator.
+/// An error that prevents a relay from starting or continuing. Each message is a single line for the operator.
 #[derive(Debug, Error)]
 pub enum RelayError {
     /// The asynchronous runtime cannot be built.
-    #[error("cannot start: {0}")]
+    #[error("cannot start the asynchronous runtime: {0}")]
     AsyncRuntime(io::Error),
     /// The signal handlers cannot be installed.
-    #[error("no signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
     /// The configuration cannot be used.
     #[error(transparent)]
@@ -25,18 +25,18 @@
     /// The operator file cannot be used.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The variable for the inherited listening socket holds no number.
-    #[error("{text:?} is no descriptor of a socket")]
+    /// The environment variable for the inherited listening socket does not contain a number.
+    #[error("invalid socket descriptor {text:?}: not a number")]
     InvalidDescriptor {
-        /// The variable's value.
+        /// Value of the variable.
         text: String,
     },
     /// The inherited descriptor is not a listening socket.
     #[error("cannot listen on descriptor {descriptor}: {source}")]
     InheritedListener {
-        /// The descriptor.
+        /// Number of the descriptor.
         descriptor: i32,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The control socket cannot be opened.
@@ -44,7 +44,7 @@
     ListenForOperators {
         /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The listening socket for clients cannot be opened.
@@ -52,7 +52,7 @@
     ListenForClients {
         /// The configured address.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The state directory cannot be acquired.
--- a/crates/relay/src/process/mod.rs
+++ b/crates/relay/src/process/mod.rs
@@ -1,5 +1,5 @@
 //! The lifecycle of one relay process: it starts, acquires the state directory, serves until it is stopped or another
-//! process takes over, and waits for its last calls to end.
+//! process takes over, and waits for its remaining calls to end.
 
 mod departing;
 mod error;
@@ -15,19 +15,21 @@
 use crate::clock_anchor;
 use crate::config::Config;
 use crate::control_socket::{self, Control};
-use crate::operator_config::Operator;
+use crate::operator_config::OperatorConfig;
 use crate::state_directory::{ListenerOrigin, StateDirectory};
 
 pub use error::RelayError;
-use serving::Served;
+use serving::ServeOutcome;
 
-/// Events that may wait for the event loop; a sender waits when there are more. Also the most that go into one round.
+/// Capacity of the queue of events for the event loop; senders wait while it is full. Also limits the number of events
+/// per round.
 const EVENT_QUEUE_CAPACITY: usize = 1024;
 
-/// Names the descriptor of the listening socket that the platform holds.
+/// Environment variable with the descriptor of the listening socket that the platform passes to the process.
 const INHERITED_SOCKET_VARIABLE: &str = "BALANCER_SOCKET_FD";
 
-/// What outlasts a hand-over within one process.
+/// The state of a process that is kept across a hand-over, in case the process reclaims the state directory and serves
+/// again.
 struct Process<R: Runtime> {
     runtime: R,
     operator_file: Option<PathBuf>,
@@ -40,16 +42,16 @@
     inherited_listener: Option<i32>,
 }
 
-/// Runs a relay until it is stopped or replaced. The operator file sets what goes beyond the platform's
-/// configuration.
+/// Runs a relay until it is stopped or replaced. The operator file contains the settings beyond the platform's
+/// configuration; without a path, the functions that it configures are disabled.
 ///
 /// # Errors
-/// [`RelayError`] if the relay cannot start or go on; its message is one plain line.
+/// [`RelayError`] if the relay cannot start or continue. Its message is a single line.
 pub async fn run<R: Runtime>(runtime: R, operator_file: Option<PathBuf>) -> Result<(), RelayError> {
-    // The handlers are installed first: without a handler, a signal ends the process.
+    // The handlers are installed first, because a signal without a handler terminates the process.
     let signals = runtime.signals().map_err(RelayError::Signals)?;
     let config = Config::load(&runtime)?;
-    Operator::load(&runtime, operator_file.as_deref())?;
+    OperatorConfig::load(&runtime, operator_file.as_deref())?;
     let inherited_listener = inherited_listener(&runtime)?;
     let control = Control::new(&runtime, &config.classes, config.control.is_some());
     start_control_socket(&runtime, &config, &control).await?;
@@ -68,7 +70,7 @@
     process.run(state_directory).await
 }
 
-/// Serves operators before anything else is up, so that they can see that the relay is not ready yet.
+/// Starts the control socket before all other parts, so that operators can see that the relay is not ready yet.
 async fn start_control_socket<R: Runtime>(
     runtime: &R,
     config: &Config,
@@ -87,12 +89,13 @@
     Ok(())
 }
 
-/// Completes once the process receives SIGTERM. Reloads are ignored, as the configuration is yet to be read.
-async fn wait_for_stop(signals: &mut impl Signals) {
+/// Completes once the process receives SIGTERM. Reload signals are ignored, because the configuration is read again
+/// when the process begins to serve.
+async fn wait_for_stop_signal(signals: &mut impl Signals) {
     while signals.next().await != Signal::Stop {}
 }
 
-/// The descriptor of the listening socket that the platform holds, if it does.
+/// The descriptor of the listening socket that the platform passed to the process; `None` if it passed none.
 fn inherited_listener(runtime: &impl Runtime) -> Result<Option<i32>, RelayError> {
     let Some(text) = runtime.env_var(INHERITED_SOCKET_VARIABLE) else {
         return Ok(None);
@@ -113,17 +116,17 @@
             Some(_) => ListenerOrigin::Inherited,
             None => ListenerOrigin::Bound,
         };
-        // A process that is stopped while it waits takes nothing over, and the other one serves on: this is how an
-        // upgrade is called off.
+        // A process that is stopped while it waits takes nothing over, and the other process continues to serve. This is
+        // how an upgrade is cancelled.
         let mut directory_owner = tokio::select! {
             biased;
-            () = wait_for_stop(&mut self.signals) => return Ok(()),
+            () = wait_for_stop_signal(&mut self.signals) => return Ok(()),
             acquired = state_directory.acquire(listener) => acquired?,
         };
         loop {
             let (departing, clients) = match self.serve(directory_owner).await? {
-                Served::Ended => return Ok(()),
-                Served::Departing { departing, clients } => (departing, clients),
+                ServeOutcome::Ended => return Ok(()),
+                ServeOutcome::Departing { departing, clients } => (departing, clients),
             };
             match self.finish_calls(departing, &clients).await {
                 Some(reclaimed) => directory_owner = reclaimed,
--- a/crates/relay/src/process/serving.rs
+++ b/crates/relay/src/process/serving.rs
@@ -1,4 +1,5 @@
-//! A process that owns the state directory: starts the event loop and its tasks, and serves.
+//! The serving phase of a process that owns the state directory: starts the event loop and the other tasks, and serves
+//! clients.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,61 +14,62 @@
 use crate::client_connections::{self, Authentication, ClientConnections, PortSharing};
 use crate::discovery_client;
 use crate::event_loop::{EventLoop, LoopResources, OpenedLoop};
-use crate::operator_config::Operator;
+use crate::operator_config::OperatorConfig;
 use crate::state_directory::{DepartingProcess, DirectoryOwner};
 
-/// Before it ends, a process reads what has arrived for this long, and then writes its answers for this long.
+/// Before it exits, a process reads pending requests for this long, and then writes replies for this long.
 const FINAL_IO_TIME: Duration = Duration::from_millis(5);
-/// How often idle connections to hosts are checked for their age.
+/// How often idle connections to hosts are checked for expiry.
 const IDLE_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// The shortest wait for work that is due already but cannot be done yet.
+/// Minimum wait for work that is already due but cannot be done yet.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// No descriptor: a process without an inherited listener hands nothing over, so the system's error is the right one.
+/// An invalid descriptor. A process without an inherited listener does not hand over, so the operating system's error for
+/// this value is appropriate.
 const NO_DESCRIPTOR: i32 = -1;
 
-/// How a process has stopped serving.
-pub(super) enum Served<R: Runtime> {
-    /// The process ends.
+/// How a process stopped serving.
+pub(super) enum ServeOutcome<R: Runtime> {
+    /// The process exits.
     Ended,
-    /// Another process has the state directory; the open calls are still this one's.
+    /// Another process owns the state directory; this process still owns the open calls.
     Departing {
         departing: DepartingProcess<R>,
         clients: Rc<ClientConnections<R>>,
     },
 }
 
-/// What a pass over the due work has found.
+/// Result of a pass over the due work.
 enum DueWork {
-    /// Something was done, after which other work may be due.
+    /// Work was done, after which other work may be due.
     Done,
-    /// Nothing is due before this moment.
+    /// Nothing is due before this time.
     NothingBefore(Instant),
-    /// The process ends now.
+    /// The process is to exit now.
     Exit,
 }
 
-/// Whether the process goes on serving.
+/// Whether the process continues to serve.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Continue,
     Exit,
 }
 
-/// All that serves beside the event loop.
+/// The parts of a serving process beside the event loop.
 struct Servers<R: Runtime> {
     clients: Rc<ClientConnections<R>>,
     /// Address that clients connect to.
     listen_address: SocketAddr,
-    /// Tasks that end with a hand-over.
+    /// Tasks that are aborted at a hand-over.
     tasks: Vec<R::Task>,
 }
 
 impl<R: Runtime> Process<R> {
-    /// Serves until the process ends or another one has taken over everything but the open calls.
+    /// Serves until the process is to exit, or another process has taken over everything except the open calls.
     pub(super) async fn serve(
         &mut self,
         directory_owner: DirectoryOwner<R>,
-    ) -> Result<Served<R>, RelayError> {
+    ) -> Result<ServeOutcome<R>, RelayError> {
         let opened = EventLoop::open(self.loop_resources(), directory_owner).await?;
         let OpenedLoop {
             mut event_loop,
@@ -81,7 +83,7 @@
         loop {
             if self.step(&mut event_loop, &servers.clients).await? == Progress::Exit {
                 self.answer_last_requests(&mut event_loop).await?;
-                return Ok(Served::Ended);
+                return Ok(ServeOutcome::Ended);
             }
             if !self.control.should_start_handover(servers.clients.count()) {
                 continue;
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Starts the tasks beside the event loop. Clients come last: the first answer to a PING says that all else is in
-    /// place.
+    /// Starts the tasks beside the event loop. Clients are accepted last, because the first answer to a PING signals that
+    /// all other parts are running.
     async fn start_servers(
         &self,
         event_loop: &EventLoop<R>,
@@ -150,14 +152,14 @@
         discovery_address: watch::Receiver<SocketAddr>,
     ) -> Vec<R::Task> {
         let runtime = &self.runtime;
-        let follow = discovery_client::follow(
+        let watch_host_list = discovery_client::watch_host_list(
             runtime.clone(),
             discovery_address.clone(),
             event_loop.host_list_version(),
             event_loop.membership(),
             self.events_sender.clone(),
         );
-        let notify = discovery_client::notify(
+        let send_notifications = discovery_client::send_notifications(
             runtime.clone(),
             discovery_address,
             event_loop.notifications(),
@@ -172,18 +174,18 @@
             }
         };
         vec![
-            runtime.spawn(follow),
-            runtime.spawn(notify),
+            runtime.spawn(watch_host_list),
+            runtime.spawn(send_notifications),
             runtime.spawn(close_expired),
         ]
     }
 
-    /// Starts the administration API if the operator file asks for it.
+    /// Starts the administration API if the operator file enables it.
     async fn start_administration(
         &self,
         event_loop: &EventLoop<R>,
     ) -> Result<Option<R::Task>, RelayError> {
-        let operator = Operator::load(&self.runtime, self.operator_file.as_deref())?;
+        let operator = OperatorConfig::load(&self.runtime, self.operator_file.as_deref())?;
         let Some(settings) = operator.admin else {
             return Ok(None);
         };
@@ -231,7 +233,7 @@
         Ok(())
     }
 
-    /// Answers the requests that arrived while the process was about to end. Messages that are accepted now are
+    /// Answers the requests that arrived while the process was about to exit. Messages that are accepted here are
     /// delivered by the next process.
     async fn answer_last_requests(
         &mut self,
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Does work that is due, or waits for something to happen.
+    /// Does work that is due, or waits for the next event.
     async fn step(
         &mut self,
         event_loop: &mut EventLoop<R>,
@@ -264,7 +266,7 @@
         Ok(Progress::Continue)
     }
 
-    /// Does work that is due by time, in order of urgency.
+    /// Does work whose time has come, in order of urgency.
     fn run_due_work(
         &self,
         event_loop: &mut EventLoop<R>,
@@ -312,8 +314,8 @@
         Ok(DueWork::NothingBefore(wake_at))
     }
 
-    /// Whether the process ends now. Messages in flight may be sent until the last call has to end, so that a restart
-    /// costs them no attempt.
+    /// Whether the process exits now. Calls for messages in flight may still start until the time by which the last call
+    /// must have ended, so that a restart costs these messages no attempt.
     fn should_exit(&self, event_loop: &EventLoop<R>, clients: &ClientConnections<R>) -> bool {
         let is_idle = || event_loop.is_idle() && clients.count() == 0 && self.events.is_empty();
         if clients.is_accepting() {
@@ -323,7 +325,7 @@
         }
     }
 
-    /// Waits for a signal, an event, a change of the lifecycle or the given moment.
+    /// Waits for a signal, an event, a change of the lifecycle state, or `wake_at`.
     async fn wait(
         &mut self,
         event_loop: &mut EventLoop<R>,
@@ -337,7 +339,8 @@
             },
             Some(event) = self.events.recv() => {
                 event_loop.handle_event(event);
-                // Events that came together go into one round, which must not be delayed indefinitely.
+                // Events that are already queued go into the same round. Their number is limited, so that the round is
+                // not delayed indefinitely.
                 for _ in 0..EVENT_QUEUE_CAPACITY {
                     let Ok(event) = self.events.try_recv() else { break };
                     event_loop.handle_event(event);
@@ -350,16 +353,16 @@
     }
 }
 
-/// Ends all that served, except the open calls. The directory is released last: no file in it is open then.
+/// Stops all parts except the open calls. The state directory is released last, when no file in it is open.
 fn retire<R: Runtime>(
     event_loop: EventLoop<R>,
     mut departing: DepartingProcess<R>,
     servers: Servers<R>,
-) -> Served<R> {
+) -> ServeOutcome<R> {
     servers.tasks.iter().for_each(Task::abort);
     event_loop.retire(&mut departing);
     departing.release_directory();
-    Served::Departing {
+    ServeOutcome::Departing {
         departing,
         clients: servers.clients,
     }
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -629,7 +629,11 @@
     let at = taken.local_addr().expect("bound").to_string();
     fails("BALANCER_CONTROL", &at, "cannot listen for operators");
     fails("BALANCER_CONTROL", "here", "no address and port");
-    fails("BALANCER_SOCKET_FD", "soon", "no descriptor");
+    fails(
+        "BALANCER_SOCKET_FD",
+        "soon",
+        "invalid socket descriptor \"soon\": not a number",
+    );
     fails("BALANCER_SOCKET_FD", "1", "cannot listen on descriptor 1");
     fails(
         "BALANCER_SOCKET_FD",
