--- a/crates/admin/src/audit.rs
+++ b/crates/admin/src/audit.rs
@@ -26,7 +26,7 @@
     pub next: Option<String>,
 }
 
-/// Which entries.
+/// Query parameters of the audit log.
 #[derive(Deserialize, IntoParams)]
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
--- a/crates/admin/src/entity_tag.rs
+++ b/crates/admin/src/entity_tag.rs
@@ -5,7 +5,7 @@
 use axum::http::HeaderValue;
 use tenancy::registry::Version;
 
-/// Most versions that one list of entity tags may name; further ones are ignored.
+/// Maximum number of versions in a list of entity tags; further ones are ignored.
 const MAX_LISTED_VERSIONS: usize = 16;
 
 /// The value of an `If-Match` or `If-None-Match` header (RFC 9110, section 13.1).
@@ -13,7 +13,7 @@
 pub enum EntityTags {
     /// `*`: any version.
     Any,
-    /// One of these versions. Weak tags match none, and a tag that is not a version names none.
+    /// One of these versions. Weak tags, and tags that are not versions, match no version.
     Versions(Vec<Version>),
 }
 
@@ -48,14 +48,14 @@
     }
 }
 
-/// The text between the quotes of a strong entity tag; none if it is not one.
+/// The text between the quotes of a strong entity tag; none if `tag` is not a strong entity tag.
 pub fn opaque_tag(tag: &str) -> Option<&str> {
     tag.strip_prefix('"')?.strip_suffix('"')
 }
 
 /// The value of the `ETag` header for a version.
 pub fn entity_tag_value(version: impl Display) -> HeaderValue {
-    // Versions are digits and points, which a header may have.
+    // Versions consist of digits and points, which are valid in a header.
     HeaderValue::from_str(&format!("\"{version}\""))
         .unwrap_or_else(|_| HeaderValue::from_static("\"\""))
 }
--- a/crates/admin/src/headers.rs
+++ b/crates/admin/src/headers.rs
@@ -1,17 +1,17 @@
-//! Reading of request headers as text.
+//! Reads request headers as text.
 
 use axum::http::{HeaderMap, HeaderName};
 
 use crate::problem::Problem;
 
-/// Longest idempotency key and request id, in characters.
+/// Maximum length of an idempotency key or a request id, in characters.
 const MAX_IDENTIFIER_CHARS: usize = 128;
 
 /// A header's value; none if the header is absent.
 ///
 /// # Errors
 ///
-/// A [`Problem`] with status 400 if the value has other than visible ASCII characters.
+/// A [`Problem`] with status 400 if the value contains other than visible ASCII characters.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, Problem> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
@@ -22,11 +22,11 @@
         .map_err(|_| Problem::malformed(format!("{name} is no text")))
 }
 
-/// The value of a header that holds an identifier of the client's choice; none if the header is absent.
+/// The value of a header with an identifier that the client chooses; none if the header is absent.
 ///
 /// # Errors
 ///
-/// A [`Problem`] with status 400 if the value is no text, empty or too long.
+/// A [`Problem`] with status 400 if the value is not text, is empty or is too long.
 pub fn identifier<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,10 +1,11 @@
 //! The administration API: HTTP and JSON on a listener of its own.
 //!
-//! It sends [`relay_events`] requests to the event loop and waits for the responses. What a change does is decided in
-//! [`tenancy`] and in the relay; the API authenticates, authorizes, and translates between HTTP and those requests.
+//! It sends [`relay_events`] requests to the event loop and waits for the responses. [`tenancy`] and the relay implement
+//! the changes; the API authenticates, authorizes, and translates between HTTP and those requests.
 //!
-//! A resource is one module: [`tenants`], [`secrets`], [`audit`], [`status`] and [`undeliverable`]. They use what lies
-//! below (authentication, preconditions, paging, problems), which uses none of them; [`router`] joins them.
+//! Each resource has a module: [`tenants`], [`secrets`], [`audit`], [`status`] and [`undeliverable`]. They use the shared
+//! modules (authentication, preconditions, paging, problems), which depend on none of them; [`router`] combines their
+//! routes.
 
 mod audit;
 mod auth;
@@ -38,15 +39,15 @@
 /// Why the API cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The address of the listener cannot be used.
+    /// The configured address of the listener cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The listener cannot be opened.
     #[error("cannot listen on {address} for administration: {error}")]
     Listen {
-        /// The address.
+        /// Address of the listener.
         address: Address,
-        /// Why not.
+        /// The error of the listening socket.
         error: io::Error,
     },
 }
@@ -67,7 +68,7 @@
         Ok(listener) => listener,
         Err(error) => return Err(StartError::Listen { address, error }),
     };
-    // Request ids begin with the start time, so that no two processes of a relay give the same.
+    // Request ids begin with the start time, so that no two processes of a relay generate the same id.
     let request_id_prefix = format!("{:x}", runtime.unix_time().as_millis());
     let state = state::ApiState::new(events, tokens, &request_id_prefix);
     let limits = serve::ServeLimits {
--- a/crates/admin/src/paging.rs
+++ b/crates/admin/src/paging.rs
@@ -1,4 +1,4 @@
-//! Pages of lists: their size, and the opaque cursors by which a client gets the next one.
+//! Pages of lists: their size, and the opaque cursors with which a client requests the next page.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -8,14 +8,14 @@
 
 use crate::problem::Problem;
 
-/// Items of a page where the request gives no limit.
+/// Items per page if the request sets no limit.
 const DEFAULT_PAGE_ITEMS: usize = 50;
-/// Most items of a page.
+/// Maximum number of items per page.
 const MAX_PAGE_ITEMS: usize = 200;
-/// Begins the text within a cursor, before the position.
+/// Prefix of the position in a decoded cursor.
 const CURSOR_VERSION: &str = "v1:";
 
-/// The number of items of a page, by the query parameter `limit`.
+/// The number of items per page for the query parameter `limit`.
 ///
 /// # Errors
 ///
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// A [`Problem`] with status 400 if the cursor is not one that the API made.
+/// A [`Problem`] with status 400 if the cursor was not made by the API.
 pub fn decode_cursor(cursor: Option<String>) -> Result<Option<String>, Problem> {
     let Some(cursor) = cursor else {
         return Ok(None);
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// A [`Problem`] with status 400 if the cursor is not one that the API made for such a list.
+/// A [`Problem`] with status 400 if the cursor was not made by the API for such a list.
 pub fn decode_numeric_cursor<N: FromStr>(cursor: Option<String>) -> Result<Option<N>, Problem> {
     decode_cursor(cursor)?
         .map(|position| position.parse())
--- a/crates/admin/src/precondition.rs
+++ b/crates/admin/src/precondition.rs
@@ -20,7 +20,7 @@
     entity_tags(headers, &IF_NONE_MATCH)
 }
 
-/// The states of a tenant that `If-Match` permits a change of.
+/// The versions of a tenant to which `If-Match` permits a change.
 ///
 /// # Errors
 ///
@@ -33,7 +33,7 @@
     }
 }
 
-/// The version that `If-Match` names, for a resource whose versions are plain numbers; none for `*`, any version.
+/// The version that `If-Match` names, for a resource whose versions are plain numbers; none for `*` (any version).
 ///
 /// # Errors
 ///
--- a/crates/admin/src/precondition/tests.rs
+++ b/crates/admin/src/precondition/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of how entity tags in preconditions are parsed.
+//! Tests of the parsing of entity tags in preconditions.
 
 use axum::http::header::IF_MATCH;
 use axum::http::HeaderMap;
@@ -9,7 +9,7 @@
 
 fn parse_if_match(value: &str) -> Result<Option<EntityTags>, u16> {
     let mut headers = HeaderMap::new();
-    headers.insert(IF_MATCH, value.parse().expect("a value"));
+    headers.insert(IF_MATCH, value.parse().expect("valid header value"));
     entity_tags(&headers, &IF_MATCH).map_err(|problem| problem.status.as_u16())
 }
 
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -29,7 +29,7 @@
     field: Option<&'static str>,
 }
 
-/// An error response: its HTTP status, and what the body says.
+/// An error response: its HTTP status and the contents of its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     /// The HTTP status.
@@ -41,7 +41,7 @@
 }
 
 impl Problem {
-    /// A problem of a kind, which is the last part of the body's `type`. The detail is for people.
+    /// A problem of this kind, which becomes the last part of the body's `type`. The detail is for human readers.
     pub fn new(status: StatusCode, kind: &'static str, detail: impl Into<String>) -> Self {
         Problem {
             status,
@@ -113,7 +113,7 @@
         Problem::new(StatusCode::SERVICE_UNAVAILABLE, "unavailable", detail)
     }
 
-    /// 500: the relay's response does not belong to the request.
+    /// 500: the relay's response does not match the request.
     pub fn unexpected_response() -> Self {
         Problem::new(
             StatusCode::INTERNAL_SERVER_ERROR,
--- a/crates/admin/src/query.rs
+++ b/crates/admin/src/query.rs
@@ -9,9 +9,9 @@
 
 use crate::problem::Problem;
 
-/// The query parameters of a request, or why they cannot be parsed.
+/// The query parameters of a request, or the error of parsing them.
 ///
-/// A handler authorizes the principal before it reports that, as an extractor of its own would report it first.
+/// The error is not the extractor's rejection, so that a handler can authorize the principal before it reports the error.
 pub struct QueryParameters<T>(Result<Query<T>, QueryRejection>);
 
 impl<T> QueryParameters<T> {
--- a/crates/admin/src/refusals.rs
+++ b/crates/admin/src/refusals.rs
@@ -1,4 +1,4 @@
-//! Which problem a refusal of the registry or of the undeliverable store becomes.
+//! Conversion of refusals of the registry and of the undeliverable store to problems.
 
 use axum::http::StatusCode;
 use tenancy::registry::RegistryError;
--- a/crates/admin/src/relay_client.rs
+++ b/crates/admin/src/relay_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the event loop, and its refusals as problems.
+//! Sends requests to the event loop, and converts its refusals to problems.
 
 use axum::http::StatusCode;
 use relay_events::tenants::{TenantCall, TenantRequest, TenantResponse};
@@ -17,12 +17,12 @@
 }
 
 impl RelayClient {
-    /// A client of the event loop that receives from this channel.
+    /// Creates a client of the event loop that receives from `events`.
     pub fn new(events: mpsc::Sender<RelayEvent>) -> Self {
         RelayClient { events }
     }
 
-    /// Sends a request about tenants. The response is neither a refusal nor that nothing was persisted.
+    /// Sends a request about tenants. A refusal, and a change that was not persisted, is returned as an error.
     ///
     /// # Errors
     ///
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends a request about undeliverable messages. The response is not a refusal of any kind.
+    /// Sends a request about undeliverable messages. A refusal of any kind is returned as an error.
     ///
     /// # Errors
     ///
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -27,7 +27,7 @@
     /// The sender of the request.
     pub principal: Principal,
     headers: HeaderMap,
-    /// Digest of method, target, preconditions and body: two requests with one idempotency key have to agree in it.
+    /// Digest of method, target, preconditions and body. Requests with the same idempotency key must have the same digest.
     digest: Digest,
     id: String,
     body: Bytes,
@@ -71,7 +71,7 @@
 }
 
 impl AuthenticatedRequest {
-    /// The body, a JSON object, as a value of this type.
+    /// Parses the body, a JSON object, as a value of this type.
     ///
     /// # Errors
     ///
@@ -81,7 +81,7 @@
         self.check_content_type(media_types)?;
         let value: serde_json::Value = serde_json::from_slice(&self.body)
             .map_err(|error| Problem::malformed(format!("the body is no JSON: {error}")))?;
-        // Serde would accept an array as well, and take its elements as the fields in order.
+        // Serde would also accept an array, and assign its elements to the fields in order.
         if !value.is_object() {
             return Err(Problem::malformed("the body is no JSON object"));
         }
@@ -106,12 +106,12 @@
         ))
     }
 
-    /// The states of a tenant that the request may change; see [`precondition::if_match`].
+    /// The versions of the tenant to which the request may be applied; see [`precondition::if_match`].
     pub fn precondition(&self) -> Result<Precondition, Problem> {
         precondition::if_match(&self.headers)
     }
 
-    /// The version that the request may change, none for any; see [`precondition::if_match_number`].
+    /// The version to which the request may be applied, none for any; see [`precondition::if_match_number`].
     pub fn version_number(&self) -> Result<Option<u32>, Problem> {
         precondition::if_match_number(&self.headers)
     }
--- a/crates/admin/src/router.rs
+++ b/crates/admin/src/router.rs
@@ -14,7 +14,7 @@
 use crate::state::ApiState;
 use crate::{audit, secrets, status, tenants, undeliverable};
 
-/// Longest body of a request, in bytes.
+/// Maximum size of a request's body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
 #[derive(utoipa::OpenApi)]
--- a/crates/admin/src/serve.rs
+++ b/crates/admin/src/serve.rs
@@ -1,4 +1,4 @@
-//! The listener. It limits what clients may take of the process: connections, time without a complete request, and
+//! The listener. It limits the resources that clients may use: connections, time without a complete request, and
 //! requests per second.
 
 use std::cell::{Cell, RefCell};
@@ -23,18 +23,18 @@
 
 /// Time after which a connection without a complete request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest head of a request, in bytes.
+/// Maximum size of a request's head, in bytes.
 const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
-/// Delay before the next accept after one that failed, or after a connection over the limit.
+/// Delay before the next accept after a failed accept or a connection over the limit.
 const ACCEPT_DELAY: Duration = Duration::from_millis(20);
-/// Seconds of the permitted rate that may be used in one burst.
+/// Maximum burst, as seconds of the permitted rate.
 const BURST_S: f64 = 2.0;
 
 /// Limits of the listener.
 pub struct ServeLimits {
-    /// Most connections open at a time.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Sustained rate of requests.
+    /// Maximum sustained rate of requests.
     pub requests_per_second: f64,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether a request may be served now; it counts if so.
+    /// Takes a token for a request. Returns false if none is available.
     fn try_acquire(&mut self, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.refilled_at);
         let refilled = self.available + elapsed.as_secs_f64() * self.requests_per_second;
@@ -89,7 +89,7 @@
         };
         if open_connections.get() >= limits.connections {
             drop(stream);
-            // Guards the process against a client that opens connections at full speed.
+            // Limits the load from a client that opens connections in a fast loop.
             runtime.sleep(ACCEPT_DELAY).await;
             continue;
         }
@@ -147,7 +147,7 @@
         let idle_until = last_active_at.get() + IDLE_TIMEOUT;
         tokio::select! {
             biased;
-            // An error means that the client closed the connection, or sent what is not HTTP.
+            // An error means that the client closed the connection or sent invalid HTTP.
             _ = &mut served => return,
             // A request may have been answered since the timer was set.
             () = runtime.sleep_until(idle_until) => {
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -6,9 +6,9 @@
 use tenancy::secret::Digest;
 use tenancy::spec::{check_name, SpecError};
 
-/// Most tokens that may be configured.
+/// Maximum number of tokens.
 const MAX_TOKENS: usize = 256;
-/// Most patterns in the scope of one token.
+/// Maximum number of patterns in the scope of a token.
 const MAX_SCOPE_PATTERNS: usize = 64;
 /// Largest permitted value of [`Settings::connections`].
 const MAX_CONNECTIONS: usize = 1024;
@@ -43,7 +43,7 @@
     }
 }
 
-/// A bearer token, of which only the digest is kept.
+/// A bearer token. Only its digest is stored.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Token {
@@ -100,10 +100,11 @@
 pub struct Settings {
     /// Address of the listener: a loopback address and port, or `unix:` and an absolute path.
     pub listen: String,
-    /// Most connections open at a time; a further one is closed at once.
+    /// Maximum number of open connections; a further one is closed immediately.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Sustained rate of requests; bursts may have twice as many. Requests beyond it are answered 429.
+    /// Maximum sustained rate of requests. A burst may use up to two seconds of this rate. Requests beyond the limit are
+    /// answered with status 429.
     #[serde(default = "default_requests_per_second")]
     pub requests_per_second: f64,
     /// The bearer tokens that are accepted.
@@ -118,28 +119,28 @@
     #[error("admin.listen: {0}")]
     ListenAddress(AddressError),
     /// `listen` can be reached from other machines.
-    #[error("admin.listen: {0} is no loopback address")]
+    #[error("admin.listen: {0} is not a loopback address")]
     NotLoopback(Address),
     /// `connections` is out of range.
-    #[error("admin.connections is not from 1 to {MAX_CONNECTIONS}")]
+    #[error("admin.connections must be from 1 to {MAX_CONNECTIONS}")]
     Connections,
     /// `requests_per_second` is out of range.
-    #[error("admin.requests_per_second is not from 1 to {MAX_REQUESTS_PER_SECOND}")]
+    #[error("admin.requests_per_second must be from 1 to {MAX_REQUESTS_PER_SECOND}")]
     RequestsPerSecond,
     /// There are too many tokens.
-    #[error("admin.tokens are more than {MAX_TOKENS}")]
+    #[error("admin.tokens: more than {MAX_TOKENS} tokens")]
     TooManyTokens,
     /// A token's name is malformed.
     #[error("admin.tokens: {0}")]
     TokenName(SpecError),
     /// Two tokens have this name.
-    #[error("admin.tokens: {0:?} is there twice")]
+    #[error("admin.tokens: the name {0:?} is used twice")]
     DuplicateTokenName(String),
     /// The token of this name has the same digest as an earlier one.
-    #[error("admin.tokens: {0:?} has the digest of another")]
+    #[error("admin.tokens: {0:?} has the same sha256 as another token")]
     DuplicateTokenDigest(String),
     /// The token of this name has too many scope patterns, or a malformed one.
-    #[error("admin.tokens: the tenants of {0:?} are not up to {MAX_SCOPE_PATTERNS} names or beginnings with *")]
+    #[error("admin.tokens: the tenants of {0:?} must be at most {MAX_SCOPE_PATTERNS} names or prefixes followed by *")]
     TokenScope(String),
 }
 
--- a/crates/admin/src/state.rs
+++ b/crates/admin/src/state.rs
@@ -1,4 +1,4 @@
-//! What all handlers share.
+//! State that all handlers share.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -28,9 +28,10 @@
 }
 
 impl ApiState {
-    /// The state of an API that sends its requests to this channel and accepts the tokens that are current then.
+    /// Creates the state of an API that sends its requests to `events`. A request is authenticated with the value of
+    /// `tokens` at that time.
     ///
-    /// The prefix of request ids has to differ from those of earlier processes.
+    /// The prefix of request ids has to differ from the prefixes of earlier processes.
     pub fn new(
         events: mpsc::Sender<RelayEvent>,
         tokens: watch::Receiver<Tokens>,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// An id for a request that came without one.
+    /// Generates an id for a request that has none.
     pub fn generate_request_id(&self) -> String {
         let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number}", self.request_id_prefix)
--- a/crates/admin/src/tenants/change.rs
+++ b/crates/admin/src/tenants/change.rs
@@ -23,7 +23,7 @@
     response
 }
 
-/// Changes a tenant in the state that the request's `If-Match` names, and responds with the tenant after it.
+/// Changes a tenant on the condition of the request's `If-Match`, and responds with the changed tenant.
 ///
 /// # Errors
 ///
@@ -39,7 +39,7 @@
     apply_change(state, command, success).await
 }
 
-/// Changes a tenant, and responds with the tenant after it.
+/// Changes a tenant, and responds with the changed tenant.
 ///
 /// # Errors
 ///
@@ -71,7 +71,8 @@
     Ok(response)
 }
 
-/// The status where the tenant was as requested already: nothing was created, but a removal may still be in progress.
+/// The status if the tenant already is in the requested state: nothing was created, but a removal may still be in
+/// progress.
 fn status_if_unchanged(success: StatusCode) -> StatusCode {
     match success {
         StatusCode::ACCEPTED => StatusCode::ACCEPTED,
--- a/crates/admin/src/tenants/handlers.rs
+++ b/crates/admin/src/tenants/handlers.rs
@@ -25,7 +25,7 @@
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
 
-/// Which page.
+/// Query parameters of a list of tenants.
 #[derive(Deserialize, IntoParams)]
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
@@ -37,12 +37,12 @@
     cursor: Option<String>,
 }
 
-/// How a tenant is removed.
+/// Query parameters of the removal of a tenant.
 #[derive(Deserialize, IntoParams)]
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
 struct RemovalParameters {
-    /// What happens to its messages, in place of what its specification says.
+    /// What happens to its messages; overrides on_removal of its specification.
     on_removal: Option<OnRemoval>,
 }
 
@@ -167,7 +167,7 @@
     apply_conditional_change(&state, &request, &name, change, StatusCode::OK).await
 }
 
-/// Remove a tenant: its messages are not accepted any more, those in the relay end as its specification says.
+/// Remove a tenant: new messages are not accepted, those in the relay are handled according to on_removal.
 /// Role: admin.
 #[utoipa::path(delete, path = "/v1/tenants/{name}", tag = "tenants", params(("name" = String, Path), RemovalParameters,
     ("If-Match" = String, Header, description = "The tenant's ETag, or * for any version."),
@@ -239,7 +239,7 @@
     let mut usages = reports
         .into_iter()
         .map(|report| TenantUsage::new(report, since_ms));
-    // The tenant itself comes first, then the draining ones of its name.
+    // The first report is that of the tenant itself; those of the draining tenants of its name follow.
     let mut usage = usages.next().ok_or_else(Problem::unexpected_response)?;
     usage.draining = usages.collect();
     Ok(Json(usage).into_response())
--- a/crates/admin/src/tenants/model.rs
+++ b/crates/admin/src/tenants/model.rs
@@ -93,7 +93,7 @@
 /// A page of tenants.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct TenantPage {
-    /// In the order of their names.
+    /// Tenants, sorted by name.
     pub items: Vec<Tenant>,
     /// The cursor of the next page; null on the last page.
     pub next: Option<String>,
@@ -106,7 +106,7 @@
     pub name: String,
     /// Its generation and revision.
     pub version: String,
-    /// Since when it is counted: the relay's start.
+    /// Start of the counters: the relay's start.
     #[schema(format = DateTime)]
     pub since: String,
     /// Messages accepted.
@@ -118,7 +118,7 @@
     pub refused: u64,
     /// Accepted messages that failed.
     pub failed: u64,
-    /// Requests that the tenant may not make.
+    /// Requests rejected because the tenant is not permitted to make them.
     pub rejected: u64,
     /// Messages queued or in flight now.
     #[serde(rename = "held")]
@@ -128,14 +128,14 @@
     /// Accepted messages in the journal, including those that only wait for the platform to accept their notification.
     #[serde(rename = "owed")]
     pub unacknowledged: usize,
-    /// The same for earlier tenants of this name that are still draining.
+    /// Usage of earlier tenants of this name that are still draining.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     #[schema(no_recursion)]
     pub draining: Vec<TenantUsage>,
 }
 
 impl TenantUsage {
-    /// A tenant's usage, counted since a time in milliseconds since the Unix epoch.
+    /// A tenant's usage. `since_ms` is the start of the counters, in milliseconds since the Unix epoch.
     pub fn new(usage: UsageReport, since_ms: u64) -> Self {
         TenantUsage {
             name: usage.name,
--- a/crates/admin/src/undeliverable/batches/handlers.rs
+++ b/crates/admin/src/undeliverable/batches/handlers.rs
@@ -18,7 +18,7 @@
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
 
-/// Limits of a batch where the request gives none.
+/// Default limits of a batch, for those that the request does not set.
 struct BatchLimits {
     /// Records resent per second.
     per_second: f64,
@@ -28,7 +28,7 @@
     stop_after: u32,
 }
 
-/// Slow enough that a wrong batch can be stopped before it has done much.
+/// Low limits, so that a mistaken batch can be stopped before it has resent many records.
 const DEFAULT_LIMITS: BatchLimits = BatchLimits {
     per_second: 1.0,
     at_once: 1,
@@ -42,7 +42,7 @@
     /// The batch has ended.
     #[response(status = 409, content_type = "application/problem+json")]
     Over(ProblemBody),
-    /// The version is another, given by current_version.
+    /// The batch has another version, given by current_version.
     #[response(status = 412, content_type = "application/problem+json")]
     Stale(ProblemBody),
     /// The request was rejected; see type and detail.
@@ -134,7 +134,7 @@
     execute(&state, &request, name, BatchCommand::Pause).await
 }
 
-/// Cancel a batch: no resend is started any more. Role: operator.
+/// Cancel a batch: no further resend is started. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable-batches/{name}/cancel", tag = "undeliverable", params(("name" = String, Path),
     ("If-Match" = String, Header, description = "The batch's ETag, or * for any version.")), responses(
     (status = 200, description = "The batch after the command.", body = ResendBatch, headers(("ETag" = String, description = "The version."))),
@@ -147,7 +147,7 @@
     execute(&state, &request, name, BatchCommand::Cancel).await
 }
 
-/// Executes a command on a batch that the principal may see, and responds with the batch after it.
+/// Executes a command on a batch that the principal may see, and responds with the changed batch.
 async fn execute(
     state: &ApiState,
     request: &AuthenticatedRequest,
--- a/crates/admin/src/undeliverable/batches/model.rs
+++ b/crates/admin/src/undeliverable/batches/model.rs
@@ -16,7 +16,7 @@
     /// Its name.
     #[schema(max_length = 64, pattern = "^[A-Za-z0-9._-]+$")]
     pub name: String,
-    /// Which of the records that are open at the planning.
+    /// Selects among the records that are open when the batch is planned.
     #[serde(default)]
     pub filter: RecordFilter,
     /// Maximum resends per second, 0.01 to 1000; 1 if absent.
@@ -32,7 +32,7 @@
 pub struct ResendBatch {
     /// Its name.
     pub name: String,
-    /// Grows with every command; the ETag is this in quotes.
+    /// Increases with every command; the ETag is this number in quotes.
     pub version: u32,
     /// Its state: planned, running, paused, stopped (too many failures), done or cancelled.
     pub state: &'static str,
@@ -47,19 +47,19 @@
     pub per_second: f64,
     /// Maximum resends in flight.
     pub at_once: u32,
-    /// Number of failures that stop it.
+    /// Number of failures that stop the batch.
     pub stop_after: u32,
     /// Number of records that the dry run found.
     pub found: u64,
-    /// How many of those could be resent then.
+    /// Number of the found records that could be resent at that time.
     pub may_go: u64,
-    /// How many of those could not, by what is missing.
+    /// Number of the found records that could not be resent, by what is missing.
     pub needs: BTreeMap<String, u64>,
     /// Number of records resent so far.
     pub sent: u64,
-    /// Number of those that were delivered.
+    /// Number of resent records that were delivered.
     pub delivered: u64,
-    /// Number of those that failed.
+    /// Number of resent records that failed.
     pub failed: u64,
     /// Number of records skipped.
     pub skipped: u64,
@@ -91,6 +91,6 @@
 /// All batches.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct BatchList {
-    /// In the order of their names.
+    /// Batches, sorted by name.
     pub items: Vec<ResendBatch>,
 }
--- a/crates/admin/src/undeliverable/counts.rs
+++ b/crates/admin/src/undeliverable/counts.rs
@@ -16,7 +16,7 @@
 use crate::settings::Role;
 use crate::state::{ApiState, HandlerResult};
 
-/// The number of records with a value.
+/// The number of records that have a value.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableCount {
     /// The value.
@@ -25,14 +25,14 @@
     pub records: u64,
 }
 
-/// The numbers of records by the values of a field.
+/// The numbers of records, grouped by the values of a field.
 #[derive(Debug, Serialize, ToSchema)]
 pub struct UndeliverableCounts {
     /// A count for each value.
     pub items: Vec<UndeliverableCount>,
 }
 
-/// By what is counted.
+/// Query parameters of the counts.
 #[derive(Deserialize, IntoParams)]
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
@@ -41,7 +41,7 @@
     by: String,
 }
 
-/// Count undeliverable messages by a field. Role: viewer; by another field than tenant only for all tenants.
+/// Count undeliverable messages by a field. Role: viewer; fields other than tenant need a token for all tenants.
 #[utoipa::path(get, path = "/v1/undeliverable/counts", tag = "undeliverable", params(CountParameters), responses(
     (status = 200, description = "The counts.", body = UndeliverableCounts),
     (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
@@ -87,7 +87,7 @@
     }
 }
 
-/// A value as the API shows it: the store pads destinations with zeros, for their order.
+/// A value as the API shows it. The store pads destinations with zeros so that they sort by number.
 fn displayed_value(group_by: GroupBy, value: String) -> String {
     match group_by {
         GroupBy::Destination => value
--- a/crates/admin/src/undeliverable/filter.rs
+++ b/crates/admin/src/undeliverable/filter.rs
@@ -1,4 +1,4 @@
-//! The filter of records, as lists and batches take it.
+//! The filter of records for lists and batches.
 
 use serde::{Deserialize, Serialize};
 use tenancy::Scope;
@@ -32,7 +32,7 @@
 }
 
 impl RecordFilter {
-    /// The store's filter: these records, as far as the principal may see them, and of this state if there is one.
+    /// Converts to the store's filter, limited to records that the principal may see and, if given, to records in `state`.
     ///
     /// # Errors
     ///
--- a/crates/admin/src/undeliverable/mod.rs
+++ b/crates/admin/src/undeliverable/mod.rs
@@ -1,7 +1,7 @@
 //! Undeliverable messages: records, batches of resends, and the state of the store.
 //!
-//! Nothing is decided here: the relay's undeliverable service decides what may be sent again. A token sees the records
-//! of its tenants only.
+//! The relay's undeliverable service decides what may be resent; these modules do not. A token sees only the records of
+//! its tenants.
 
 mod batches;
 mod counts;
--- a/crates/admin/src/undeliverable/records/actions.rs
+++ b/crates/admin/src/undeliverable/records/actions.rs
@@ -21,7 +21,7 @@
     /// The record is being resent, is closed, or may not be resent; see type.
     #[response(status = 409, content_type = "application/problem+json")]
     Conflict(ProblemBody),
-    /// The version is another, given by current_version.
+    /// The record has another version, given by current_version.
     #[response(status = 412, content_type = "application/problem+json")]
     Stale(ProblemBody),
     /// Another operator has claimed the record.
@@ -101,11 +101,11 @@
     perform(&state, &request, id, RecordAction::Discard).await
 }
 
-/// Attest whether a message took effect. Two operators who agree count as the partner's answer. Role: operator.
+/// Attest whether a message took effect. Matching statements of two operators count as the partner's answer. Role: operator.
 #[utoipa::path(post, path = "/v1/undeliverable/{id}/attest", tag = "undeliverable", request_body = Attestation,
     params(("id" = u64, Path), ("If-Match" = String, Header, description = "The record's ETag, or * for any version.")), responses(
     (status = 200, description = "The record after the action.", body = UndeliverableRecord, headers(("ETag" = String, description = "The version."))),
-    (status = 412, description = "The version is another, given by current_version.", body = ProblemBody, content_type = "application/problem+json"),
+    (status = 412, description = "The record has another version, given by current_version.", body = ProblemBody, content_type = "application/problem+json"),
     (status = "4XX", description = "The request was rejected; see type and detail.", body = ProblemBody, content_type = "application/problem+json"),
     (status = 503, description = "Nothing was changed; the request may be retried.", body = ProblemBody, content_type = "application/problem+json")))]
 async fn attest_undeliverable(
@@ -117,7 +117,7 @@
     perform(&state, &request, id, RecordAction::Attest(claim)).await
 }
 
-/// Performs an action on a record that the principal may see, and responds with the record after it.
+/// Performs an action on a record that the principal may see, and responds with the changed record.
 async fn perform(
     state: &ApiState,
     request: &AuthenticatedRequest,
@@ -140,7 +140,7 @@
     Ok(record_response(&view, success_status(action)))
 }
 
-/// The status of the response if the action succeeds: 202 where its effect comes only after the response.
+/// The status of the response if the action succeeds: 202 if the action continues after the response.
 fn success_status(action: RecordAction) -> StatusCode {
     match action {
         RecordAction::Resend | RecordAction::QueryPartner => StatusCode::ACCEPTED,
--- a/crates/admin/src/undeliverable/records/model.rs
+++ b/crates/admin/src/undeliverable/records/model.rs
@@ -21,7 +21,7 @@
     /// Its outcome.
     #[schema(value_type = String, example = "timed-out")]
     pub outcome: undeliverable::Outcome,
-    /// False once it is known not to have been executed.
+    /// Whether it may have been executed; false once it is known that it was not.
     pub may_have_run: bool,
     /// 0 for attempts before the message was given up, otherwise the number of the resend.
     pub resend: u32,
@@ -44,14 +44,14 @@
 pub struct UndeliverableStatement {
     /// The operator's name; null for the partner.
     pub operator: Option<String>,
-    /// What was stated.
+    /// The statement: applied, not-applied or unknown.
     #[schema(value_type = String, example = "not-applied")]
     #[serde(rename = "says")]
     pub claim: ExecutionClaim,
     /// When it was stated; it does not cover later attempts.
     #[schema(format = DateTime)]
     pub at: String,
-    /// Number of resends before it.
+    /// Number of resends before the statement.
     pub resends: u32,
 }
 
@@ -75,11 +75,11 @@
 pub struct UndeliverableRecord {
     /// Its number in the store.
     pub id: u64,
-    /// Grows with every change; the ETag is this in quotes.
+    /// Increases with every change; the ETag is this number in quotes.
     pub version: u32,
     /// Its state: open, claimed, sending, delivered, applied-before or discarded.
     pub state: &'static str,
-    /// Who has claimed it or resends it; null for nobody.
+    /// Who has claimed it or is resending it; null if nobody.
     pub holder: Option<String>,
     /// Until when it is claimed, or since when it is being resent or closed; null for an open record.
     #[schema(format = DateTime)]
@@ -100,7 +100,7 @@
     pub key_window_s: Option<f64>,
     /// Size of its body, in bytes.
     pub size: u32,
-    /// When it was given up first.
+    /// When it was first given up.
     #[schema(format = DateTime)]
     pub ended_at: String,
     /// Its deadline.
@@ -124,7 +124,7 @@
 }
 
 impl UndeliverableRecord {
-    /// A record as lists show it: whether it could be resent now is not computed for them.
+    /// A record as lists show it, without whether it could be resent now.
     pub fn in_list(id: RecordId, record: &Record) -> Self {
         let (holder, state_at) = holder_and_time(&record.state);
         let (effect, key_window) = effect_and_window(record.idempotency);
@@ -163,7 +163,7 @@
     }
 }
 
-/// Who holds a record in this state, and the time that belongs to the state.
+/// The holder of a record in this state, and the time of the state; see [`UndeliverableRecord::state_at`].
 fn holder_and_time(state: &RecordState) -> (Option<String>, Option<String>) {
     let (holder, time) = match state {
         RecordState::Open => (None, None),
@@ -174,7 +174,7 @@
     (holder.cloned(), time.copied().map(timestamp::format))
 }
 
-/// The API's word for whether a message may run more than once, and for how long its key is remembered.
+/// The API's term for whether a message may be executed more than once, and how long its key is remembered.
 fn effect_and_window(idempotency: Idempotency) -> (&'static str, Option<Micros>) {
     match idempotency {
         Idempotency::Idempotent => ("safe", None),
@@ -196,7 +196,7 @@
 #[derive(Debug, Deserialize, Serialize, ToSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Attestation {
-    /// It did (applied), it did not and will not (not-applied), or it is not known (unknown).
+    /// The message took effect (applied), did not and will not take effect (not-applied), or it is not known (unknown).
     #[schema(value_type = String, pattern = "^(applied|not-applied|unknown)$")]
     #[serde(rename = "says")]
     pub claim: ExecutionClaim,
--- a/crates/admin/src/undeliverable/records/read.rs
+++ b/crates/admin/src/undeliverable/records/read.rs
@@ -21,7 +21,7 @@
 use crate::state::{ApiState, HandlerResult};
 use crate::undeliverable::filter::RecordFilter;
 
-/// Which records, and which page of them.
+/// Query parameters of a list of records.
 #[derive(Deserialize, IntoParams)]
 #[serde(deny_unknown_fields)]
 #[into_params(parameter_in = Query)]
--- a/crates/admin/src/undeliverable/records/view.rs
+++ b/crates/admin/src/undeliverable/records/view.rs
@@ -1,4 +1,4 @@
-//! One record: who may see it, and the response that shows it.
+//! A single record: the check that the principal may see it, and the response that shows it.
 
 use axum::http::header::ETAG;
 use axum::http::StatusCode;
--- a/crates/admin/src/undeliverable/status.rs
+++ b/crates/admin/src/undeliverable/status.rs
@@ -21,7 +21,7 @@
     pub tenant: String,
     /// The cause: age, bytes, tenant-bytes or records.
     pub cause: String,
-    /// Their number, since the store was created.
+    /// Their number since the store was created.
     pub records: u64,
 }
 
@@ -30,7 +30,7 @@
 pub struct UndeliverableStatus {
     /// Number of records.
     pub records: u64,
-    /// Their size in bytes, as it counts towards the limits.
+    /// Their total size in bytes, as counted for the limits.
     pub bytes: u64,
     /// Records that cannot be read.
     pub unreadable: u64,
--- a/crates/admin/src/undeliverable/timestamp.rs
+++ b/crates/admin/src/undeliverable/timestamp.rs
@@ -9,12 +9,12 @@
 
 const MICROS_PER_MILLI: Micros = 1000;
 
-/// A time as text, with the precision of milliseconds.
+/// Formats a time with millisecond precision.
 pub fn format(time: Micros) -> String {
     rfc3339(time / MICROS_PER_MILLI)
 }
 
-/// The time in a parameter of this name.
+/// Parses the time in the parameter of this name.
 ///
 /// # Errors
 ///
--- a/crates/relay/src/event_loop/undeliverable_messages.rs
+++ b/crates/relay/src/event_loop/undeliverable_messages.rs
@@ -96,7 +96,7 @@
         let class = self.classes.number(&message.class);
         let resent = tenant
             .and_then(|tenant| policy_message(id, &message, tenant, class))
-            .filter(|_| self.tenants.is_known(&message.tenant));
+            .filter(|_| self.tenants.is_resend_allowed(&message.tenant));
         let Some(resent) = resent else {
             log!(
                 self.runtime,
--- a/crates/relay/src/tenant_service/audit_log.rs
+++ b/crates/relay/src/tenant_service/audit_log.rs
@@ -1,4 +1,4 @@
-//! The audit log: a line of JSON for each change, in a file that is rotated by size.
+//! The audit log: one line of JSON per change, in a file that is rotated by size.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Seek, SeekFrom, Write};
@@ -13,11 +13,11 @@
 
 /// The current file. Rotated files have a number before the extension; the oldest has the highest.
 const CURRENT_FILE: &str = "audit.jsonl";
-/// Entries that are cached for requests.
+/// Maximum number of entries that are cached for requests.
 const MAX_CACHED_ENTRIES: usize = 1000;
-/// Bytes at the end of the current file that are read at a start.
+/// Maximum number of bytes at the end of the current file that are read at startup.
 const MAX_TAIL_BYTES: u64 = 1 << 20;
-/// Changes that may wait for the log; at this limit no further change is made.
+/// Maximum number of changes that wait to be written to the log; at this limit no further change is made.
 const MAX_UNLOGGED_CHANGES: usize = 100;
 
 /// The audit log.
@@ -32,15 +32,15 @@
     limits: AuditLogLimits,
     /// Sequence number of the last change in the log.
     last_logged: u64,
-    /// Changes that are not in the log yet.
+    /// Changes that are not written to the log yet, oldest first.
     unlogged: VecDeque<Entry>,
     /// The newest entries, oldest first.
     cached: VecDeque<Entry>,
-    /// The failure to write is in the relay's log already.
+    /// The current write failure was already reported in the relay's log.
     is_failure_reported: bool,
 }
 
-/// The end of the current file, as it was read at a start.
+/// The end of the current file, as read at startup.
 struct Tail {
     entries: VecDeque<Entry>,
     /// Bytes up to the end of the last complete line of the file.
@@ -49,7 +49,8 @@
 }
 
 impl<R: Runtime> AuditLog<R> {
-    /// Opens the log, and adds the `changes` that it lacks: those that were written just before a process ended.
+    /// Opens the log, and appends the `changes` that it lacks: those committed to the replicas shortly before an earlier
+    /// process ended.
     ///
     /// # Errors
     /// [`TenantsError::File`] if the current file cannot be opened or read.
@@ -85,7 +86,7 @@
         Ok(audit_log)
     }
 
-    /// Adds a change. It waits if the file cannot be written.
+    /// Appends a change. If the file cannot be written, the change is kept for the next flush.
     pub fn append(&mut self, record: &ChangeRecord) {
         let entry = Entry::of(record);
         self.cached.push_back(entry.clone());
@@ -106,12 +107,12 @@
         self.unlogged.len()
     }
 
-    /// Whether the limit of waiting changes is reached, so that no further change may be made.
+    /// Whether the limit of unwritten changes is reached, so that no further change may be made.
     pub fn is_backlog_full(&self) -> bool {
         self.unlogged.len() >= MAX_UNLOGGED_CHANGES
     }
 
-    /// Writes the changes that wait, until one fails.
+    /// Writes the waiting changes in order, until a write fails.
     pub fn flush(&mut self) {
         while let Some(entry) = self.unlogged.front() {
             let (sequence, line) = (entry.seq, entry.line());
@@ -152,7 +153,7 @@
         written
     }
 
-    /// Begins a new file, and deletes the oldest one.
+    /// Begins a new file, and deletes the oldest one if the maximum number of files is reached.
     fn rotate(&mut self) -> io::Result<()> {
         let max_rotated_files = self.limits.max_rotated_files;
         match self.runtime.remove(&self.file_path(max_rotated_files)) {
@@ -199,7 +200,7 @@
     file.seek(SeekFrom::Start(start))?;
     let mut text = Vec::new();
     file.read_to_end(&mut text)?;
-    // The process may have ended within a line.
+    // An earlier process may have ended while it wrote a line.
     let last_line_feed = text.iter().rposition(|byte| *byte == b'\n');
     let complete_bytes = last_line_feed.map_or(0, |end| end + 1);
     let mut entries: VecDeque<Entry> = text[..complete_bytes]
--- a/crates/relay/src/tenant_service/changes.rs
+++ b/crates/relay/src/tenant_service/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of tenants: each is written to the replicas before it is answered, and to the audit log after.
+//! Changes of tenants: each is written to the replicas before it is answered, and after that to the audit log.
 
 use policy::types::Event;
 use relay_events::tenants::TenantResponse;
@@ -11,11 +11,11 @@
 use super::error::{ChangeError, TenantsError};
 use super::hosted::{ConfiguredTenant, HostedTenants};
 
-/// Weight of a tenant whose share in the settings is the whole capacity.
+/// Weight of an imported tenant whose share in the settings is the whole capacity.
 const WEIGHT_OF_FULL_SHARE: f64 = 1000.0;
-/// The actor of imported tenants, as the audit log names it.
+/// Actor of the import in the audit log.
 const IMPORT_ACTOR: &str = "configuration";
-/// The role of that actor.
+/// Role of the import's actor in the audit log.
 const IMPORT_ROLE: &str = "relay";
 
 impl<R: Runtime> HostedTenants<R> {
@@ -26,7 +26,7 @@
     pub(super) fn import(&mut self, configured: Vec<ConfiguredTenant>) -> Result<(), TenantsError> {
         for ConfiguredTenant { name, share } in configured {
             let command = import_command(&name, share);
-            // The policy receives all tenants later, from the scheduler's start.
+            // These events are discarded: the policy receives all tenants from `Tenants::scheduler` later.
             let mut events = Vec::new();
             if let TenantResponse::Refused(reason) = self.change(command, &mut events) {
                 return Err(TenantsError::ImportRefused { name, reason });
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    /// Decides on a command, and makes the change it asks for. The events for the policy are added to `events`.
+    /// Checks a command and makes the requested change. The events for the policy are added to `events`.
     pub(super) fn change(&mut self, command: Command, events: &mut Vec<Event>) -> TenantResponse {
         let decision = match self.registry.decide(self.now_ms(), &command) {
             Ok(decision) => decision,
@@ -67,7 +67,7 @@
     /// Writes a change to the replicas, applies it, and adds it to the policy's events and the audit log.
     ///
     /// # Errors
-    /// [`ChangeError`] if the change could not be written; nothing is changed then.
+    /// [`ChangeError`] if the change could not be written; in that case nothing is changed.
     pub(super) fn commit(
         &mut self,
         record: &ChangeRecord,
--- a/crates/relay/src/tenant_service/hosted.rs
+++ b/crates/relay/src/tenant_service/hosted.rs
@@ -22,7 +22,7 @@
     pub(super) registry: Registry,
     pub(super) store: ReplicaStore<R>,
     pub(super) audit_log: AuditLog<R>,
-    /// Clients have to authenticate.
+    /// Whether clients have to authenticate.
     pub(super) requires_login: bool,
     /// When the relay started, in milliseconds since the Unix epoch.
     pub(super) started_at_ms: u64,
@@ -38,8 +38,8 @@
 }
 
 impl<R: Runtime> HostedTenants<R> {
-    /// Opens the registry and the audit log. A new registry begins with the `configured` tenants, if the operator file
-    /// says so.
+    /// Opens the registry and the audit log. The `configured` tenants are imported into a new registry if the operator
+    /// file enables that.
     pub(super) fn open(
         runtime: &R,
         clock: &Clock<R>,
@@ -55,7 +55,7 @@
             is_new,
         } = ReplicaStore::open(runtime, folder, operator.max_replica_bytes(), classes)?;
         let audit_log = AuditLog::open(runtime, folder, operator.audit_log_limits(), &changes)?;
-        // If both replicas lost their last lines, only the audit log knows of these changes.
+        // If both replicas lost their last lines, only the audit log still contains these changes.
         let lost_changes = registry.skip_to_sequence(audit_log.last_logged());
         if lost_changes > 0 {
             log!(
@@ -97,7 +97,8 @@
     }
 }
 
-/// The time of the relay's clock. Intervals are measured with it, so steps of the wall clock do not reach it.
+/// The time of the relay's clock, in milliseconds since the Unix epoch. The clock is not affected by steps of the wall
+/// clock, so it can be used to measure intervals.
 fn now_ms<R: Runtime>(clock: &Clock<R>) -> u64 {
     clock.now() / MICROS_PER_MS
 }
--- a/crates/relay/src/tenant_service/maintenance.rs
+++ b/crates/relay/src/tenant_service/maintenance.rs
@@ -1,16 +1,16 @@
-//! Work between requests: drained tenants are removed, the audit log is brought up to date, and the replicas are
-//! rewritten.
+//! Maintenance between requests: removes drained tenants, writes waiting changes to the audit log, and rewrites the
+//! replicas.
 
 use policy::types::Event;
 use runtime::{log, Runtime};
 
 use super::hosted::HostedTenants;
 
-/// How long to wait, in milliseconds, before a removal that could not be written is tried again.
+/// Delay before a removal that could not be written is retried, in milliseconds.
 const REMOVAL_RETRY_INTERVAL_MS: u64 = 1000;
 
 impl<R: Runtime> HostedTenants<R> {
-    /// Runs a step of the maintenance. Returns whether more is to be done soon.
+    /// Runs one step of the maintenance. Returns whether further steps are due.
     pub(super) fn run_maintenance(&mut self, events: &mut Vec<Event>) -> bool {
         self.remove_drained(events);
         // A rewrite drops changes from the replicas, so it waits until the audit log has all of them.
--- a/crates/relay/src/tenant_service/mod.rs
+++ b/crates/relay/src/tenant_service/mod.rs
@@ -1,4 +1,4 @@
-//! The tenants of the relay: those of the settings, or those of a registry that administrators change.
+//! The tenants of the relay: either those of the settings, or those of a registry that administrators can change.
 
 mod audit_log;
 mod changes;
@@ -40,7 +40,7 @@
 pub enum DiskSpace {
     /// Changes may be written.
     Available,
-    /// The disk is full; the journal's reserve is for the ends of messages alone.
+    /// The disk is full. The journal's reserve may be used only to record the ends of messages.
     ReserveOnly,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The scheduler of these tenants, and the events that make them known to the policy.
+    /// Creates the scheduler of these tenants. Returns it with the events that announce the tenants to the policy.
     pub fn scheduler(&self, settings: &Settings) -> (Box<dyn TenantScheduler>, Vec<Event>) {
         match self {
             Tenants::Fixed(_) => (
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Until when each tenant's rate is used up, for a process that takes over: by the tenant's reference in the
-    /// journal, the latest time first. Tenants with rate to spare are left out.
+    /// The times at which the tenants' rate limiters are full again, for a process that takes over. They are listed by
+    /// the tenant's reference in the journal, latest time first. Tenants whose limiter is full are left out.
     pub fn used_rates(
         &self,
         now: Micros,
@@ -123,7 +123,7 @@
         used
     }
 
-    /// Restores the rates that an earlier process handed over, see [`Tenants::used_rates`].
+    /// Restores the state of rate limiters that an earlier process handed over; see [`Tenants::used_rates`].
     pub fn restore_used_rates(
         &mut self,
         used: &[(String, Micros)],
@@ -190,10 +190,11 @@
         }
     }
 
-    /// Counts a message that was accepted before a restart. Returns the number of its tenant, if that is known.
+    /// Counts a message that was accepted before a restart. Returns the number of its tenant; none if a hosted tenant is
+    /// unknown.
     pub fn message_restored(&mut self, reference: &str) -> Option<TenantId> {
         match self {
-            // A tenant that was dropped from the settings has no share, but its messages still have to be finished.
+            // A tenant that was removed from the settings has no share, but its messages still have to be finished.
             Tenants::Fixed(names) => {
                 index_of(names, reference).or_else(|| names.len().try_into().ok())
             }
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Counts a message that was admitted, but not accepted.
+    /// Counts a message that was admitted but then refused.
     pub fn message_rejected(&mut self, reference: &str) {
         if let Some(entry) = self.entry(reference) {
             entry.counts.refused += 1;
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Counts a message that was not delivered.
+    /// Counts a message that was not delivered: as failed, or as refused if it was deferred.
     pub fn message_failed(&mut self, reference: &str, failure: DeliveryFailure) {
         let Some(entry) = self.entry(reference) else {
             return;
@@ -246,7 +247,7 @@
         }
     }
 
-    /// Whether a tenant is removed, or drains before its removal.
+    /// Whether a tenant was removed, or is draining before its removal.
     pub fn is_removed(&mut self, reference: &str) -> bool {
         match self {
             Tenants::Fixed(names) => {
@@ -259,8 +260,8 @@
         }
     }
 
-    /// Whether messages of a tenant may be sent again.
-    pub fn is_known(&mut self, reference: &str) -> bool {
+    /// Whether messages of a tenant may be resent: the tenant exists, and a hosted one is active.
+    pub fn is_resend_allowed(&mut self, reference: &str) -> bool {
         match self {
             Tenants::Fixed(names) => names.is_empty() || names.iter().any(|name| name == reference),
             Tenants::Hosted(hosted) => hosted
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Counts a message as finished: the journal needs it no longer.
+    /// Counts a message as finished, so that it may be removed from the journal.
     pub fn message_released(&mut self, reference: &str) {
         if let Some(entry) = self.entry(reference) {
             entry.unacknowledged = entry.unacknowledged.saturating_sub(1);
@@ -290,8 +291,8 @@
         matches!(self, Tenants::Hosted(hosted) if hosted.requires_login)
     }
 
-    /// Answers a request of a front end. The events for the policy are added to `events`; `load` reads a tenant's current
-    /// load. Without disk space no change is made.
+    /// Answers a request of a front end. The events for the policy are added to `events`; `load` returns a tenant's
+    /// current load. Without disk space no change is made.
     pub fn handle_request(
         &mut self,
         request: TenantRequest,
@@ -313,7 +314,7 @@
         }
     }
 
-    /// Runs a step of the maintenance, which writes to disk. Returns whether more is to be done soon.
+    /// Runs one step of the maintenance, which writes to disk. Returns whether further steps are due.
     pub fn run_maintenance(&mut self, events: &mut Vec<Event>) -> bool {
         match self {
             Tenants::Fixed(_) => false,
--- a/crates/relay/src/tenant_service/replica.rs
+++ b/crates/relay/src/tenant_service/replica.rs
@@ -1,11 +1,11 @@
-//! One replica file of the registry: reading it, appending a change, and replacing the file as a whole.
+//! One replica file of the registry: reads it, appends changes, and replaces the whole file.
 
 use std::io::{self, SeekFrom};
 use std::path::{Path, PathBuf};
 
 use runtime::{File, Runtime};
 
-/// Suffix of the file that replaces a replica once it is complete.
+/// Suffix of the temporary file that replaces a replica once it is complete.
 const REPLACEMENT_SUFFIX: &str = ".new";
 
 /// A replica file.
@@ -18,10 +18,10 @@
     is_torn: bool,
 }
 
-/// A replica as it was opened.
+/// A newly opened replica.
 pub(super) struct OpenedReplica<F> {
     pub replica: Replica<F>,
-    /// What the file held; none if there was no file.
+    /// Contents of the file; none if there was no file.
     pub text: Option<Vec<u8>>,
 }
 
@@ -57,7 +57,7 @@
         self.length
     }
 
-    /// Appends complete lines. After an error the file holds none of them, or is truncated before the next append.
+    /// Appends complete lines. After an error the file contains none of them, or is truncated before the next append.
     pub fn append(&mut self, lines: &[u8]) -> io::Result<()> {
         if self.is_torn {
             self.truncate_partial_line()?;
@@ -72,7 +72,8 @@
         written
     }
 
-    /// Takes back the last append, of `size` bytes. If the file cannot be truncated now, it is before the next append.
+    /// Undoes the last append, of `size` bytes. If the file cannot be truncated now, that is retried before the next
+    /// append.
     pub fn retract(&mut self, size: usize) {
         self.length -= size as u64;
         self.is_torn = self.truncate_partial_line().is_err();
@@ -94,7 +95,7 @@
         drop(runtime.remove(&replacement_path(&self.path)));
     }
 
-    /// Puts a complete replacement of `length` bytes in the replica's place.
+    /// Replaces the replica by a complete replacement file of `length` bytes.
     pub fn replace<R: Runtime<File = F>>(
         &mut self,
         runtime: &R,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Removes a replacement that a process left as it ended while writing it.
+/// Removes an incomplete replacement of a process that ended while it wrote the file.
 fn remove_replacement<R: Runtime>(runtime: &R, path: &Path) -> io::Result<()> {
     runtime
         .remove(&replacement_path(path))
--- a/crates/relay/src/tenant_service/replica_rewrite.rs
+++ b/crates/relay/src/tenant_service/replica_rewrite.rs
@@ -1,5 +1,5 @@
-//! The rewrite of both replica files as a snapshot and the changes since, in slices that keep the event loop's rounds
-//! short.
+//! The rewrite of both replica files as a snapshot followed by the changes since. It runs in slices, so that it does not
+//! block the event loop for long.
 
 use std::io;
 
@@ -9,9 +9,9 @@
 
 use super::replica::Replica;
 
-/// Tenants that one slice adds to the snapshot.
+/// Maximum number of tenants that one slice adds to the snapshot.
 const SLICE_TENANTS: usize = 128;
-/// Bytes that one slice writes to a replacement file.
+/// Maximum number of snapshot bytes that one slice writes to a replacement file.
 const SLICE_BYTES: usize = 64 << 10;
 
 /// A rewrite in progress.
@@ -39,7 +39,7 @@
     file: Option<F>,
 }
 
-/// What is left of a rewrite after a slice.
+/// The progress of a rewrite after a slice.
 pub(super) enum RewriteProgress<F> {
     /// More slices follow.
     Unfinished(ReplicaRewrite<F>),
@@ -64,7 +64,7 @@
         self.changes.extend(line);
     }
 
-    /// Does a slice of the work. An error ends the rewrite; replicas not yet replaced stay as they are.
+    /// Runs one slice of the rewrite. An error ends the rewrite; replicas that are not replaced yet are unchanged.
     pub fn run_slice<R: Runtime<File = F>>(
         self,
         runtime: &R,
@@ -113,8 +113,8 @@
 }
 
 impl<F: File> Replacement<F> {
-    /// Writes a slice of the snapshot. After the last slice the replica is replaced, and the next one's turn comes; its
-    /// index is the number of replicas once all are replaced.
+    /// Writes a slice of the snapshot. The last slice replaces the replica, and returns the replacement of the next one.
+    /// Its index equals the number of replicas once all are replaced.
     fn run_slice<R: Runtime<File = F>>(
         mut self,
         runtime: &R,
--- a/crates/relay/src/tenant_service/replica_store.rs
+++ b/crates/relay/src/tenant_service/replica_store.rs
@@ -1,5 +1,5 @@
-//! The registry's two replica files. A change is in both before it is answered; either replica repairs damage of the
-//! other. Both are rewritten from time to time, in slices.
+//! The registry's two replica files. A change is written to both before it is answered, and each replica can repair
+//! damage of the other. Both are rewritten in slices when they have grown too large or need repair.
 
 use std::collections::BTreeMap;
 use std::io::{self, Write};
@@ -20,7 +20,7 @@
 const FOLLOWER_FILE: &str = "tenants.b";
 /// Index of the leading replica.
 const LEADER: usize = 0;
-/// Bytes that the changes may take beyond the size of the snapshot before the replicas are rewritten.
+/// The replicas are rewritten when they exceed twice the size of the snapshot by this many bytes.
 const REWRITE_SLACK_BYTES: u64 = 1 << 20;
 
 /// The registry's replica files.
@@ -29,22 +29,22 @@
     replicas: [Replica<R::File>; 2],
     /// Size of the last snapshot, in bytes.
     snapshot_bytes: u64,
-    /// Largest size of a replica, in bytes.
+    /// Maximum size of a replica, in bytes.
     max_replica_bytes: u64,
     rewrite: Option<ReplicaRewrite<R::File>>,
-    /// A rewrite failed; the next does not begin before the next change.
+    /// A rewrite failed; the next one does not begin until another change is written.
     is_rewrite_suspended: bool,
-    /// Each replica lacks what the other has, so both are to be rewritten.
+    /// Both replicas have to be rewritten, as that failed at startup: each may lack lines that the other has.
     is_repair_pending: bool,
     /// Changes that were lost to damage of the replicas.
     lost_changes: u64,
 }
 
-/// The store, and what the replicas held.
+/// The opened store and the contents of the replicas.
 pub(super) struct OpenedStore<R: Runtime> {
     pub store: ReplicaStore<R>,
     pub registry: Registry,
-    /// Changes that the replicas still hold, by sequence number.
+    /// Changes that the replicas still contain, by sequence number.
     pub changes: BTreeMap<u64, ChangeRecord>,
     /// Whether there were no replicas.
     pub is_new: bool,
@@ -103,15 +103,16 @@
         self.lost_changes
     }
 
-    /// Counts changes that both replicas have lost without a trace.
+    /// Counts changes that are missing from both replicas without a detectable gap.
     pub fn add_lost_changes(&mut self, changes: u64) {
         self.lost_changes += changes;
     }
 
-    /// Writes a change to both replicas. Once this returns, the change outlasts the process, and the loss of either replica.
+    /// Writes a change to both replicas. After success, the change survives the end of the process and the
+    /// loss of either replica.
     ///
     /// # Errors
-    /// The error of the write to either replica; neither holds the change then.
+    /// The error of the write to either replica; in that case neither contains the change.
     pub fn append(&mut self, record: &ChangeRecord) -> io::Result<()> {
         let line = registry_file::encode_change(record);
         let [leader, follower] = &mut self.replicas;
@@ -138,7 +139,7 @@
         self.rewrite.is_some()
     }
 
-    /// Begins a rewrite if one is due, and does a slice of the one in progress.
+    /// Begins a rewrite if one is due, and runs one slice of the rewrite in progress.
     pub fn continue_rewrite(&mut self, registry: &Registry) {
         if self.rewrite.is_none() && self.is_rewrite_due() {
             self.rewrite = Some(ReplicaRewrite::new(registry, self.lost_changes));
@@ -173,8 +174,8 @@
         self.is_rewrite_suspended = true;
     }
 
-    /// Writes both replicas at once. If that fails, it is due later: on a full disk both replicas stay as they are, and
-    /// together they hold what was read.
+    /// Writes both replicas in one step. If that fails, for example on a full disk, a rewrite is due later. Until then
+    /// the replicas that were read together contain the recovered state.
     fn write_or_postpone(&mut self, registry: &Registry, changes: &BTreeMap<u64, ChangeRecord>) {
         if let Err(error) = self.write_replicas(registry, changes) {
             log!(
--- a/crates/relay/src/tenant_service/requests.rs
+++ b/crates/relay/src/tenant_service/requests.rs
@@ -13,7 +13,7 @@
 use super::hosted::HostedTenants;
 
 impl<R: Runtime> HostedTenants<R> {
-    /// Answers a request. The events for the policy are added to `events`; `load` reads a tenant's current load.
+    /// Answers a request. The events for the policy are added to `events`; `load` returns a tenant's current load.
     pub(super) fn handle_request(
         &mut self,
         request: TenantRequest,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A tenant as front ends show it.
+    /// A tenant with the versions of its draining predecessors, for front ends.
     pub(super) fn view(&self, tenant: Tenant) -> Box<TenantView> {
         let draining = self
             .registry
--- a/crates/relay/src/undeliverable_service/batch_runner.rs
+++ b/crates/relay/src/undeliverable_service/batch_runner.rs
@@ -1,4 +1,4 @@
-//! Batches: plans them, resends their records at their pace, and stores their progress.
+//! Plans batches, resends their records at the configured rate, and stores their progress.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -17,18 +17,18 @@
 use super::resend_outcome::DeliveryResult;
 use super::store_lifecycle::StoreLifecycle;
 
-/// The most records of a batch that one run examines.
+/// Maximum number of records of a batch that one run examines.
 const MAX_EXAMINED_RECORDS: usize = 64;
-/// Records of one page while a plan counts.
+/// Number of records read per page when a plan counts records.
 const PLAN_PAGE_RECORDS: usize = 1000;
-/// A plan stops to count at the first page with which it has this many records.
+/// A plan stops counting after the page that brings it to this many records.
 const MAX_PLANNED_RECORDS: u64 = 100_000;
-/// How often the progress of batches is stored. Commands are stored at once.
+/// Minimum interval between writes of the batches' progress. Commands are stored immediately.
 const SAVE_INTERVAL: Duration = Duration::from_secs(1);
-/// The sender of a batch's records begins with this.
+/// Prefix of the sender name of a batch's resends.
 const SENDER_PREFIX: &str = "batch ";
 
-/// Whether a batch goes on to its next record.
+/// Whether a batch continues with its next record.
 enum Progress {
     Next,
     Wait,
@@ -45,7 +45,7 @@
 }
 
 impl<R: Runtime> BatchRunner<R> {
-    /// No batches.
+    /// Creates a runner without batches.
     pub fn new(runtime: R) -> Self {
         let save_at = runtime.now();
         BatchRunner {
@@ -56,25 +56,25 @@
         }
     }
 
-    /// Adds the batches of a store that was opened. Batches that are known already are newer.
+    /// Adds the batches of a newly opened store. A batch that is already in memory is newer and is kept.
     pub fn restore(&mut self, batches: Vec<Batch>) {
         for batch in batches {
             self.batches.entry(batch.spec.name.clone()).or_insert(batch);
         }
     }
 
-    /// Forgets all batches.
+    /// Removes all batches from memory.
     pub fn clear(&mut self) {
         self.batches.clear();
         self.unsaved.clear();
     }
 
-    /// All batches.
+    /// All batches, sorted by name.
     pub fn list(&self) -> Vec<Batch> {
         self.batches.values().cloned().collect()
     }
 
-    /// Sets how many records of each batch are in flight, by the senders of the resends in flight.
+    /// Sets the number of in-flight records of each batch from the senders of the resends in flight.
     pub fn resume_after_restart(&mut self, senders: &[&str], now: Micros) {
         for batch in self.batches.values_mut() {
             let sender = batch.sender_name();
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A resend has ended; counts it if a batch had sent it.
+    /// Counts an ended resend if a batch sent it.
     pub fn resend_ended(&mut self, sender: &str, result: DeliveryResult) {
         let Some(name) = sender.strip_prefix(SENDER_PREFIX) else {
             return;
@@ -154,8 +154,9 @@
         resend_record(batch, id, resender, now, resends)
     }
 
-    /// Stores the progress of batches, if that is due. A kill loses at most the counts of this interval: what is in
-    /// flight is counted anew at the start, and a record that was examined is not resent without permission.
+    /// Stores the progress of batches, if due. A killed process loses at most the counts since the last save: resends
+    /// in flight are counted again at the next start, and a record that is examined again is resent only if the resend
+    /// policy permits it.
     pub fn save_if_due(&mut self, store: &mut StoreLifecycle<R>) {
         let now = self.runtime.now();
         if self.unsaved.is_empty() || self.save_at > now {
@@ -172,11 +173,11 @@
         }
     }
 
-    /// Plans a batch: counts what it would resend, and stores the batch, which does nothing before it is run.
+    /// Plans a batch: counts the records it would resend, and stores it. A planned batch does nothing until it is run.
     pub fn plan(
         &mut self,
         spec: BatchSpec,
-        who: &str,
+        operator: &str,
         resender: &mut Resender<R>,
         now: Micros,
     ) -> UndeliverableResponse {
@@ -190,13 +191,13 @@
         let Some((last_planned, counts)) = planned else {
             return UndeliverableResponse::Unavailable(store.unavailability());
         };
-        match Batch::plan(spec, who, now, last_planned, counts) {
+        match Batch::plan(spec, operator, now, last_planned, counts) {
             Ok(batch) => self.save(batch, store),
             Err(refusal) => UndeliverableResponse::BatchRefused(refusal),
         }
     }
 
-    /// Checks that a batch may be added, and removes the oldest finished one if there are too many.
+    /// Checks that a batch may be added, and removes the oldest finished one if the maximum number is reached.
     fn admit(&mut self, spec: &BatchSpec, store: &mut StoreLifecycle<R>) -> Result<(), BatchError> {
         spec.check()?;
         if self.batches.contains_key(&spec.name) {
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Stores a batch; it is in effect only if the store has it.
+    /// Stores a batch. The change takes effect only if the write succeeds.
     fn save(&mut self, batch: Batch, store: &mut StoreLifecycle<R>) -> UndeliverableResponse {
         if store.access(|store| store.save_batch(&batch)).is_none() {
             return UndeliverableResponse::Unavailable(store.unavailability());
@@ -264,7 +265,7 @@
             batch.record_sent(id);
             Progress::Next
         }
-        // The batch waits until the last call has ended.
+        // The last call of the record's previous delivery may not have ended yet.
         Err(ResendError::Refused(RecordError::Settling)) => Progress::Wait,
         Err(ResendError::Refused(refusal)) => {
             if resender.handle_refusal(id, &refusal, now) == QueryState::Awaited {
@@ -277,7 +278,7 @@
     }
 }
 
-/// Counts the records that a batch would resend. Returns the last record of the store with the counts.
+/// Counts the records that a batch would resend. Returns the id of the store's last record, and the counts.
 fn count_records(
     store: &Store,
     filter: &Filter,
@@ -291,8 +292,8 @@
         for (_, record) in page.records.iter().filter(|(id, _)| *id <= last) {
             counts.count_planned(check_resend(record, policy).map(|_| ()));
         }
-        let has_room = counts.found < MAX_PLANNED_RECORDS;
-        let Some(next) = page.next.filter(|next| *next < last && has_room) else {
+        let is_below_limit = counts.found < MAX_PLANNED_RECORDS;
+        let Some(next) = page.next.filter(|next| *next < last && is_below_limit) else {
             return Ok((last, counts));
         };
         after = next;
--- a/crates/relay/src/undeliverable_service/failed_message.rs
+++ b/crates/relay/src/undeliverable_service/failed_message.rs
@@ -1,4 +1,4 @@
-//! What is stored of a message whose delivery has failed.
+//! The record that is stored for a message whose delivery has failed.
 
 use policy::types::{AttemptOutcome, Class, Idempotency, Micros};
 use undeliverable::record::{self, Origin};
@@ -6,21 +6,21 @@
 
 use crate::journal::{self, PendingMessage};
 
-/// The policy gives up on a message up to this long before its deadline, in microseconds.
+/// The policy may give up on a message up to this long before its deadline, in microseconds.
 const DEADLINE_TOLERANCE: Micros = 100_000;
 
-/// A message whose delivery has failed, and what the reason depends on.
+/// A message whose delivery has failed, with the facts that determine the reason.
 #[derive(Clone, Copy)]
 pub struct FailedMessage<'a> {
-    /// The message, as the journal has it.
+    /// The message, as stored in the journal.
     pub pending: &'a PendingMessage,
-    /// Its class, if it is known.
+    /// The message's class; none if the settings do not contain it.
     pub class: Option<&'a Class>,
-    /// Whether it has failed because its tenant was removed.
+    /// Whether the message failed because its tenant was removed.
     pub is_tenant_removed: bool,
-    /// The most attempts of a message.
+    /// Maximum number of attempts per message.
     pub max_attempts: usize,
-    /// When it failed, in microseconds of Unix time.
+    /// When the message failed, in microseconds since the Unix epoch.
     pub failed_at: Micros,
 }
 
@@ -59,7 +59,7 @@
         self.pending.attempts.len() >= self.max_attempts
     }
 
-    /// Why the message has failed, as far as it is known.
+    /// Why the message has failed; [`Reason::NotKnown`] if its class is unknown.
     pub fn reason(&self) -> Reason {
         let Some(class) = self.class else {
             return Reason::NotKnown;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// The attempts as the store has them. A resent message starts with one of an earlier delivery, which its record
-    /// has already.
+    /// The attempts of this delivery, as records store them. The first attempt of a resent message may be inherited
+    /// from an earlier delivery; it is left out, as the record contains it already.
     pub fn attempts(&self) -> Vec<Attempt> {
         let origin = self.pending.resend;
         let resend = origin.map_or(0, |origin| origin.number);
@@ -110,7 +110,7 @@
 fn stored_idempotency(class: &Class) -> record::Idempotency {
     match class.idempotency {
         Idempotency::Idempotent => record::Idempotency::Idempotent,
-        // The store does not have the zone that knows the key, so the key protects nothing.
+        // Records do not contain the zone in which the key is known, so the key cannot prevent a second execution.
         Idempotency::Keyed {
             zone_only: true, ..
         }
@@ -119,7 +119,7 @@
     }
 }
 
-/// The outcome of an attempt as the store has it.
+/// Converts the outcome of an attempt to the form that records store.
 pub fn stored_outcome(outcome: AttemptOutcome) -> Outcome {
     match outcome {
         AttemptOutcome::Delivered => Outcome::Delivered,
--- a/crates/relay/src/undeliverable_service/mod.rs
+++ b/crates/relay/src/undeliverable_service/mod.rs
@@ -1,15 +1,16 @@
-//! Undeliverable messages: stores what the relay has given up on, answers front ends, and resends records.
+//! Undeliverable messages: stores messages that the relay has given up on, answers requests of front ends, and resends
+//! records.
 //!
-//! What may be resent is decided in [`undeliverable`]; a resend goes through the same policy, journal and hosts as any
-//! other message. The order of steps keeps a resend from being made twice:
+//! The crate [`undeliverable`] decides what may be resent; a resend passes through the same policy, journal and hosts
+//! as any other message. The order of these steps ensures that no resend is made twice:
 //!
-//! 1. the record's state becomes `sending`, with the resend's number, and the store has that;
+//! 1. the record's state becomes `sending`, with the resend's number, and is written to the store;
 //! 2. the journal accepts the resend, with the record and the number;
-//! 3. the resend runs its course, and the store has its end;
-//! 4. the journal forgets the resend.
+//! 3. the resend is delivered or fails, and its outcome is written to the store;
+//! 4. the journal removes the resend.
 //!
-//! A process that ends between two of them finds at its next start which steps were made: a record that is being
-//! sent, of which the journal holds nothing, was not begun; what the journal holds continues.
+//! A process that ended between two steps finds at its next start which of them were completed: a record in state
+//! `sending` without a resend in the journal was not begun; a resend in the journal continues.
 
 mod batch_runner;
 mod failed_message;
@@ -38,41 +39,41 @@
 pub use failed_message::{stored_outcome, FailedMessage};
 use partner_query::PartnerQueries;
 pub use resend::Resend;
-use resend::{Recording, Resender};
+use resend::{RecordingResult, Resender};
 use resend_outcome::{DeliveryResult, FailedResend, ResendOutcome};
 use rule_runner::RuleRunner;
 pub use settings::{Settings, SettingsError};
-use store_lifecycle::{Opening, StoreLifecycle};
+use store_lifecycle::{OpenResult, StoreLifecycle};
 use submission::{Submission, UnsavedRecord};
 
-/// How often the service runs by itself.
+/// Interval at which the service runs without a request.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How busy the relay is.
+/// The relay's current load and its limits.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayLoad {
     /// Messages queued or in flight.
     pub messages: usize,
-    /// The most messages.
+    /// Maximum number of messages queued or in flight.
     pub max_messages: usize,
     /// Calls to hosts in progress.
     pub open_calls: usize,
-    /// The most calls.
+    /// Maximum number of calls in progress.
     pub max_calls: usize,
 }
 
 impl RelayLoad {
-    /// Whether resends may begin. They leave half of the queue and half of the calls to other messages.
+    /// Whether resends may begin. They leave half of the message limit and half of the call limit to other messages.
     fn has_spare_capacity(&self) -> bool {
         self.messages * 2 < self.max_messages.max(2) && self.open_calls * 2 < self.max_calls.max(2)
     }
 }
 
-/// What a run of the service asks of the event loop.
+/// Work for the event loop that results from a run of the service.
 pub struct ServiceRun {
     /// Records to resend now.
     pub resends: Vec<Resend>,
-    /// Resends whose ends the store has, so that the journal may forget them.
+    /// Resends whose outcomes are stored, so that the journal may remove them.
     pub ended: Vec<MessageId>,
 }
 
@@ -87,7 +88,8 @@
 }
 
 impl<R: Runtime> UndeliverableService<R> {
-    /// Opens the store. One that cannot be used is opened again later; the relay serves all the same.
+    /// Creates the service and opens the store. A store that cannot be used is opened again later; the relay serves
+    /// messages meanwhile.
     pub fn new(runtime: R, settings: Settings, relay_events: mpsc::Sender<RelayEvent>) -> Self {
         let now = runtime.now();
         let store = StoreLifecycle::new(runtime.clone(), &settings);
@@ -108,9 +110,9 @@
 
     fn open_store(&mut self) {
         match self.resender.store.open() {
-            Opening::Opened(batches) => self.batches.restore(batches),
-            Opening::Failed => {}
-            Opening::Quarantined => {
+            OpenResult::Opened(batches) => self.batches.restore(batches),
+            OpenResult::Failed => {}
+            OpenResult::Quarantined => {
                 self.batches.clear();
                 self.rules.restart_scan();
             }
@@ -156,7 +158,7 @@
         ended
     }
 
-    /// Brings the store in line with the journal, once all resends of the journal were restored.
+    /// Reconciles the store with the journal. All resends in the journal must have been restored before.
     pub fn reconcile(&mut self, now: Micros) {
         reconciliation::reconcile(&mut self.resender, &mut self.batches, now);
     }
@@ -169,7 +171,7 @@
         });
     }
 
-    /// Stores the undeliverable messages that were added. The journal must not forget any of them before.
+    /// Stores the undeliverable messages that were added. The journal must not remove any of them before.
     pub fn flush(&mut self) {
         let stored = self.submission.flush(&mut self.resender.store);
         if !stored.is_empty() {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// An attempt of a message that is no resend has ended.
+    /// Records the outcome of an attempt of a message that is not a resend.
     pub fn attempt_ended(&mut self, destination: u16, outcome: AttemptOutcome, now: Micros) {
         self.rules.attempt_ended(destination, outcome, now);
     }
@@ -187,12 +189,12 @@
         self.resender.is_resend(id)
     }
 
-    /// Whether the store has the end of a resend of the journal already, so that it must not be made again.
+    /// Whether the outcome of a resend in the journal is already stored, so that the resend must not be repeated.
     pub fn is_ended(&mut self, origin: &ResendOrigin, name: &str) -> bool {
         self.resender.is_ended(origin, name)
     }
 
-    /// A resend of the journal continues after a restart.
+    /// Continues a resend from the journal after a restart.
     pub fn resend_restored(
         &mut self,
         id: MessageId,
@@ -203,12 +205,12 @@
         self.resender.resend_restored(id, origin, name, now);
     }
 
-    /// The journal has accepted a resend under this number.
+    /// Records that the journal has accepted a resend as message `id`.
     pub fn resend_started(&mut self, id: MessageId, origin: ResendOrigin, name: &str) {
         self.resender.resend_started(id, origin, name);
     }
 
-    /// A resend could not be handed over.
+    /// Reopens the record of a resend that was rejected or that the journal did not accept.
     pub fn resend_not_started(&mut self, origin: &ResendOrigin) {
         if let Some(sender) = self.resender.abort(origin) {
             self.batches
@@ -216,13 +218,14 @@
         }
     }
 
-    /// A resend was delivered. Returns whether the store has that, so that the journal may forget the resend.
+    /// Records that a resend was delivered. Returns whether the outcome is stored, so that the journal may remove the
+    /// resend.
     pub fn resend_delivered(&mut self, id: MessageId, now: Micros) -> bool {
         self.record_outcome(id, ResendOutcome::Delivered, now)
     }
 
-    /// A resend has failed or was handed back. Returns whether the store has that, so that the journal may forget the
-    /// resend.
+    /// Records that a resend has failed or was deferred. Returns whether the outcome is stored, so that the journal may
+    /// remove the resend.
     pub fn resend_failed(
         &mut self,
         id: MessageId,
@@ -248,20 +251,20 @@
         self.record_outcome(id, outcome, failed.failed_at)
     }
 
-    /// Returns whether the journal may forget a resend.
+    /// Records the outcome of a resend. Returns whether the journal may remove the resend.
     fn record_outcome(&mut self, id: MessageId, outcome: ResendOutcome, now: Micros) -> bool {
         let submission = &mut self.submission;
         match self.resender.record_outcome(id, outcome, now, submission) {
-            Recording::NotPending => true,
-            Recording::Unsaved => false,
-            Recording::Saved { sender, result } => {
+            RecordingResult::NotPending => true,
+            RecordingResult::Unsaved => false,
+            RecordingResult::Saved { sender, result } => {
                 self.batches.resend_ended(&sender, result);
                 true
             }
         }
     }
 
-    /// A query to a partner has ended; without a claim if there was no valid answer.
+    /// Records the answer to a partner query; `claim` is none if there was no valid answer.
     pub fn partner_query_completed(
         &mut self,
         id: RecordId,
@@ -279,7 +282,7 @@
         if claim == ExecutionClaim::Applied {
             self.resender.close_if_applied(id, now);
         }
-        // Batches that wait for the answer continue at once.
+        // Batches that wait for the answer continue immediately.
         self.next_poll_at = self.runtime.now();
     }
 }
--- a/crates/relay/src/undeliverable_service/partner_client.rs
+++ b/crates/relay/src/undeliverable_service/partner_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP query of a partner whether a message took effect.
+//! HTTP client that queries a partner whether a message took effect.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -11,7 +11,7 @@
 
 use super::settings::Partner;
 
-/// The longest answer that is read, in bytes.
+/// Maximum size of an answer's body, in bytes. A longer answer is invalid.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 /// A query whether a message took effect.
@@ -21,7 +21,7 @@
 }
 
 impl PartnerQuery {
-    /// A query on the message of this name and idempotency key.
+    /// Creates the query for the message with this name and idempotency key.
     pub fn new(partner: &Partner, name: &str, key: Option<&str>) -> Self {
         let path = partner
             .path
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Sends the query; none if there was no valid answer in time.
+    /// Sends the query. Returns the partner's claim; none if there was no valid answer in time.
     pub async fn run<R: Runtime>(self, runtime: R) -> Option<ExecutionClaim> {
         let answer = self.request_claim(&runtime);
         let timeout = self.partner.timeout();
@@ -67,7 +67,7 @@
     }
 }
 
-/// What an answer claims; none for one that the settings give no meaning.
+/// The claim of an answer; none if the answer has no meaning by the partner's settings.
 fn parse_answer(partner: &Partner, status: StatusCode, body: &[u8]) -> Option<ExecutionClaim> {
     if status == StatusCode::NOT_FOUND {
         return partner.absent_is_404.then_some(ExecutionClaim::NotApplied);
@@ -87,7 +87,7 @@
     )
 }
 
-/// Percent-encodes all but unreserved characters (RFC 3986, section 2.3).
+/// Percent-encodes all characters except the unreserved ones (RFC 3986, section 2.3).
 fn percent_encode(text: &str) -> String {
     let mut encoded = String::new();
     for byte in text.bytes() {
--- a/crates/relay/src/undeliverable_service/partner_client/tests.rs
+++ b/crates/relay/src/undeliverable_service/partner_client/tests.rs
@@ -1,4 +1,4 @@
-//! Checks of the query and of the answer of a partner.
+//! Tests of the request path and of the interpretation of a partner's answer.
 
 use hyper::StatusCode;
 use undeliverable::record::ExecutionClaim;
@@ -11,7 +11,7 @@
         "destination = 3\naddress = \"127.0.0.1:9\"\npath = \"/s/{{id}}?k={{key}}\"\napplied = [\"done\"]\n\
          not_applied = [\"none\"]\nabsent_is_404 = {absent_is_404}"
     );
-    toml::from_str(&text).expect("good")
+    toml::from_str(&text).expect("valid partner settings")
 }
 
 #[test]
@@ -19,7 +19,7 @@
     let claim = |status: u16, body: &str| {
         parse_answer(
             &partner(false),
-            StatusCode::from_u16(status).expect("status"),
+            StatusCode::from_u16(status).expect("valid status code"),
             body.as_bytes(),
         )
     };
--- a/crates/relay/src/undeliverable_service/partner_query.rs
+++ b/crates/relay/src/undeliverable_service/partner_query.rs
@@ -1,4 +1,4 @@
-//! Queries of partners whether a message took effect: which are in progress, and how often a record is queried.
+//! Queries partners whether messages took effect, and limits the queries in progress and the rate per record.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,9 +13,9 @@
 use super::settings::Partner;
 use super::store_lifecycle::StoreLifecycle;
 
-/// The most queries in progress.
+/// Maximum number of queries in progress.
 const MAX_PARTNER_QUERIES: usize = 8;
-/// The least time between two queries on the same record, in microseconds.
+/// Minimum time between two queries for the same record, in microseconds.
 const PARTNER_QUERY_INTERVAL: Micros = 10_000_000;
 
 /// Whether a partner's answer can be expected.
@@ -23,7 +23,7 @@
 pub enum QueryState {
     /// An answer is awaited, or the query will be sent once others have ended.
     Awaited,
-    /// The partner was queried lately or cannot be queried, or the record cannot be read.
+    /// The partner was queried recently or cannot be queried, or the record cannot be read.
     NotPossible,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl<R: Runtime> PartnerQueries<R> {
-    /// No queries. Answers go to the event loop's channel.
+    /// Creates a set without queries. Answers are sent to `relay_events`, the event loop's channel.
     pub fn new(runtime: R, relay_events: mpsc::Sender<RelayEvent>, partners: Vec<Partner>) -> Self {
         PartnerQueries {
             runtime,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Queries the partner of a record, unless that is in progress or was done lately.
+    /// Queries the partner of a record, unless a query is in progress or was sent recently.
     pub fn query(
         &mut self,
         id: RecordId,
@@ -96,29 +96,29 @@
                 queried_at,
                 claim,
             };
-            // The event loop may have ended.
+            // Sending fails only if the event loop has ended; the answer is then not needed.
             drop(relay_events.send(RelayEvent::Undeliverable(event)).await);
         });
     }
 
-    /// A query has ended.
+    /// Marks the query for a record as ended.
     pub fn query_completed(&mut self, id: RecordId) {
         self.in_progress.remove(&id);
     }
 
-    /// Lets the partner of a record be queried at once.
+    /// Allows the next query for a record before the interval is over.
     pub fn forget(&mut self, id: RecordId) {
         self.queried_at.remove(&id);
     }
 
-    /// Whether a query on a record would have to wait for others to end.
+    /// Whether a query for a record would have to wait for others to end.
     pub fn is_at_limit(&self, id: RecordId) -> bool {
         self.in_progress.len() >= MAX_PARTNER_QUERIES && !self.in_progress.contains(&id)
     }
 }
 
-/// Whether a query was sent within the interval. One in the future was sent before the clock was set back, and is not
-/// recent.
+/// Whether a query was sent within the interval. A time in the future dates from before the clock was set back, and
+/// does not count as recent.
 fn is_recent(queried_at: Micros, now: Micros) -> bool {
     queried_at.saturating_add(PARTNER_QUERY_INTERVAL) > now && queried_at <= now
 }
--- a/crates/relay/src/undeliverable_service/reconciliation.rs
+++ b/crates/relay/src/undeliverable_service/reconciliation.rs
@@ -1,8 +1,8 @@
-//! Brings the store in line with the journal after the store was opened.
+//! Reconciles the store with the journal after the store was opened.
 //!
-//! Resends that the journal holds continue. A record that is being sent by the store's word but is not in the journal
-//! was most likely not begun; but a store whose newest change was torn or corrupt opens as it was before that change,
-//! and then the end of the resend may be missing. Its outcome is therefore unknown.
+//! Resends in the journal continue. A record in state `sending` whose resend is not in the journal was most likely not
+//! sent. But a store whose newest change was torn or corrupt opens in the state before that change, so the outcome of
+//! a resend that was sent may be missing. The outcome is therefore recorded as unknown.
 
 use policy::types::Micros;
 use runtime::Runtime;
@@ -13,10 +13,10 @@
 use super::resend::Resender;
 use super::resend_outcome::DeliveryResult;
 
-/// Records that are read at a time.
+/// Number of records read per page.
 const PAGE_RECORDS: usize = 200;
 
-/// Ends the resends that are not in flight, and counts those of each batch that are.
+/// Ends the resends that are not in flight, and sets the number of in-flight resends of each batch.
 pub fn reconcile<R: Runtime>(
     resender: &mut Resender<R>,
     batches: &mut BatchRunner<R>,
--- a/crates/relay/src/undeliverable_service/requests.rs
+++ b/crates/relay/src/undeliverable_service/requests.rs
@@ -14,22 +14,22 @@
 use super::resend::{Resend, ResendError, ResendRequest, Resender};
 use super::{RelayLoad, UndeliverableService};
 
-/// When a caller who finds too much in progress should retry.
+/// Delay in milliseconds after which a caller should retry if too many resends or queries are in progress.
 const BUSY_RETRY_AFTER_MS: u64 = 200;
 
 /// An operator's action on a record.
 struct ActionRequest {
     record: RecordId,
     action: RecordAction,
-    /// The operator.
-    who: String,
+    /// The operator's name.
+    operator: String,
     /// Precondition: the record's current version.
     version: Option<u32>,
     now: Micros,
 }
 
 impl<R: Runtime> UndeliverableService<R> {
-    /// Answers a front end. A record that it wants to be resent is added to `resends`.
+    /// Answers a request of a front end. A resend that it begins is added to `resends`.
     pub fn handle_request(
         &mut self,
         request: UndeliverableRequest,
@@ -64,7 +64,7 @@
                 let request = ActionRequest {
                     record,
                     action,
-                    who,
+                    operator: who,
                     version,
                     now,
                 };
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A batch whose state has changed continues at once.
+    /// Lets a batch whose state has changed continue immediately.
     fn run_soon_if_changed(&mut self, response: &UndeliverableResponse) {
         if matches!(response, UndeliverableResponse::Batch(_)) {
             self.next_poll_at = self.runtime.now();
@@ -141,8 +141,8 @@
         }
         let resend_request = ResendRequest {
             record: id,
-            sender: &format!("operator {}", request.who),
-            claimant: &request.who,
+            sender: &format!("operator {}", request.operator),
+            claimant: &request.operator,
             version: request.version,
         };
         match self.resender.begin(&resend_request, now) {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Carries out any action but a resend.
+    /// Carries out any action except a resend.
     fn change_record(&mut self, request: &ActionRequest) -> UndeliverableResponse {
         let id = request.record;
         let lease = self.resender.settings.claim_lease();
@@ -187,27 +187,28 @@
 
 impl ActionRequest {
     fn apply(&self, record: &mut Record, lease: Micros) -> Result<(), RecordError> {
-        let (who, version, now) = (self.who.as_str(), self.version, self.now);
+        let (operator, version, now) = (self.operator.as_str(), self.version, self.now);
         match self.action {
-            RecordAction::Claim => record.claim(who, version, now, lease),
-            RecordAction::Release => record.release(who, version, now),
+            RecordAction::Claim => record.claim(operator, version, now, lease),
+            RecordAction::Release => record.release(operator, version, now),
             RecordAction::Attest(claim) => {
-                let attester = Attester::Operator(who.into());
+                let attester = Attester::Operator(operator.into());
                 record.attest(attester, claim, now, version, now)
             }
             RecordAction::Discard => {
-                record.check_unclaimed(who, version, now)?;
+                record.check_unclaimed(operator, version, now)?;
                 record.resolve(Resolution::Discarded, now);
                 Ok(())
             }
-            RecordAction::QueryPartner => record.check_unclaimed(who, version, now),
+            RecordAction::QueryPartner => record.check_unclaimed(operator, version, now),
             // The resend itself changes the record.
             RecordAction::Resend => Ok(()),
         }
     }
 }
 
-/// Queries a record's partner for an operator, also if that was done lately. The error is the response.
+/// Queries a record's partner for an operator, even if the partner was queried recently. The error is the response to
+/// the operator.
 fn query_partner<R: Runtime>(
     resender: &mut Resender<R>,
     id: RecordId,
--- a/crates/relay/src/undeliverable_service/resend.rs
+++ b/crates/relay/src/undeliverable_service/resend.rs
@@ -1,4 +1,4 @@
-//! Resends of records: whether one may begin, which are in flight, and how each ends in the store.
+//! Resends of records: whether one may begin, which are in flight, and how each outcome is stored.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -21,15 +21,15 @@
 use super::submission::Submission;
 use crate::journal::{self, AcceptedMessage, ResendOrigin};
 
-/// A record is not resent sooner after its last delivery failed: the last call is cancelled only then, and has surely
-/// ended after this time.
+/// Minimum time between the failure of a record's delivery and its resend. The last call is cancelled only when the
+/// delivery fails, and has certainly ended after this time.
 const RESEND_SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// A message to hand to the policy once more.
+/// A message to submit to the policy again.
 pub struct Resend {
-    /// Its record and the number of the resend.
+    /// The message's record and the number of the resend.
     pub origin: ResendOrigin,
-    /// The message, whose deadline is not set.
+    /// The message. Its deadline is not set yet.
     pub message: AcceptedMessage,
 }
 
@@ -37,9 +37,9 @@
 pub struct ResendRequest<'a> {
     /// The record.
     pub record: RecordId,
-    /// What sends it, as its state names it: an operator, a batch or a rule.
+    /// The operator, batch or rule that sends the record, as the record's state names it.
     pub sender: &'a str,
-    /// Whose claim on the record permits the resend.
+    /// The name whose claim on the record permits the resend.
     pub claimant: &'a str,
     /// Precondition: the record's current version.
     pub version: Option<u32>,
@@ -56,15 +56,15 @@
     Refused(#[from] RecordError),
 }
 
-/// What came of recording how a resend ended.
-pub enum Recording {
-    /// The message is no resend in flight.
+/// The result of recording a resend's outcome.
+pub enum RecordingResult {
+    /// The message is not a resend in flight.
     NotPending,
-    /// The store could not be written. [`Resender::take_unsaved_outcomes`] gives it for another try.
+    /// The store could not be written. [`Resender::take_unsaved_outcomes`] returns the outcome for a retry.
     Unsaved,
-    /// The store has it.
+    /// The outcome is stored.
     Saved {
-        /// What had sent the record.
+        /// The operator, batch or rule that sent the record.
         sender: String,
         /// Whether the message was delivered.
         result: DeliveryResult,
@@ -74,21 +74,21 @@
 /// Begins resends and records their ends.
 pub struct Resender<R: Runtime> {
     runtime: R,
-    /// What the operator has set.
+    /// The undeliverable section of the operator file.
     pub settings: Settings,
-    /// The store.
+    /// The store of undeliverable messages.
     pub store: StoreLifecycle<R>,
     /// Queries of the records' partners.
     pub partner_queries: PartnerQueries<R>,
     pending: BTreeMap<MessageId, PendingResend>,
-    /// Ends of resends that could not be written to the store.
+    /// Outcomes of resends that could not be written to the store.
     unsaved_outcomes: BTreeMap<MessageId, ResendOutcome>,
-    /// Records whose last delivery has failed a moment ago, and until when they are not resent.
+    /// Records whose delivery failed less than [`RESEND_SETTLE_TIME`] ago, and the time before which they are not resent.
     settling_until: BTreeMap<RecordId, Instant>,
 }
 
 impl<R: Runtime> Resender<R> {
-    /// No resends.
+    /// Creates a resender without resends in flight.
     pub fn new(
         runtime: R,
         settings: Settings,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The conditions of a resend now.
+    /// The conditions under which records may be resent at the time `now`.
     pub fn policy(&self, now: Micros) -> ResendPolicy {
         ResendPolicy {
             now,
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Whether one more resend may be in flight, beside those that are about to begin.
+    /// Whether one more resend may be in flight, in addition to those that are about to begin.
     pub fn has_capacity(&self, beginning: &[Resend]) -> bool {
         self.in_flight() + beginning.len() < self.settings.max_concurrent_resends
     }
@@ -132,11 +132,11 @@
         self.pending.contains_key(&id)
     }
 
-    /// Marks a record as being sent and gives its message, if it may be resent.
+    /// Marks a record as being sent and returns its message, if it may be resent.
     ///
     /// # Errors
     ///
-    /// [`ResendError`] says why it may not.
+    /// [`ResendError`] if the record may not be resent or cannot be read.
     pub fn begin(
         &mut self,
         request: &ResendRequest<'_>,
@@ -196,8 +196,8 @@
             .is_some_and(|until| *until > now)
     }
 
-    /// Does what can be done about a record that may not be resent: queries its partner, or closes it. Says whether
-    /// the partner's answer may permit the resend soon.
+    /// Handles a record that may not be resent: queries its partner, or closes it, if that applies. Returns whether a
+    /// partner's answer may permit the resend soon.
     pub fn handle_refusal(
         &mut self,
         id: RecordId,
@@ -216,12 +216,12 @@
         }
     }
 
-    /// Queries a record's partner, unless that was done lately.
+    /// Queries a record's partner, unless it was queried recently.
     pub fn query_partner(&mut self, id: RecordId, now: Micros) -> QueryState {
         self.partner_queries.query(id, &mut self.store, now)
     }
 
-    /// Closes a record whose message took effect before, as its attestations say.
+    /// Closes a record if its attestations state that the message already took effect.
     pub fn close_if_applied(&mut self, id: RecordId, now: Micros) {
         let policy = self.policy(now);
         self.store.access(|store| {
@@ -235,7 +235,7 @@
         });
     }
 
-    /// The journal has accepted a resend under this number.
+    /// Records that the journal has accepted a resend as message `id`.
     pub fn resend_started(&mut self, id: MessageId, origin: ResendOrigin, name: &str) {
         let mut pending = PendingResend {
             origin,
@@ -253,7 +253,7 @@
         self.pending.insert(id, pending);
     }
 
-    /// A resend of the journal continues after a restart.
+    /// Continues a resend from the journal after a restart.
     pub fn resend_restored(
         &mut self,
         id: MessageId,
@@ -261,7 +261,7 @@
         name: &str,
         now: Micros,
     ) {
-        // The journal is right where the store has lost its newest changes.
+        // If the store has lost its newest changes, the journal is authoritative.
         self.store.access(|store| {
             store.update(origin.record, |record| {
                 if record.origin.name == name {
@@ -273,8 +273,8 @@
         self.resend_started(id, origin, name);
     }
 
-    /// Reopens the record of a resend that could not be handed over. Returns what had sent it; none if the record
-    /// cannot be changed.
+    /// Reopens the record of a resend that was rejected or that the journal did not accept. Returns the resend's sender;
+    /// none if the record cannot be changed.
     pub fn abort(&mut self, origin: &ResendOrigin) -> Option<String> {
         let aborted = self.store.access(|store| {
             store.update(origin.record, |record| {
@@ -289,7 +289,7 @@
         aborted.flatten()?.ok()
     }
 
-    /// Whether the store has the end of a resend already, so that it must not be made again.
+    /// Whether the outcome of a resend is already stored, so that the resend must not be repeated.
     pub fn is_ended(&mut self, origin: &ResendOrigin, name: &str) -> bool {
         let record = self.store.access(|store| store.find(origin.record));
         record.flatten().is_some_and(|record| {
@@ -301,16 +301,16 @@
         })
     }
 
-    /// Writes the end of a resend to its record.
+    /// Writes the outcome of a resend to its record.
     pub fn record_outcome(
         &mut self,
         id: MessageId,
         outcome: ResendOutcome,
         now: Micros,
         submission: &mut Submission<R>,
-    ) -> Recording {
+    ) -> RecordingResult {
         let Some(pending) = self.pending.get(&id).cloned() else {
-            return Recording::NotPending;
+            return RecordingResult::NotPending;
         };
         let record = pending.origin.record;
         let result = outcome.result();
@@ -321,8 +321,8 @@
         });
         match written {
             Some(Ok(Some(Ok(RecordMatch::SameMessage)))) => {}
-            // The record cannot be read, or is gone with a quarantined store: what is known of the message is stored
-            // as a new record.
+            // The record cannot be read, or was in a store that is quarantined: the message is stored as a new record,
+            // with the attempts that are known.
             Some(Ok(_) | Err(StoreError::Unreadable(_))) => {
                 if let ResendOutcome::Failed(failed) = outcome {
                     submission.add(failed.replacement);
@@ -335,18 +335,18 @@
                     self.store.mark_unavailable(&error);
                 }
                 self.unsaved_outcomes.insert(id, outcome);
-                return Recording::Unsaved;
+                return RecordingResult::Unsaved;
             }
         }
         self.pending.remove(&id);
         self.settle(&[record]);
-        // An earlier answer of the partner says nothing about this resend.
+        // An earlier answer of the partner does not cover this resend.
         self.partner_queries.forget(record);
         let sender = pending.sender;
-        Recording::Saved { sender, result }
+        RecordingResult::Saved { sender, result }
     }
 
-    /// The ends of resends that could not be written to the store, in the order of their messages.
+    /// Takes the outcomes that could not be written to the store, in the order of their message ids.
     pub fn take_unsaved_outcomes(&mut self) -> BTreeMap<MessageId, ResendOutcome> {
         std::mem::take(&mut self.unsaved_outcomes)
     }
@@ -359,7 +359,7 @@
             .collect()
     }
 
-    /// What has sent each of the resends in flight.
+    /// The sender of each resend in flight.
     pub fn senders(&self) -> impl Iterator<Item = &str> {
         self.pending.values().map(|pending| pending.sender.as_str())
     }
@@ -372,7 +372,8 @@
     origin: Origin,
 }
 
-/// Marks a record as being sent. It is checked in the same transaction, as it may have changed since it was read.
+/// Marks a record as being sent. The record is checked in the same transaction, as it may have changed since it was
+/// read.
 fn begin_record(
     record: &mut Record,
     request: &ResendRequest<'_>,
--- a/crates/relay/src/undeliverable_service/resend_outcome.rs
+++ b/crates/relay/src/undeliverable_service/resend_outcome.rs
@@ -1,4 +1,4 @@
-//! A resend in flight, how it ends, and what its end changes in its record.
+//! A resend in flight, its outcome, and the effect of the outcome on the record.
 
 use policy::types::Micros;
 use undeliverable::record::Resolution;
@@ -7,7 +7,7 @@
 use super::submission::UnsavedRecord;
 use crate::journal::ResendOrigin;
 
-/// Whether a resend has delivered its message.
+/// Whether a resend delivered its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryResult {
     /// The message was delivered.
@@ -38,27 +38,27 @@
 /// A resend that ended without delivery.
 #[derive(Clone, Debug)]
 pub struct FailedResend {
-    /// Its attempts.
+    /// The attempts of the resend.
     pub attempts: Vec<Attempt>,
-    /// Why it failed; none if it was handed back before that.
+    /// Why the resend failed; none if it was deferred before it failed.
     pub reason: Option<Reason>,
-    /// What to store if the record is gone.
+    /// The record to store if the original record is gone or unreadable.
     pub replacement: UnsavedRecord,
 }
 
 /// A resend in flight.
 #[derive(Clone)]
 pub struct PendingResend {
-    /// Its record and its number.
+    /// The record and the number of the resend.
     pub origin: ResendOrigin,
-    /// What has sent it: an operator, a batch or a rule. Empty if the store does not say.
+    /// The operator, batch or rule that sent the record. Empty if the store does not contain it.
     pub sender: String,
-    /// The message's name. A store that replaced a quarantined one gives the same number to another record.
+    /// The message's name. A store that replaces a quarantined one may give the record's number to another message.
     pub message_name: String,
 }
 
 impl PendingResend {
-    /// Whether a record is the one that is being resent, and its resend has not ended.
+    /// Whether `record` is the record of this resend, and the resend has not ended.
     pub fn is_of(&self, record: &Record) -> bool {
         let is_sending = matches!(record.state, RecordState::Sending { .. });
         let is_same_resend = record.resends == self.origin.number;
@@ -66,17 +66,17 @@
     }
 }
 
-/// Whether the record under a resend's number is that of its message.
+/// Whether the record with the number that a resend names belongs to the resent message.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum RecordMatch {
-    /// It is.
+    /// The record belongs to the resent message.
     SameMessage,
-    /// The number belongs to another message now.
+    /// The record belongs to another message.
     OtherMessage,
 }
 
-/// Applies the end of a resend to a record. A record of the same message that is in another resend, or closed, has
-/// this end from before a restart, and stays as it is.
+/// Applies the outcome of a resend to a record. A record of the same message that is closed or in another resend
+/// already received this outcome before a restart, and is not changed.
 pub fn apply_outcome(
     record: &mut Record,
     pending: &PendingResend,
--- a/crates/relay/src/undeliverable_service/rule_runner.rs
+++ b/crates/relay/src/undeliverable_service/rule_runner.rs
@@ -1,4 +1,4 @@
-//! Rules: resends records by themselves, once their partners have recovered or after a delay.
+//! Resends records by rules, without an operator: once their partners have recovered, or after a delay.
 
 use policy::types::{AttemptOutcome, Micros};
 use runtime::Runtime;
@@ -10,19 +10,19 @@
 use super::resend::{Resend, ResendRequest, Resender};
 use super::settings::Settings;
 
-/// The most records that one run examines.
+/// Maximum number of records that one run examines.
 const MAX_EXAMINED_RECORDS: usize = 64;
 
-/// The rules, and how far they have examined the store.
+/// The rules, and the position up to which they have examined the store.
 pub struct RuleRunner {
     rules: Rules,
     partners: PartnerHealth,
-    /// The last record that was examined; zero starts over.
+    /// The last record that was examined; zero if the next run begins with the first record.
     last_examined: RecordId,
 }
 
 impl RuleRunner {
-    /// The rules of the settings.
+    /// Creates a runner with the rules of the settings.
     pub fn new(settings: &Settings) -> Self {
         RuleRunner {
             rules: Rules::new(settings.rules()),
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Starts over with the first record.
+    /// Lets the next run begin with the first record.
     pub fn restart_scan(&mut self) {
         self.last_examined = 0;
     }
 
-    /// An attempt of a message that is no resend has ended.
+    /// Records the outcome of an attempt of a message that is not a resend.
     pub fn attempt_ended(&mut self, destination: u16, outcome: AttemptOutcome, now: Micros) {
         if !self.rules.is_empty() {
             let is_delivered = outcome == AttemptOutcome::Delivered;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Resends a record if a rule wants it and it is permitted.
+    /// Resends a record if a rule matches and the resend is permitted.
     fn resend_record<R: Runtime>(
         &mut self,
         id: RecordId,
@@ -85,7 +85,7 @@
             return None;
         }
         let rule = self.rules.matching_rule(record, &self.partners, now)?;
-        // Checked first, so that a record that may not be resent does not use up the rule's rate.
+        // Checked first, so that a record that may not be resent does not consume the rule's rate.
         if let Err(blocked) = check_resend(record, &resender.policy(now)) {
             resender.handle_refusal(id, &RecordError::ResendBlocked(blocked), now);
             return None;
--- a/crates/relay/src/undeliverable_service/settings.rs
+++ b/crates/relay/src/undeliverable_service/settings.rs
@@ -13,15 +13,15 @@
 
 pub use error::SettingsError;
 
-/// The most partners that may be set.
+/// Maximum number of partners.
 const MAX_PARTNERS: usize = 10_000;
-/// The most rules that may be set.
+/// Maximum number of rules.
 const MAX_RULES: usize = 100;
-/// The longest path and query of a partner, in bytes.
+/// Maximum length of a partner's path and query, in bytes.
 const MAX_PATH_BYTES: usize = 256;
-/// The longest name of a rule, in bytes.
+/// Maximum length of a rule's name, in bytes.
 const MAX_RULE_NAME_BYTES: usize = 64;
-/// The largest limit of the store, in mebibytes: a tebibyte.
+/// Maximum value of the store's size limits, in mebibytes: one tebibyte.
 const MAX_STORE_MB: f64 = 1_048_576.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 const SECONDS_PER_YEAR: f64 = 31_536_000.0;
@@ -33,7 +33,7 @@
 pub struct Settings {
     /// The directory of the store, which exists and which no other relay uses.
     pub folder: String,
-    /// Whether records survive a crash of the machine, and not only one of the process.
+    /// Whether records survive a crash of the machine, and not only a crash of the process.
     #[serde(default)]
     pub sync: bool,
     #[serde(default = "max_mb")]
@@ -44,10 +44,10 @@
     max_records: u64,
     #[serde(default = "max_age_days")]
     max_age_days: u64,
-    /// The most resends in flight.
+    /// Maximum number of resends in flight.
     #[serde(default = "max_concurrent_resends", rename = "at_once")]
     pub max_concurrent_resends: usize,
-    /// The most resends of one record.
+    /// Maximum number of resends per record.
     #[serde(default = "max_resends")]
     pub max_resends: u32,
     #[serde(default = "settle_s")]
@@ -58,15 +58,15 @@
     key_expiry_margin_s: f64,
     #[serde(default = "claim_lease_s", rename = "lease_s")]
     claim_lease_s: f64,
-    /// Partners that can be queried whether a message took effect.
+    /// Partners that can be queried about whether a message took effect.
     #[serde(default)]
     pub partners: Vec<Partner>,
     #[serde(default)]
     rules: Vec<RuleSettings>,
 }
 
-/// How a partner is queried whether a message took effect: `GET` at an address, answered with JSON. Errors of the
-/// parser show the name of this type.
+/// How a partner is queried whether a message took effect: an HTTP `GET` request that is answered with JSON. Errors of
+/// the parser show the name of this type.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Partner {
@@ -76,15 +76,15 @@
     pub address: SocketAddr,
     /// Path and query; `{id}` stands for the message's name, `{key}` for its idempotency key.
     pub path: String,
-    /// The member of the answer's object with the state.
+    /// The member of the answer's JSON object that contains the message's state.
     #[serde(default = "field")]
     pub field: String,
-    /// Its values that mean that the message took effect.
+    /// Values of [`Partner::field`] that mean that the message took effect.
     pub applied: Vec<String>,
-    /// Its values that mean that the message did not take effect and will not.
+    /// Values of [`Partner::field`] that mean that the message did not take effect and will not.
     #[serde(default)]
     pub not_applied: Vec<String>,
-    /// Whether status 404 means that the message did not take effect and will not; it means nothing otherwise.
+    /// Whether status 404 means that the message did not take effect and will not; if false, status 404 is no answer.
     #[serde(default)]
     pub absent_is_404: bool,
     #[serde(default = "timeout_ms")]
@@ -108,7 +108,7 @@
     resends: u32,
 }
 
-/// What triggers a rule. The name in error messages stays as it was.
+/// What triggers a rule. Errors of the parser show the name in `expecting`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase", expecting = "enum Moment")]
 enum TriggerSettings {
@@ -139,7 +139,7 @@
 }
 
 impl Settings {
-    /// What the store holds before records are evicted.
+    /// The limits of the store beyond which records are evicted.
     pub fn store_limits(&self) -> StoreLimits {
         StoreLimits {
             bytes: self.max_mb << 20,
@@ -149,7 +149,7 @@
         }
     }
 
-    /// How long after it was sent an attempt may still be executing.
+    /// How long after its start an attempt may still be executing.
     pub fn settle_time(&self) -> Micros {
         micros(self.settle_s)
     }
@@ -164,7 +164,7 @@
         micros(self.key_expiry_margin_s)
     }
 
-    /// How long an operator's claim on a record holds.
+    /// How long an operator's claim on a record is valid.
     pub fn claim_lease(&self) -> Micros {
         micros(self.claim_lease_s)
     }
@@ -174,7 +174,7 @@
         self.rules.iter().map(RuleSettings::rule).collect()
     }
 
-    /// Checks all values, in the order of the section.
+    /// Checks all values, in the order of the fields.
     ///
     /// # Errors
     ///
@@ -233,7 +233,7 @@
 }
 
 impl Partner {
-    /// Longest wait for the whole answer.
+    /// Maximum time until the whole answer is received.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
@@ -310,7 +310,7 @@
     text.starts_with('/') && text.len() <= MAX_PATH_BYTES && is_graphic
 }
 
-/// Checks that a number is within its bounds; NaN never is.
+/// Checks that a number is within its bounds. NaN is rejected.
 fn check_range(key: &str, value: f64, min: f64, max: f64) -> Result<(), SettingsError> {
     if (min..=max).contains(&value) {
         return Ok(());
--- a/crates/relay/src/undeliverable_service/settings/error.rs
+++ b/crates/relay/src/undeliverable_service/settings/error.rs
@@ -1,43 +1,43 @@
-//! Why the undeliverable section of an operator file cannot be used.
+//! Errors of the undeliverable section of an operator file.
 
 use thiserror::Error;
 
-/// A value of the undeliverable section that cannot be used. Each message is one plain line for the operator.
+/// A value of the undeliverable section that cannot be used. Each message is a single line for the operator.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A number is out of its range, or not a number at all.
-    #[error("undeliverable.{key} is not from {min} to {max}")]
+    /// A number is out of its range, or NaN.
+    #[error("undeliverable.{key} must be from {min} to {max}")]
     OutOfRange {
-        /// The key, after the entry that it belongs to.
+        /// The key, preceded by the entry that contains it.
         key: String,
-        /// The least value.
+        /// The smallest permitted value.
         min: f64,
-        /// The largest value.
+        /// The largest permitted value.
         max: f64,
     },
     /// The store's directory is not named by an absolute path.
-    #[error("undeliverable.folder: {folder:?} is no absolute path")]
+    #[error("undeliverable.folder: {folder:?} is not an absolute path")]
     RelativeFolder {
         /// The value.
         folder: String,
     },
     /// There are too many partners or rules.
-    #[error("undeliverable: over {max_partners} partners or {max_rules} rules are too many")]
+    #[error("undeliverable: more than {max_partners} partners or {max_rules} rules")]
     TooManyEntries {
-        /// The most partners.
+        /// Maximum number of partners.
         max_partners: usize,
-        /// The most rules.
+        /// Maximum number of rules.
         max_rules: usize,
     },
-    /// A partner's path cannot be requested, or does not name the message.
+    /// A partner's path is not valid in a request, or does not contain the message's name.
     #[error(
-        "undeliverable.partners: destination {destination}: path is no path with {{id}} in it"
+        "undeliverable.partners: destination {destination}: path is not a request path that contains {{id}}"
     )]
     InvalidPath {
         /// The partner's destination.
         destination: u16,
     },
-    /// A partner's answers have no meaning, or two.
+    /// No value means that a message took effect, or a value has both meanings.
     #[error(
         "undeliverable.partners: destination {destination}: applied is empty, or shares a value with not_applied"
     )]
@@ -54,14 +54,14 @@
     /// A rule's name is empty or too long.
     #[error("undeliverable.rules: a name is empty or over 64 bytes")]
     InvalidRuleName,
-    /// A rule that waits does not say how long.
+    /// A rule with a delay does not set its length.
     #[error("undeliverable.rules: {rule}: after_s is missing")]
     MissingDelay {
         /// The rule's name.
         rule: String,
     },
-    /// A rule that does not wait says how long.
-    #[error("undeliverable.rules: {rule}: after_s goes with when = \"after\"")]
+    /// A rule without a delay sets its length.
+    #[error("undeliverable.rules: {rule}: after_s is only valid with when = \"after\"")]
     UnusedDelay {
         /// The rule's name.
         rule: String,
--- a/crates/relay/src/undeliverable_service/settings/tests.rs
+++ b/crates/relay/src/undeliverable_service/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Checks of the undeliverable section of the operator file.
+//! Tests of the undeliverable section of the operator file.
 
 use super::Settings;
 
@@ -6,7 +6,7 @@
     toml::from_str(text)
 }
 
-/// The text that an operator reads about a section that cannot be used.
+/// The error message for a section that cannot be used.
 fn error_of(text: &str) -> String {
     match parse(text) {
         Err(error) => error.to_string(),
@@ -16,8 +16,8 @@
 
 #[test]
 fn error_names_the_invalid_key_and_absent_keys_have_defaults() {
-    let good = parse("folder = \"/x\"").expect("good");
-    good.check().expect("good");
+    let good = parse("folder = \"/x\"").expect("valid section");
+    good.check().expect("valid settings");
     assert_eq!(
         (
             good.max_concurrent_resends,
--- a/crates/relay/src/undeliverable_service/store_lifecycle.rs
+++ b/crates/relay/src/undeliverable_service/store_lifecycle.rs
@@ -11,21 +11,22 @@
 
 use super::settings::Settings;
 
-/// The store's file, in the directory of the settings.
+/// Name of the store's file in the configured directory.
 const STORE_FILE: &str = "undeliverable.redb";
 /// How long a store that cannot be used stays closed before it is opened again.
 const REOPEN_INTERVAL: Duration = Duration::from_secs(1);
-/// How often records beyond the limits are evicted.
+/// Interval at which records beyond the limits are evicted.
 const EVICTION_INTERVAL: Duration = Duration::from_secs(2);
-/// The most records that one eviction removes, so that it does not hold up the event loop.
+/// Maximum number of records that one eviction removes, so that it does not block the event loop for long.
 const EVICTION_BATCH: usize = 500;
-/// The most corrupt stores that a process quarantines. Beyond that nothing is stored until an operator has looked.
+/// Maximum number of corrupt stores that a process quarantines. Beyond it nothing is stored until an operator
+/// intervenes.
 const MAX_QUARANTINED_STORES: u32 = 4;
-/// Why the store cannot be used, if no error says more.
+/// Reason reported for an unavailable store if there is no error message.
 const UNAVAILABLE: &str = "the store can't be used";
 
 /// The result of opening the store.
-pub enum Opening {
+pub enum OpenResult {
     /// The store can be used; these are its batches.
     Opened(Vec<Batch>),
     /// The store cannot be used for now.
@@ -34,7 +35,7 @@
     Quarantined,
 }
 
-/// The store, which may be unavailable, and when it is due for maintenance.
+/// The store, which may be unavailable, and the times of its next reopening and eviction.
 pub struct StoreLifecycle<R: Runtime> {
     runtime: R,
     path: PathBuf,
@@ -49,7 +50,7 @@
 }
 
 impl<R: Runtime> StoreLifecycle<R> {
-    /// A store that has yet to be opened.
+    /// Creates the lifecycle of a store that is not open yet.
     pub fn new(runtime: R, settings: &Settings) -> Self {
         let now = runtime.now();
         StoreLifecycle {
@@ -65,7 +66,7 @@
     }
 
     /// Opens the store, and quarantines one that is corrupt.
-    pub fn open(&mut self) -> Opening {
+    pub fn open(&mut self) -> OpenResult {
         self.reopen_at = self.runtime.now() + REOPEN_INTERVAL;
         match self.read_store() {
             Ok((store, batches)) => {
@@ -73,13 +74,13 @@
                 if self.error.take().is_some() {
                     log!(self.runtime, "undeliverable: store_recovered");
                 }
-                Opening::Opened(batches)
+                OpenResult::Opened(batches)
             }
             Err(error) => {
                 self.mark_unavailable(&error);
                 match error {
                     StoreError::Corrupt(_) => self.quarantine(),
-                    _ => Opening::Failed,
+                    _ => OpenResult::Failed,
                 }
             }
         }
@@ -95,11 +96,11 @@
         Ok((store, batches))
     }
 
-    /// Renames a corrupt store, so that its file stays for analysis and a new one can be created. Nothing in it can be
-    /// relied on. Resends in flight will find their records gone.
-    fn quarantine(&mut self) -> Opening {
+    /// Renames a corrupt store, so that its file is kept for analysis and a new one can be created. Its contents are not
+    /// trusted, so the records of resends in flight are missing from the new store.
+    fn quarantine(&mut self) -> OpenResult {
         if self.quarantined_stores >= MAX_QUARANTINED_STORES {
-            return Opening::Failed;
+            return OpenResult::Failed;
         }
         self.quarantined_stores += 1;
         let extension = format!("spoilt-{}", self.runtime.unix_time().as_secs());
@@ -109,14 +110,14 @@
                 self.runtime,
                 "undeliverable: store_not_quarantined error={error}"
             );
-            return Opening::Failed;
+            return OpenResult::Failed;
         }
         log!(
             self.runtime,
             "undeliverable: store_quarantined path={}",
             quarantine_path.display()
         );
-        Opening::Quarantined
+        OpenResult::Quarantined
     }
 
     /// Whether the store can be used.
@@ -146,8 +147,8 @@
         self.error = Some(error.to_string());
     }
 
-    /// Reads or writes the store. None after an error, which has been logged; one that concerns the store as a whole
-    /// closes it.
+    /// Reads or writes the store. Returns none after an error, which is logged. An error of the store as a whole closes
+    /// the store; an unreadable record does not.
     pub fn access<T>(
         &mut self,
         operation: impl FnOnce(&Store) -> Result<T, StoreError>,
--- a/crates/relay/src/undeliverable_service/submission.rs
+++ b/crates/relay/src/undeliverable_service/submission.rs
@@ -1,4 +1,4 @@
-//! Undeliverable messages on their way to the store.
+//! Queue of undeliverable messages that are not stored yet.
 
 use bytes::Bytes;
 use runtime::{log, Runtime};
@@ -6,15 +6,15 @@
 
 use super::store_lifecycle::StoreLifecycle;
 
-/// The most records that wait for an unavailable store. Beyond that the oldest is dropped and counted.
+/// Maximum number of records that wait for an unavailable store. Beyond it the oldest is dropped and counted.
 const MAX_UNSAVED_RECORDS: usize = 1000;
 /// One of this many dropped records is logged.
 const DROPPED_RECORDS_PER_LOG_LINE: u64 = 100;
 
-/// A record that the store does not have yet.
+/// A record that is not stored yet.
 #[derive(Clone, Debug)]
 pub struct UnsavedRecord {
-    /// The record.
+    /// The record to store.
     pub record: Record,
     /// The body of its message.
     pub body: Bytes,
@@ -28,7 +28,7 @@
 }
 
 impl<R: Runtime> Submission<R> {
-    /// No records.
+    /// Creates an empty queue.
     pub fn new(runtime: R) -> Self {
         Submission {
             runtime,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Writes all records to the store, if it can be used. Returns their numbers.
+    /// Writes all records to the store, if it is available. Returns their numbers; none if nothing was written.
     pub fn flush(&mut self, store: &mut StoreLifecycle<R>) -> Vec<RecordId> {
         if self.unsaved_records.is_empty() || !store.is_available() {
             return Vec::new();
@@ -74,7 +74,7 @@
         numbers
     }
 
-    /// Records that could not be stored and are lost.
+    /// Number of records that could not be stored and are lost.
     pub fn dropped_records(&self) -> u64 {
         self.dropped_records
     }
