--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,11 +1,11 @@
 //! The administration API: HTTP and JSON on a listener of its own.
 //!
-//! It sends [`relay_events`] requests to the event loop and waits for the responses. [`tenancy`] and the relay implement
-//! the changes; the API authenticates, authorizes, and translates between HTTP and those requests.
+//! It sends [`relay_events`] requests to the event loop and waits for the responses. [`tenancy`] and the relay
+//! implement the changes; the API authenticates, authorizes, and translates between HTTP and those requests.
 //!
-//! Each resource has a module: [`tenants`], [`secrets`], [`audit`], [`status`] and [`undeliverable`]. They use the shared
-//! modules (authentication, preconditions, paging, problems), which depend on none of them; [`router`] combines their
-//! routes.
+//! Each resource has a module: [`tenants`], [`secrets`], [`audit`], [`status`] and [`undeliverable`]. They use the
+//! shared modules (authentication, preconditions, paging, problems), which depend on none of them; [`router`] combines
+//! their routes.
 
 mod audit;
 mod auth;
--- a/crates/admin/src/query.rs
+++ b/crates/admin/src/query.rs
@@ -11,7 +11,8 @@
 
 /// The query parameters of a request, or the error of parsing them.
 ///
-/// The error is not the extractor's rejection, so that a handler can authorize the principal before it reports the error.
+/// The error is not the extractor's rejection, so that a handler can authorize the principal before it reports
+/// the error.
 pub struct QueryParameters<T>(Result<Query<T>, QueryRejection>);
 
 impl<T> QueryParameters<T> {
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -27,7 +27,8 @@
     /// The sender of the request.
     pub principal: Principal,
     headers: HeaderMap,
-    /// Digest of method, target, preconditions and body. Requests with the same idempotency key must have the same digest.
+    /// Digest of method, target, preconditions and body. Requests with the same idempotency key must have the same
+    /// digest.
     digest: Digest,
     id: String,
     body: Bytes,
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -103,8 +103,8 @@
     /// Maximum number of open connections; a further one is closed immediately.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Maximum sustained rate of requests. A burst may use up to two seconds of this rate. Requests beyond the limit are
-    /// answered with status 429.
+    /// Maximum sustained rate of requests. A burst may use up to two seconds of this rate. Requests beyond the limit
+    /// are answered with status 429.
     #[serde(default = "default_requests_per_second")]
     pub requests_per_second: f64,
     /// The bearer tokens that are accepted.
--- a/crates/admin/src/undeliverable/filter.rs
+++ b/crates/admin/src/undeliverable/filter.rs
@@ -32,7 +32,8 @@
 }
 
 impl RecordFilter {
-    /// Converts to the store's filter, limited to records that the principal may see and, if given, to records in `state`.
+    /// Converts to the store's filter, limited to records that the principal may see and, if given, to records in
+    /// `state`.
     ///
     /// # Errors
     ///
--- a/crates/relay/src/tenant_service/audit_log.rs
+++ b/crates/relay/src/tenant_service/audit_log.rs
@@ -49,8 +49,8 @@
 }
 
 impl<R: Runtime> AuditLog<R> {
-    /// Opens the log, and appends the `changes` that it lacks: those committed to the replicas shortly before an earlier
-    /// process ended.
+    /// Opens the log, and appends the `changes` that it lacks: those committed to the replicas shortly before an
+    /// earlier process ended.
     ///
     /// # Errors
     /// [`TenantsError::File`] if the current file cannot be opened or read.
--- a/crates/relay/src/tenant_service/mod.rs
+++ b/crates/relay/src/tenant_service/mod.rs
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Counts a message that was accepted before a restart. Returns the number of its tenant; none if a hosted tenant is
-    /// unknown.
+    /// Counts a message that was accepted before a restart. Returns the number of its tenant; none if a hosted tenant
+    /// is unknown.
     pub fn message_restored(&mut self, reference: &str) -> Option<TenantId> {
         match self {
             // A tenant that was removed from the settings has no share, but its messages still have to be finished.
--- a/crates/relay/src/tenant_service/replica_rewrite.rs
+++ b/crates/relay/src/tenant_service/replica_rewrite.rs
@@ -1,5 +1,5 @@
-//! The rewrite of both replica files as a snapshot followed by the changes since. It runs in slices, so that it does not
-//! block the event loop for long.
+//! The rewrite of both replica files as a snapshot followed by the changes since. It runs in slices, so that it does
+//! not block the event loop for long.
 
 use std::io;
 
@@ -113,8 +113,8 @@
 }
 
 impl<F: File> Replacement<F> {
-    /// Writes a slice of the snapshot. The last slice replaces the replica, and returns the replacement of the next one.
-    /// Its index equals the number of replicas once all are replaced.
+    /// Writes a slice of the snapshot. The last slice replaces the replica, and returns the replacement of the next
+    /// one. Its index equals the number of replicas once all are replaced.
     fn run_slice<R: Runtime<File = F>>(
         mut self,
         runtime: &R,
--- a/crates/relay/src/undeliverable_service/resend.rs
+++ b/crates/relay/src/undeliverable_service/resend.rs
@@ -83,7 +83,8 @@
     pending: BTreeMap<MessageId, PendingResend>,
     /// Outcomes of resends that could not be written to the store.
     unsaved_outcomes: BTreeMap<MessageId, ResendOutcome>,
-    /// Records whose delivery failed less than [`RESEND_SETTLE_TIME`] ago, and the time before which they are not resent.
+    /// Records whose delivery failed less than [`RESEND_SETTLE_TIME`] ago, and the time before which they are not
+    /// resent.
     settling_until: BTreeMap<RecordId, Instant>,
 }
 
@@ -273,8 +274,8 @@
         self.resend_started(id, origin, name);
     }
 
-    /// Reopens the record of a resend that was rejected or that the journal did not accept. Returns the resend's sender;
-    /// none if the record cannot be changed.
+    /// Reopens the record of a resend that was rejected or that the journal did not accept. Returns the resend's
+    /// sender; none if the record cannot be changed.
     pub fn abort(&mut self, origin: &ResendOrigin) -> Option<String> {
         let aborted = self.store.access(|store| {
             store.update(origin.record, |record| {
--- a/crates/relay/src/undeliverable_service/store_lifecycle.rs
+++ b/crates/relay/src/undeliverable_service/store_lifecycle.rs
@@ -96,8 +96,8 @@
         Ok((store, batches))
     }
 
-    /// Renames a corrupt store, so that its file is kept for analysis and a new one can be created. Its contents are not
-    /// trusted, so the records of resends in flight are missing from the new store.
+    /// Renames a corrupt store, so that its file is kept for analysis and a new one can be created. Its contents are
+    /// not trusted, so the records of resends in flight are missing from the new store.
     fn quarantine(&mut self) -> OpenResult {
         if self.quarantined_stores >= MAX_QUARANTINED_STORES {
             return OpenResult::Failed;
