--- a/crates/jobs/src/budget.rs
+++ b/crates/jobs/src/budget.rs
@@ -1,8 +1,8 @@
-//! What a class of priority may use, and what remains of it.
+//! Resource budgets of the priority classes, and what remains of them.
 
 use crate::time::{Micros, MICROS_PER_SECOND};
 
-/// What a class may use.
+/// The resources that a priority class may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
     /// The class's share of processor time relative to the other classes' weights; 1 or more.
@@ -15,18 +15,18 @@
     pub calls: u64,
 }
 
-/// What a slice used.
+/// The resources that a slice used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
     /// Processor time, in microseconds.
     pub time: Micros,
-    /// Bytes.
+    /// Bytes, as counted by the caller.
     pub bytes: u64,
-    /// Calls.
+    /// Calls, as counted by the caller.
     pub calls: u64,
 }
 
-/// What remains of a class's budget; negative after a slice that used more than it was given.
+/// What remains of a class's budget. Values are negative after a slice that used more than remained.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RemainingBudget {
     /// Deficit of the round robin between classes, in microseconds: the class may run while it is positive.
@@ -48,19 +48,19 @@
         }
     }
 
-    /// Whether something is left of time, bytes and calls each.
+    /// Whether time, bytes and calls all remain.
     pub(crate) fn allows_slice(&self) -> bool {
         self.time > 0 && self.bytes > 0 && self.calls > 0
     }
 
-    /// Adds what the budget grants for `elapsed` microseconds, a second at most, up to one second's worth.
+    /// Adds the budget for `elapsed` microseconds, at most 1,000,000. No value exceeds the budget of one second.
     pub(crate) fn refill(&mut self, budget: &Budget, elapsed: Micros) {
         self.time = refilled(self.time, budget.time, elapsed);
         self.bytes = refilled(self.bytes, budget.bytes, elapsed);
         self.calls = refilled(self.calls, budget.calls, elapsed);
     }
 
-    /// Subtracts what a slice used. An overrun is made up for later, but for one second's worth at most.
+    /// Subtracts what a slice used. An overrun delays later slices, but is limited to the budget of one second.
     pub(crate) fn charge(&mut self, budget: &Budget, usage: ResourceUsage) {
         self.deficit = charged(self.deficit, usage.time.max(1), MICROS_PER_SECOND);
         self.time = charged(self.time, usage.time, budget.time);
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -5,14 +5,14 @@
 use crate::job_spec::JobSpec;
 use crate::time::Micros;
 
-/// Largest checkpoint, in bytes.
+/// Maximum size of a checkpoint, in bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 4096;
-/// Backoff before the second attempt of a slice, in microseconds; it doubles with each further attempt.
+/// Backoff before the second attempt of a slice, in microseconds. It doubles with each further attempt.
 pub const MIN_RETRY_BACKOFF: Micros = 1_000_000;
-/// Longest backoff before an attempt, in microseconds.
+/// Maximum backoff before an attempt, in microseconds.
 pub const MAX_RETRY_BACKOFF: Micros = 600_000_000;
 
-/// Keeps the doubled backoff within 64 bits; [`MAX_RETRY_BACKOFF`] is reached far earlier.
+/// Limits the shift so that it fits in 64 bits; [`MAX_RETRY_BACKOFF`] is reached much earlier.
 const MAX_BACKOFF_DOUBLINGS: u32 = 32;
 
 /// The state of a job.
@@ -23,23 +23,23 @@
         /// When the next slice may start.
         until: Micros,
     },
-    /// A slice runs.
+    /// A slice of the job is running.
     Running,
-    /// No slice starts until the job is resumed.
+    /// Paused by an operator: no slice starts until the job is resumed.
     Paused,
     /// All work of the job is done.
     Completed {
         /// When its last slice ended.
         at: Micros,
     },
-    /// The job has failed.
+    /// The job failed and does not run again.
     Failed(FailureCause),
     /// An operator cancelled the job.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether the job never runs again.
+    /// Whether the job is finished and never runs again.
     #[must_use]
     pub fn is_terminal(&self) -> bool {
         matches!(
@@ -54,18 +54,18 @@
 pub enum FailureCause {
     /// A slice failed in as many attempts as the specification allows.
     AttemptsExhausted,
-    /// A job that it depends on failed or was cancelled.
+    /// A dependency of the job failed or was cancelled.
     DependencyFailed,
     /// The process ended during a slice that is not idempotent.
     MayHaveExecuted,
-    /// Its owner was removed.
+    /// The job's owner was removed.
     OwnerRemoved,
 }
 
-/// What an operator commands.
+/// An operator's command to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobCommand {
-    /// Start no slice for now.
+    /// Start no slice until the job is resumed.
     Pause,
     /// Continue a paused job.
     Resume,
@@ -78,41 +78,41 @@
 pub enum SliceOutcome {
     /// Work remains.
     Progress {
-        /// Where the next slice continues; [`MAX_CHECKPOINT_BYTES`] at most.
+        /// Where the next slice continues; at most [`MAX_CHECKPOINT_BYTES`].
         checkpoint: Vec<u8>,
     },
-    /// All work of the job, or of its present period, is done.
+    /// All work of the job, or of its current period, is done.
     Completed,
-    /// The slice failed, and is attempted again from the last checkpoint.
+    /// The slice failed and is retried from the last checkpoint.
     Failed,
 }
 
-/// A job.
+/// A background job: its specification and its progress. Points in time are Unix time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What the caller specified.
+    /// The specification that was submitted.
     pub spec: JobSpec,
-    /// The present state.
+    /// The current state.
     pub state: JobState,
-    /// Where the next slice continues; empty at the beginning.
+    /// Where the next slice continues; empty before the first slice and at the start of each period.
     pub checkpoint: Vec<u8>,
-    /// Failed attempts of the next slice.
+    /// Failed attempts of the next slice since the last success.
     pub failed_attempts: u32,
-    /// Slices that ended without failure.
+    /// Number of slices that ended without failure.
     pub completed_slices: u64,
-    /// Time that all slices took, in microseconds.
+    /// Total run time of all slices, in microseconds.
     pub run_time: Micros,
-    /// When the present period's first slice started.
+    /// When the first slice of the current period started; none before that.
     pub started_at: Option<Micros>,
-    /// Increases with every change of the state.
+    /// Starts at 1 and increases with every change of the state.
     pub version: u64,
-    /// The transition that follows the end of the running slice.
+    /// A transition to apply when the running slice ends.
     deferred: Option<DeferredTransition>,
-    /// The sequence number of the last slice among all jobs' slices; 0 before the first.
+    /// Sequence number of the job's last slice among the slices of all jobs; 0 before the first.
     pub(crate) last_slice_number: u64,
 }
 
-/// A transition that was requested while a slice ran.
+/// A transition that was requested while a slice was running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum DeferredTransition {
     Pause,
@@ -154,7 +154,8 @@
         self.version += 1;
     }
 
-    /// Applies an operator's command, after the present slice if one runs. Returns whether it changes anything.
+    /// Applies an operator's command, or defers it to the end of the running slice. Returns false if the command has no
+    /// effect.
     pub(crate) fn apply_command(&mut self, command: JobCommand, now: Micros) -> bool {
         match (command, &self.state) {
             (_, state) if state.is_terminal() => return false,
@@ -180,7 +181,7 @@
         true
     }
 
-    /// Fails the job because its owner was removed, after the present slice if one runs.
+    /// Fails the job because its owner was removed, at the end of the running slice if there is one.
     pub(crate) fn remove_owner(&mut self) {
         match self.state {
             JobState::Running => self.deferred = Some(DeferredTransition::OwnerRemoved),
@@ -188,20 +189,20 @@
         }
     }
 
-    /// Fails the job because one that it depends on failed or was cancelled.
+    /// Fails the job because a dependency failed or was cancelled.
     pub(crate) fn fail_dependency(&mut self) {
         self.transition_to(JobState::Failed(FailureCause::DependencyFailed));
     }
 
-    /// A slice starts, the one of this number among all jobs' slices.
+    /// Records the start of a slice; `number` is its sequence number among the slices of all jobs.
     pub(crate) fn slice_started(&mut self, number: u64, now: Micros) {
         self.transition_to(JobState::Running);
         self.started_at.get_or_insert(now);
         self.last_slice_number = number;
     }
 
-    /// The running slice has ended after `elapsed` microseconds. `jitter`, from 0 to 1, places a retry in the upper half
-    /// of its backoff, so that jobs which failed together are not retried together.
+    /// Records the end of the running slice after `elapsed` microseconds. `jitter`, from 0 to 1, places a retry in the
+    /// upper half of its backoff, so that jobs that failed together are not retried together.
     pub(crate) fn slice_completed(
         &mut self,
         outcome: SliceOutcome,
@@ -212,7 +213,7 @@
         self.run_time = self.run_time.saturating_add(elapsed);
         let deferred = self.deferred.take();
         match outcome {
-            // A checkpoint that is too long cannot be stored: the slice counts as failed.
+            // A checkpoint over the limit cannot be stored, so the slice counts as failed.
             SliceOutcome::Progress { checkpoint } if checkpoint.len() > MAX_CHECKPOINT_BYTES => {
                 self.record_failure(now, jitter);
             }
@@ -237,12 +238,12 @@
         self.failed_attempts = 0;
     }
 
-    /// Waits for the next period, or completes a job that has none.
+    /// Waits for the next period, or completes a job that is not periodic.
     fn complete_period(&mut self, now: Micros) {
         let Some(period) = self.spec.period else {
             return self.transition_to(JobState::Completed { at: now });
         };
-        // Periods that were missed are skipped, and a clock that was set back delays the next one by a period at most.
+        // Missed periods are skipped. If the clock was set back, the next period starts at most one period from now.
         let next = self
             .started_at
             .take()
@@ -263,7 +264,7 @@
         });
     }
 
-    /// Recovers from the end of the process that ran the job's slice.
+    /// Recovers a job after a restart of the process. A slice that was running may have executed.
     pub(crate) fn recover(&mut self, now: Micros) {
         if self.state != JobState::Running {
             return;
@@ -279,7 +280,7 @@
     }
 }
 
-/// The wait before the attempt that follows `failed_attempts` failures, 1 or more.
+/// The delay before the next attempt after `failed_attempts` failures, which must be 1 or more.
 fn retry_backoff(failed_attempts: u32, jitter: f64) -> Micros {
     let doublings = (failed_attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
     let backoff = MIN_RETRY_BACKOFF
--- a/crates/jobs/src/job_spec.rs
+++ b/crates/jobs/src/job_spec.rs
@@ -1,4 +1,4 @@
-//! What a caller specifies of a job.
+//! The specification of a job.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -6,12 +6,12 @@
 use crate::priority_class::PriorityClass;
 use crate::time::Micros;
 
-/// Identifies a job; later jobs have larger numbers.
+/// Number of a job, from 1, in the order of submission.
 pub type JobId = u64;
 
-/// Longest name of a job, in bytes.
+/// Maximum length of a job's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Most jobs that one job may depend on.
+/// Maximum number of jobs that one job may depend on.
 pub const MAX_DEPENDENCIES: usize = 16;
 
 /// Who a job belongs to.
@@ -23,46 +23,51 @@
     Tenant(String),
 }
 
-/// The specification of a job.
+/// The specification of a job. Points in time are Unix time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Name for operators; 1 to [`MAX_NAME_BYTES`] bytes without control characters.
     pub name: String,
     /// Who the job belongs to.
     pub owner: Owner,
-    /// Class of priority.
+    /// Priority class, whose budget the job's slices use.
     pub class: PriorityClass,
-    /// The first slice starts at this time or later.
+    /// Earliest time at which the first slice may start.
     pub not_before: Micros,
-    /// Until this time, the job with the earliest deadline goes first among its owner's jobs. Nothing fails when a
-    /// deadline passes.
+    /// Among the jobs of one owner, the one with the earliest deadline runs first. A deadline that has passed has no
+    /// effect: it gives no precedence, and the job does not fail.
     pub deadline: Option<Micros>,
-    /// The job repeats without end, each period counted from the start of the one before; more than 0.
+    /// The job repeats indefinitely with this period, which is counted from the start of the previous one. Must not be
+    /// 0; none if the job runs once.
     pub period: Option<Micros>,
-    /// Jobs that have to be completed first; [`MAX_DEPENDENCIES`] at most.
+    /// Jobs that have to complete before this one starts; at most [`MAX_DEPENDENCIES`].
     pub dependencies: Vec<JobId>,
-    /// Most attempts of one slice; 1 or more.
+    /// Maximum attempts of one slice; 1 or more.
     pub max_attempts: u32,
     /// Whether a slice that may have executed can be executed again from the checkpoint before it.
     pub is_idempotent: bool,
 }
 
-/// Why the specification of a job is not valid.
+/// Why the specification of a job is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SpecError {
-    /// The name is empty, too long, or has control characters.
-    #[error("a name is empty, over {MAX_NAME_BYTES} bytes, or has control characters")]
+    /// The name is empty, too long, or contains control characters.
+    #[error(
+        "the name is empty, longer than {MAX_NAME_BYTES} bytes, or contains control characters"
+    )]
     InvalidName,
-    /// The attempts or the period are 0.
-    #[error("tries or a period of 0")]
+    /// The maximum of attempts or the period is 0.
+    #[error("the maximum of attempts or the period is 0")]
     ZeroAttemptsOrPeriod,
     /// There are too many dependencies, or one of them does not exist.
-    #[error("it is to come after over {MAX_DEPENDENCIES} jobs, or after one that is not there")]
+    #[error(
+        "the job depends on more than {MAX_DEPENDENCIES} jobs, or on a job that does not exist"
+    )]
     InvalidDependencies,
 }
 
 impl JobSpec {
-    /// Checks the bounds of all values; whether the dependencies exist is not known here.
+    /// Checks the bounds of all values. The caller checks whether the dependencies exist.
     pub(crate) fn check(&self) -> Result<(), SpecError> {
         let is_name_valid = !self.name.is_empty()
             && self.name.len() <= MAX_NAME_BYTES
--- a/crates/jobs/src/job_table.rs
+++ b/crates/jobs/src/job_table.rs
@@ -1,25 +1,25 @@
-//! All jobs by number, with a bound on those that are finished.
+//! The table of jobs by number, with a limit on retained finished jobs.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::job::{Job, JobState};
 use crate::job_spec::{JobId, JobSpec, Owner};
 
-/// Most finished jobs that are retained for inspection; the oldest are removed first.
+/// Maximum number of finished jobs that are retained for inspection; the oldest are removed first.
 pub const MAX_FINISHED_JOBS: usize = 1000;
 
-/// Whether a job may run as far as its dependencies are concerned.
+/// Whether the dependencies of a job permit it to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DependencyStatus {
-    /// All of them are completed.
+    /// All dependencies are completed.
     Met,
-    /// At least one is not finished, and none has failed.
+    /// At least one dependency is not finished, and none has failed.
     Pending,
-    /// One failed or was cancelled.
+    /// A dependency failed or was cancelled.
     Failed,
 }
 
-/// All unfinished jobs, and the last finished ones.
+/// All unfinished jobs, and the most recently finished ones.
 #[derive(Debug, Default)]
 pub(crate) struct JobTable {
     jobs: BTreeMap<JobId, Job>,
@@ -29,14 +29,13 @@
 }
 
 impl JobTable {
-    /// Adds a new job.
     pub(crate) fn add(&mut self, spec: JobSpec) -> JobId {
         self.last_id += 1;
         self.jobs.insert(self.last_id, Job::new(spec));
         self.last_id
     }
 
-    /// Adds a job that was persisted with its number.
+    /// Adds a persisted job under its earlier number.
     pub(crate) fn restore(&mut self, id: JobId, job: Job) {
         self.last_id = self.last_id.max(id);
         if job.state.is_terminal() {
@@ -57,17 +56,17 @@
         self.jobs.contains_key(&id)
     }
 
-    /// All jobs by number.
+    /// All jobs, ordered by number.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.jobs.iter().map(|(id, job)| (*id, job))
     }
 
-    /// Jobs that may run now or later, by number.
+    /// Jobs that are not finished, ordered by number.
     pub(crate) fn unfinished(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.iter().filter(|(_, job)| !job.state.is_terminal())
     }
 
-    /// Unfinished jobs of an owner, by number.
+    /// Unfinished jobs of an owner, ordered by number.
     pub(crate) fn unfinished_of<'a>(
         &'a self,
         owner: &'a Owner,
@@ -76,8 +75,8 @@
             .filter(move |(_, job)| job.spec.owner == *owner)
     }
 
-    /// Has to be called after each change of a job's state: a finished job is listed, and the oldest ones beyond
-    /// [`MAX_FINISHED_JOBS`] are removed.
+    /// Must be called after each change of a job's state. Lists a job that has finished, and removes the oldest
+    /// finished jobs beyond [`MAX_FINISHED_JOBS`].
     pub(crate) fn record_state_change(&mut self, id: JobId) {
         let is_finished = self.get(id).is_some_and(|job| job.state.is_terminal());
         if is_finished && !self.finished.contains(&id) {
@@ -90,12 +89,12 @@
         }
     }
 
-    /// Whether the jobs that this one depends on are completed.
+    /// The combined status of the jobs that this one depends on.
     pub(crate) fn dependency_status(&self, job: &Job) -> DependencyStatus {
         let mut status = DependencyStatus::Met;
         for id in &job.spec.dependencies {
             match self.get(*id).map(|dependency| &dependency.state) {
-                // A finished job that was removed counts as completed: the dependents of a failed one fail at the next
+                // A finished job that was removed counts as completed. The dependents of a failed job fail at the next
                 // decision, which is normally before a thousand further jobs have finished.
                 None | Some(JobState::Completed { .. }) => {}
                 Some(JobState::Failed(_) | JobState::Cancelled) => {
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,8 +1,8 @@
-//! The scheduler for background jobs: which job runs next, for how long, and what happens to it afterwards.
+//! A scheduler for background jobs. It decides which job runs next and for how long, and tracks the state of each job.
 //!
-//! Nothing here does I/O or reads a clock. The caller passes the time with every call, runs the slices that
-//! [`Scheduler::next_decision`] chooses, and reports with [`Scheduler::slice_completed`] what they used. A [`Job`] is the
-//! state machine of one job; the [`Scheduler`] chooses between all of them.
+//! This crate does no I/O and reads no clock. The caller passes the time with every call, runs the slices that
+//! [`Scheduler::next_decision`] chooses, and reports their resource usage with [`Scheduler::slice_completed`]. A
+//! [`Job`] is the state machine of one job; the [`Scheduler`] chooses between all jobs.
 
 #![warn(missing_docs)]
 
--- a/crates/jobs/src/priority_class.rs
+++ b/crates/jobs/src/priority_class.rs
@@ -1,14 +1,14 @@
-//! The classes of priority that share the processor.
+//! The priority classes that share the processor.
 
 use serde::{Deserialize, Serialize};
 
-/// A class of priority. Classes share by weight; none has strict precedence over another.
+/// A priority class. Classes share processor time by weight; none has strict precedence over another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PriorityClass {
-    /// Maintenance that keeps the relay within its bounds, such as rewriting the journal.
+    /// Maintenance that keeps the relay within its resource limits, such as rewriting the journal.
     Upkeep,
-    /// Work that somebody waits for, such as resends.
+    /// Work that a user waits for, such as resends.
     Prompt,
     /// Large work, such as exports.
     Bulk,
@@ -17,7 +17,7 @@
 }
 
 impl PriorityClass {
-    /// How many classes there are.
+    /// Number of classes.
     pub const COUNT: usize = 4;
 
     /// All classes, in the order of their declaration.
--- a/crates/jobs/src/scheduler.rs
+++ b/crates/jobs/src/scheduler.rs
@@ -1,10 +1,10 @@
-//! Which job runs next, and for how long.
+//! Selects the job that runs next and the length of its slice.
 //!
-//! Classes share the time that live calls leave by deficit round robin: a class with work gets time in proportion to its
-//! weight, and a slice that overran is made up for in later rounds. Within a class, owners take turns. Among one owner's
-//! jobs the one with the earliest deadline that has not passed goes first; jobs without one take turns. Each class has
-//! budgets per second for time, bytes and calls. While live calls need the core, one slice of the shortest length runs
-//! every [`Settings::starvation_interval`], so that no class starves.
+//! Classes share the time that live calls leave unused, by deficit round robin: a class with work gets time in
+//! proportion to its weight, and the overrun of a slice is deducted in later rounds. Within a class, owners take turns.
+//! Among the jobs of one owner, the one with the earliest deadline that has not passed runs first; jobs without such a
+//! deadline take turns. Each class has budgets per second for time, bytes and calls. While live calls need the core,
+//! one slice of [`Settings::busy_slice`] runs every [`Settings::starvation_interval`], so that no class starves.
 
 use std::collections::BTreeMap;
 
@@ -17,9 +17,10 @@
 use crate::settings::Settings;
 use crate::time::{Micros, MICROS_PER_SECOND};
 
-/// When a caller whose job was rejected for capacity may try again.
+/// How long a caller should wait after its job was rejected because the queue was full, in microseconds.
 const QUEUE_FULL_RETRY_AFTER: Micros = MICROS_PER_SECOND;
-/// How long the scheduler waits while all classes with work have used up their budgets, which refill within a second.
+/// How long the scheduler waits, in microseconds, while all classes with work have exhausted their budgets. Budgets
+/// refill within one second.
 const BUDGET_POLL_INTERVAL: Micros = 10_000;
 
 /// Whether live calls need the core.
@@ -31,45 +32,45 @@
     Busy,
 }
 
-/// What the caller does next.
+/// What the caller has to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SchedulerDecision {
     /// Run a slice of a job.
     Run {
-        /// The job.
+        /// The job's number.
         job: JobId,
         /// How long the slice may take before it has to yield, in microseconds.
         time_slice: Micros,
     },
     /// Run nothing before this time, unless a job or the traffic changes.
     Wait {
-        /// When to ask for a decision again.
+        /// When to request the next decision, in Unix time; [`Micros::MAX`] if only a change can lead to one.
         until: Micros,
     },
 }
 
-/// A job that may run now. Candidates of one class compare in the order of these fields; the least runs.
+/// A job that may run now. Candidates of one class are compared by these fields in order, and the least runs first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
-    /// The number of its owner's last slice in this class.
+    /// Sequence number of the owner's last slice in this class; 0 if there is none.
     owner_last_slice: u64,
-    /// Its deadline, or [`Micros::MAX`].
+    /// The job's deadline; [`Micros::MAX`] if it has none or it has passed.
     deadline: Micros,
-    /// The number of its own last slice.
+    /// Sequence number of the job's last slice; 0 if there is none.
     job_last_slice: u64,
     id: JobId,
 }
 
-/// The jobs that may run now: the first of each class.
+/// The first candidate of each class.
 #[derive(Debug)]
 struct Candidates {
     first_by_class: [Option<Candidate>; PriorityClass::COUNT],
-    /// When the next of the jobs that wait for a time may start.
+    /// The earliest start time of a job that may not start yet; [`Micros::MAX`] if there is none.
     next_start: Micros,
 }
 
 impl Candidates {
-    /// When the decision may change, if no candidate can run for want of budget.
+    /// When to decide again if no candidate can run now, because there is none or their budgets are exhausted.
     fn next_decision_at(&self, now: Micros) -> Micros {
         let has_work = self.first_by_class.iter().any(Option::is_some);
         if has_work {
@@ -80,26 +81,26 @@
     }
 }
 
-/// All jobs, and the choice between them.
+/// Holds all jobs and selects the one that runs next.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
     jobs: JobTable,
-    /// By the index of the class.
+    /// Remaining budgets, by class index.
     remaining: [RemainingBudget; PriorityClass::COUNT],
     refilled_at: Micros,
-    /// Index of the class that the round robin is at.
+    /// Index of the class whose turn it is in the round robin.
     current_class: usize,
-    /// The number of the last slice of each owner in each class.
+    /// Sequence number of the last slice of each owner in each class.
     last_slice_by_owner: BTreeMap<(PriorityClass, Owner), u64>,
-    /// Slices that were started, of all jobs.
+    /// Number of slices that were started, over all jobs.
     slice_count: u64,
     running: Option<JobId>,
     last_slice_ended_at: Micros,
 }
 
 impl Scheduler {
-    /// A scheduler without jobs, with full budgets.
+    /// Creates a scheduler without jobs and with full budgets.
     #[must_use]
     pub fn new(settings: Settings, now: Micros) -> Self {
         let remaining = settings.budgets.each_ref().map(RemainingBudget::full);
@@ -116,7 +117,7 @@
         }
     }
 
-    /// A scheduler with the jobs that an earlier process persisted. A slice that was running may have executed.
+    /// Creates a scheduler with the jobs that an earlier process persisted. A slice that was running may have executed.
     pub fn restore(
         settings: Settings,
         persisted: impl IntoIterator<Item = (JobId, Job)>,
@@ -130,23 +131,23 @@
         scheduler
     }
 
-    /// Finds a job by its number.
+    /// The job with this number; none if it does not exist or was removed after it finished.
     #[must_use]
     pub fn get(&self, id: JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// All jobs, the oldest first.
+    /// All jobs, oldest first.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
         self.jobs.iter()
     }
 
-    /// Accepts a job.
+    /// Submits a job and returns its number.
     ///
     /// # Errors
     ///
-    /// [`SchedulerError::InvalidSpec`] if the specification is out of bounds, [`SchedulerError::QueueFull`] if there are
-    /// too many unfinished jobs.
+    /// [`SchedulerError::InvalidSpec`] if the specification is out of bounds or names a dependency that does not exist,
+    /// [`SchedulerError::QueueFull`] if there are too many unfinished jobs.
     pub fn submit(&mut self, spec: JobSpec) -> Result<JobId, SchedulerError> {
         spec.check()?;
         if !spec.dependencies.iter().all(|id| self.jobs.contains(*id)) {
@@ -162,12 +163,12 @@
         Ok(self.jobs.add(spec))
     }
 
-    /// Applies a command to a job, if it has the expected version.
+    /// Applies a command to a job if the job has the expected version; `None` accepts any version.
     ///
     /// # Errors
     ///
-    /// [`SchedulerError::JobNotFound`], [`SchedulerError::VersionMismatch`], or [`SchedulerError::NoChange`] if the job's
-    /// state does not allow the command.
+    /// [`SchedulerError::JobNotFound`], [`SchedulerError::VersionMismatch`], or [`SchedulerError::NoChange`] if the
+    /// command has no effect in the job's state.
     pub fn apply_command(
         &mut self,
         id: JobId,
@@ -188,7 +189,7 @@
         Ok(())
     }
 
-    /// Fails all unfinished jobs of an owner; one that runs fails when its slice ends.
+    /// Fails all unfinished jobs of an owner. A running job fails when its slice ends.
     pub fn remove_owner(&mut self, owner: &Owner) {
         let owned: Vec<JobId> = self.jobs.unfinished_of(owner).map(|(id, _)| id).collect();
         for id in owned {
@@ -201,7 +202,7 @@
             .retain(|(_, other), _| other != owner);
     }
 
-    /// Decides what to run now. A job that is chosen counts as running until [`Scheduler::slice_completed`].
+    /// Decides what to run now. The chosen job counts as running until [`Scheduler::slice_completed`] is called.
     pub fn next_decision(&mut self, now: Micros, traffic: LiveTraffic) -> SchedulerDecision {
         if self.running.is_some() {
             return SchedulerDecision::Wait { until: Micros::MAX };
@@ -225,7 +226,7 @@
         SchedulerDecision::Run { job, time_slice }
     }
 
-    /// Adds what the classes may use since the last refill. A clock that was set back adds nothing.
+    /// Refills the budgets of all classes for the time since the last refill. Adds nothing if the clock was set back.
     fn refill_budgets(&mut self, now: Micros) {
         let elapsed = now.saturating_sub(self.refilled_at).min(MICROS_PER_SECOND);
         self.refilled_at = now;
@@ -234,9 +235,10 @@
         }
     }
 
-    /// While live calls need the core: until when no slice runs, if the last one is too recent.
+    /// While live calls need the core: the time until which no slice may run. None if the last slice ended long enough
+    /// ago.
     fn yield_to_live_calls(&mut self, now: Micros, traffic: LiveTraffic) -> Option<Micros> {
-        // A clock that was set back makes nobody wait longer than the interval.
+        // If the clock was set back, no job waits longer than the interval.
         self.last_slice_ended_at = self.last_slice_ended_at.min(now);
         let idle_time = now - self.last_slice_ended_at;
         let must_yield =
@@ -244,7 +246,7 @@
         must_yield.then(|| self.last_slice_ended_at + self.settings.starvation_interval)
     }
 
-    /// Fails all jobs that depend on one which failed or was cancelled.
+    /// Fails all jobs that depend on a job that failed or was cancelled.
     fn fail_dependents(&mut self) {
         let dependents: Vec<JobId> = self
             .jobs
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Finds the job of each class that goes first, budgets aside.
+    /// Finds the first candidate of each class, without regard to budgets.
     fn candidates(&self, now: Micros) -> Candidates {
         let mut candidates = Candidates {
             first_by_class: [None; PriorityClass::COUNT],
@@ -291,7 +293,7 @@
 
     fn candidate(&self, id: JobId, job: &Job, now: Micros) -> Candidate {
         let owner = (job.spec.class, job.spec.owner.clone());
-        // A deadline that has passed gives no precedence, so that no job starves behind it.
+        // A deadline that has passed gives no precedence, so that it cannot starve other jobs.
         let deadline = job.spec.deadline.filter(|deadline| *deadline > now);
         Candidate {
             owner_last_slice: self.last_slice_by_owner.get(&owner).copied().unwrap_or(0),
@@ -301,7 +303,7 @@
         }
     }
 
-    /// The candidates of those classes that have not used up their budgets.
+    /// The candidates of those classes whose budgets are not exhausted.
     fn runnable_jobs(&self, candidates: &Candidates) -> [Option<JobId>; PriorityClass::COUNT] {
         std::array::from_fn(|class| {
             candidates.first_by_class[class]
@@ -310,7 +312,7 @@
         })
     }
 
-    /// A class without work accumulates no claim to run later.
+    /// Resets the positive deficit of classes without candidates, so that an idle class accumulates no credit.
     fn drop_unused_deficits(&mut self, candidates: &Candidates) {
         for (remaining, first) in self.remaining.iter_mut().zip(&candidates.first_by_class) {
             if first.is_none() {
@@ -319,8 +321,8 @@
         }
     }
 
-    /// Continues the round robin up to the next class that has a job to run and a positive deficit, and returns that job.
-    /// At least one class must have a job to run: its deficit grows with each round.
+    /// Advances the round robin to the next class that has a runnable job and a positive deficit, and returns that job.
+    /// At least one class must have a runnable job; its deficit grows with each round, so the loop ends.
     fn advance_round_robin(&mut self, runnable: &[Option<JobId>; PriorityClass::COUNT]) -> JobId {
         loop {
             let class = self.current_class;
@@ -334,14 +336,14 @@
         }
     }
 
-    /// Adds the current class's share of one round to its deficit.
+    /// Adds the current class's quantum for one round to its deficit.
     fn grant_quantum(&mut self) {
         let weight = self.settings.budgets[self.current_class].weight;
         let quantum = weight * self.settings.busy_slice;
         self.remaining[self.current_class].deficit += quantum as i64;
     }
 
-    /// How long the next slice of the current class may take.
+    /// Maximum length of the next slice of the current class, in microseconds.
     fn time_slice(&self, traffic: LiveTraffic) -> Micros {
         let longest = match traffic {
             LiveTraffic::Busy => self.settings.busy_slice,
@@ -360,7 +362,8 @@
         self.running = Some(id);
     }
 
-    /// The running slice has ended. The caller draws `jitter`, from 0 to 1, which spreads retries of failed slices.
+    /// Records the end of the running slice. The caller draws `jitter`, from 0 to 1, which spreads retries of failed
+    /// slices.
     pub fn slice_completed(
         &mut self,
         outcome: SliceOutcome,
--- a/crates/jobs/src/settings.rs
+++ b/crates/jobs/src/settings.rs
@@ -1,45 +1,44 @@
-//! What an operator sets.
+//! The operator's settings of the scheduler.
 
 use crate::budget::Budget;
 use crate::priority_class::PriorityClass;
 use crate::time::{Micros, MICROS_PER_SECOND};
 
-/// Upper bound of the configured slices, in microseconds: a live call waits for a slice that has begun.
+/// Upper bound of the configured slice lengths, in microseconds: a live call has to wait for a slice that is running.
 const MAX_SLICE: Micros = 100_000;
 
-/// What an operator sets.
+/// The operator's settings of the scheduler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Budgets, in the order of [`PriorityClass::ALL`].
     pub budgets: [Budget; PriorityClass::COUNT],
-    /// Longest slice, in microseconds.
+    /// Maximum length of a slice, in microseconds.
     pub max_slice: Micros,
     /// Length of a slice while live calls need the core, in microseconds. It is also the quantum of the round robin:
     /// a class's turn adds this length times its weight to its deficit.
     pub busy_slice: Micros,
-    /// While live calls need the core without a pause, one slice runs after each interval of this length, in
-    /// microseconds.
+    /// While live calls need the core continuously, one slice runs after each interval of this length, in microseconds.
     pub starvation_interval: Micros,
-    /// Most unfinished jobs.
+    /// Maximum number of unfinished jobs.
     pub max_jobs: usize,
-    /// Most unfinished jobs of one owner.
+    /// Maximum number of unfinished jobs of one owner.
     pub max_jobs_per_owner: usize,
 }
 
-/// Why settings are not valid.
+/// Why settings are invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// A class's weight is 0, or its time is 0 or more than a second per second.
-    #[error("work: {class:?}: a weight of 0, or a time that is not within a second")]
+    /// A class's weight is 0, or its processor time is 0 or more than one second per second.
+    #[error("work: {class:?}: the weight is 0, or the time is not from 1 us to 1 s per second")]
     InvalidBudget {
-        /// The class.
+        /// The class of the invalid budget.
         class: PriorityClass,
     },
-    /// A slice is too short or too long, or the one under load is longer than the longest.
-    #[error("work: a slice is not from 1 us to 100 ms, or the least is over the longest")]
+    /// A slice length is out of bounds, or [`Settings::busy_slice`] exceeds [`Settings::max_slice`].
+    #[error("work: a slice length is not from 1 us to 100 ms, or the busy slice exceeds the maximum slice")]
     InvalidSlice,
     /// A limit on jobs, or the starvation interval, is 0.
-    #[error("work: a bound of 0")]
+    #[error("work: a limit on jobs, or the starvation interval, is 0")]
     ZeroBound,
 }
 
@@ -68,7 +67,7 @@
 }
 
 impl Settings {
-    /// Checks all values; the text of the error is one line.
+    /// Checks all values. The text of the error is a single line.
     ///
     /// # Errors
     ///
--- a/crates/jobs/src/time.rs
+++ b/crates/jobs/src/time.rs
@@ -1,6 +1,6 @@
-//! Units of time.
+//! The unit of time.
 
-/// Microseconds: since the Unix epoch where a point in time is meant, otherwise a duration.
+/// A point in Unix time or a duration, in microseconds.
 pub type Micros = u64;
 
 pub(crate) const MICROS_PER_SECOND: Micros = 1_000_000;
--- a/crates/jobs/tests/scheduler.rs
+++ b/crates/jobs/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! What the scheduler promises: shares, budgets, deadlines, retries, restarts and bounds.
+//! Tests of the scheduler: shares, budgets, deadlines, retries, restarts and limits.
 
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Weights 8, 4, 2 and 1, and budgets that bind nothing.
+/// Weights 8, 4, 2 and 1, and budgets that never limit a class.
 fn unlimited_settings() -> Settings {
     let budget = |weight| Budget {
         weight,
@@ -57,7 +57,7 @@
     }
 }
 
-/// The job and the time of the slice that starts now.
+/// Starts a slice, which must be possible now; returns its job and its length.
 fn start_slice(scheduler: &mut Scheduler, now: Micros) -> (JobId, Micros) {
     match scheduler.next_decision(now, LiveTraffic::Idle) {
         SchedulerDecision::Run { job, time_slice } => (job, time_slice),
@@ -69,7 +69,7 @@
     scheduler.get(id).map(|job| &job.state)
 }
 
-/// Runs slices that use all the time they are given; the time that each job got.
+/// Runs slices that use their whole length, and returns the total run time of each job.
 fn run_for(
     scheduler: &mut Scheduler,
     mut now: Micros,
@@ -109,12 +109,12 @@
     }
     assert!(
         (share(ids[3]) - share(of_tenant)).abs() < 0.005,
-        "two owners of one class: {time_by_job:?}"
+        "two owners of one class have equal shares: {time_by_job:?}"
     );
 }
 
 #[test]
-fn class_gets_no_more_time_than_its_budget() {
+fn class_runs_no_longer_than_its_time_budget() {
     let mut settings = unlimited_settings();
     settings.budgets[0].time = 100_000;
     let mut scheduler = Scheduler::new(settings, 0);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn class_whose_slice_overran_waits_until_the_overrun_is_made_up_for() {
+fn class_waits_until_the_overrun_of_its_slice_is_compensated() {
     let mut scheduler = unlimited_scheduler();
     for name in ["a", "b"] {
         scheduler
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn busy_live_traffic_leaves_one_short_slice_a_second_and_starves_no_class() {
+fn busy_live_traffic_permits_one_short_slice_per_second_and_starves_no_class() {
     let mut scheduler = unlimited_scheduler();
     for class in PriorityClass::ALL {
         scheduler.submit(spec("j", class)).expect("accepted");
@@ -164,7 +164,7 @@
     let time_by_job = run_for(&mut scheduler, 0, 60 * SECOND, LiveTraffic::Busy);
     assert_eq!(time_by_job.len(), 4, "{time_by_job:?}");
     let total: Micros = time_by_job.values().sum();
-    assert!(total <= 60 * 500, "one least slice a second: {total}");
+    assert!(total <= 60 * 500, "one busy slice per second: {total}");
 }
 
 #[test]
@@ -260,7 +260,7 @@
     );
 }
 
-/// Jobs as a process leaves them that ends within the second slice of its only job.
+/// The persisted jobs of a process that was killed during the second slice of its only job.
 fn jobs_of_process_killed_within_slice() -> (JobId, Vec<(JobId, Job)>) {
     let mut scheduler = unlimited_scheduler();
     let id = scheduler
@@ -377,9 +377,9 @@
 fn specification_out_of_bounds_is_rejected_with_its_exact_text() {
     let mut scheduler = unlimited_scheduler();
     let valid = || spec("x", PriorityClass::Bulk);
-    let name = "a name is empty, over 64 bytes, or has control characters";
-    let zero = "tries or a period of 0";
-    let dependencies = "it is to come after over 16 jobs, or after one that is not there";
+    let name = "the name is empty, longer than 64 bytes, or contains control characters";
+    let zero = "the maximum of attempts or the period is 0";
+    let dependencies = "the job depends on more than 16 jobs, or on a job that does not exist";
     let first = scheduler.submit(valid()).expect("accepted");
     let depending_on = |dependencies| JobSpec {
         dependencies,
@@ -436,15 +436,15 @@
         (SchedulerError::JobNotFound, "there is no such job"),
         (
             SchedulerError::VersionMismatch { current: 7 },
-            "the job is in version 7 by now",
+            "the job has changed: its current version is 7",
         ),
         (
             SchedulerError::NoChange,
-            "the job is over, or does so already",
+            "the job is finished, or the command would not change it",
         ),
         (
             SchedulerError::QueueFull { retry_after: 1 },
-            "as many jobs are under way as may be",
+            "the maximum number of unfinished jobs is reached",
         ),
     ] {
         assert_eq!(error.to_string(), expected);
@@ -491,8 +491,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Whatever is submitted, commanded and run: one slice runs at a time, no job runs that is finished, paused or not
-    /// due, a finished job keeps its state, and every job that may run gets a slice in bounded time.
+    /// For any sequence of submissions, commands and slices: one slice runs at a time, no job runs that is finished,
+    /// paused or not due, a finished job keeps its state, and every waiting job gets a slice within 20 s.
     #[test]
     fn jobs_finish_once_and_none_starves(
         steps in prop::collection::vec((0u8..8, 0usize..4, 0u64..40, 0u64..5_000), 1..200),
@@ -509,17 +509,17 @@
                         not_before: now + elapsed,
                         ..spec("j", PriorityClass::ALL[choice])
                     });
-                    prop_assert!(submitted.is_ok(), "below all limits");
+                    prop_assert!(submitted.is_ok(), "the number of jobs is below all limits");
                 }
                 3 => {
                     let commands = [JobCommand::Pause, JobCommand::Resume, JobCommand::Cancel];
-                    // Whether the job exists and the command changes it is left to chance.
+                    // The job need not exist, and the command need not have an effect.
                     drop(scheduler.apply_command(number, commands[choice % 3], None, now));
                 }
                 _ => {
                     let traffic = if action == 7 { LiveTraffic::Busy } else { LiveTraffic::Idle };
                     if let SchedulerDecision::Run { job: id, time_slice } = scheduler.next_decision(now, traffic) {
-                        let job = scheduler.get(id).expect("a job that exists");
+                        let job = scheduler.get(id).expect("the chosen job exists");
                         prop_assert_eq!(&job.state, &JobState::Running);
                         prop_assert!(job.spec.not_before <= now && time_slice > 0);
                         let second = scheduler.next_decision(now, LiveTraffic::Idle);
@@ -536,7 +536,7 @@
             }
             for (id, job) in scheduler.jobs().filter(|(_, job)| job.state.is_terminal()) {
                 let first = finished.entry(id).or_insert_with(|| job.state.clone());
-                prop_assert_eq!(&*first, &job.state, "finished once");
+                prop_assert_eq!(&*first, &job.state, "a finished job keeps its state");
             }
         }
         let waiting: Vec<JobId> = scheduler
--- a/crates/jobs/tests/settings.rs
+++ b/crates/jobs/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Checks of the scheduler's settings.
+//! Tests of the checks on the scheduler's settings.
 
 use jobs::{PriorityClass, Settings, SettingsError};
 
@@ -15,10 +15,10 @@
 
 #[test]
 fn settings_out_of_bounds_are_reported_with_their_exact_text() {
-    let upkeep = "work: Upkeep: a weight of 0, or a time that is not within a second";
-    let idle = "work: Idle: a weight of 0, or a time that is not within a second";
-    let slice = "work: a slice is not from 1 us to 100 ms, or the least is over the longest";
-    let bound = "work: a bound of 0";
+    let upkeep = "work: Upkeep: the weight is 0, or the time is not from 1 us to 1 s per second";
+    let idle = "work: Idle: the weight is 0, or the time is not from 1 us to 1 s per second";
+    let slice = "work: a slice length is not from 1 us to 100 ms, or the busy slice exceeds the maximum slice";
+    let bound = "work: a limit on jobs, or the starvation interval, is 0";
     for (settings, expected) in [
         (settings_with(|s| s.budgets[0].weight = 0), upkeep),
         (settings_with(|s| s.budgets[0].time = 0), upkeep),
