--- a/crates/admin/src/refusals.rs
+++ b/crates/admin/src/refusals.rs
@@ -56,9 +56,9 @@
             BatchError::Version(current) => return Problem::stale(current.to_string(), detail),
             BatchError::Malformed(_) => return Problem::invalid_value(detail),
             BatchError::Exists => (StatusCode::CONFLICT, "batch-exists"),
-            BatchError::None => (StatusCode::NOT_FOUND, "no-such-batch"),
+            BatchError::NotFound => (StatusCode::NOT_FOUND, "no-such-batch"),
             BatchError::TooMany => (StatusCode::CONFLICT, "too-many"),
-            BatchError::Over(_) => (StatusCode::CONFLICT, "batch-over"),
+            BatchError::Ended(_) => (StatusCode::CONFLICT, "batch-over"),
         };
         Problem::new(status, kind, detail)
     }
--- a/crates/admin/src/undeliverable/batches/handlers.rs
+++ b/crates/admin/src/undeliverable/batches/handlers.rs
@@ -179,7 +179,7 @@
     batches
         .into_iter()
         .find(|batch| batch.spec.name == name)
-        .ok_or_else(|| BatchError::None.into())
+        .ok_or_else(|| BatchError::NotFound.into())
 }
 
 /// The batches that the principal may see: all, or those that were planned with exactly the scope of the principal's token.
--- a/crates/admin/src/undeliverable/status.rs
+++ b/crates/admin/src/undeliverable/status.rs
@@ -48,7 +48,7 @@
 
 impl From<StoreReport> for UndeliverableStatus {
     fn from(report: StoreReport) -> Self {
-        let dropped = report.totals.dropped.into_iter();
+        let dropped = report.totals.evictions.into_iter();
         let dropped = dropped.map(|evicted| UndeliverableDropped {
             tenant: evicted.tenant,
             cause: evicted.cause,
--- a/crates/relay-events/src/undeliverable.rs
+++ b/crates/relay-events/src/undeliverable.rs
@@ -3,7 +3,7 @@
 use tokio::sync::oneshot;
 use undeliverable::batch::{self, Batch, BatchCommand, BatchSpec};
 use undeliverable::record::{self, ExecutionClaim};
-use undeliverable::store::{GroupBy, GroupCounts, Page};
+use undeliverable::store::{GroupBy, Page, StoreTotals};
 use undeliverable::{Filter, Micros, Record, RecordId, ResendBlocked};
 
 /// An operator's action on a record.
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreReport {
     /// Totals of what it holds.
-    pub totals: GroupCounts,
+    pub totals: StoreTotals,
     /// Undeliverable messages that could not be stored.
     pub unstored_messages: u64,
     /// Resends in flight.
--- a/crates/relay/src/undeliverable_service/batch_runner.rs
+++ b/crates/relay/src/undeliverable_service/batch_runner.rs
@@ -205,7 +205,10 @@
         if self.batches.len() < batch::MAX_BATCHES {
             return Ok(());
         }
-        let finished = self.batches.values().filter(|batch| batch.state.is_over());
+        let finished = self
+            .batches
+            .values()
+            .filter(|batch| batch.state.has_ended());
         let oldest = finished.min_by_key(|batch| batch.created_at);
         let name = oldest
             .map(|batch| batch.spec.name.clone())
@@ -225,7 +228,7 @@
         now: Micros,
     ) -> UndeliverableResponse {
         let Some(batch) = self.batches.get(name) else {
-            return UndeliverableResponse::BatchRefused(BatchError::None);
+            return UndeliverableResponse::BatchRefused(BatchError::NotFound);
         };
         let mut changed = batch.clone();
         match changed.apply_command(command, version, now) {
--- a/crates/relay/src/undeliverable_service/settings.rs
+++ b/crates/relay/src/undeliverable_service/settings.rs
@@ -264,14 +264,14 @@
                 may_have_run: self.may_have_run,
                 ..Filter::default()
             },
-            when: match self.when {
+            trigger: match self.when {
                 TriggerSettings::Recovered => RuleTrigger::Recovered,
                 TriggerSettings::After => {
                     RuleTrigger::After(micros(self.after_s.unwrap_or_default()))
                 }
             },
             per_minute: self.per_minute,
-            resends: self.resends,
+            max_resends: self.resends,
         }
     }
 
--- a/crates/undeliverable/src/attestation.rs
+++ b/crates/undeliverable/src/attestation.rs
@@ -1,11 +1,11 @@
-//! Attestations: who claimed that a message took effect or did not, and how several claims resolve.
+//! Attestations: claims by partners and operators on whether a message took effect, and how several claims resolve.
 //!
-//! An attestation of `applied` always counts, as an effect does not go away. One of `not applied` counts only if it
-//! covers every attempt: it was made for the present number of resends and requested after the last attempt had
-//! settled. `unknown` never counts. The attestations that count are reduced to three properties, which are looked up in
-//! a table:
+//! An attestation of `applied` always counts, because an effect is permanent. An attestation of `not applied` counts
+//! only if it covers every attempt: it was made for the current number of resends and requested after the last attempt
+//! had settled. `unknown` never counts. The attestations that count are reduced to three properties, which select a
+//! row of this table:
 //!
-//! | claims that count | latest partner's claim | two operators agree on | resolution |
+//! | claims that count | partner's latest claim | two operators agree on | resolution |
 //! | --- | --- | --- | --- |
 //! | none | any | any | needs an attestation |
 //! | all `not applied` | in date | any | not applied |
@@ -19,7 +19,7 @@
 //! | both | any | `not applied` | not applied |
 //! | both | any | nothing | needs agreement |
 //!
-//! Where both are claimed, only operators count who attested after the latest partner's claim and after the last
+//! If both are claimed, only those operators count who attested after the partner's latest claim and after the last
 //! change from one claim to the other.
 
 use std::collections::BTreeSet;
@@ -29,16 +29,16 @@
 use crate::resend_blocked::ResendBlocked;
 use crate::Micros;
 
-/// Different operators whose agreement settles a claim.
+/// Number of different operators who have to agree to settle a claim.
 const REQUIRED_OPERATORS: usize = 2;
 
 /// A claim on whether a message took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ExecutionClaim {
-    /// It took effect.
+    /// The message took effect.
     Applied,
-    /// It did not take effect, and will not.
+    /// The message did not take effect, and will not.
     NotApplied,
     /// The attester does not know.
     Unknown,
@@ -53,29 +53,29 @@
     Operator(String),
 }
 
-/// A claim on a record.
+/// A claim about the message of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attestation {
-    /// Who claims it.
+    /// Who made the claim.
     pub attester: Attester,
     /// What is claimed.
     pub claim: ExecutionClaim,
-    /// When the claim was requested, in Unix time: it does not cover what happened later.
+    /// When the claim was requested, in Unix time. It does not cover attempts after that.
     pub at: Micros,
-    /// Resends of the record when the claim was made.
+    /// Number of resends of the record when the claim was made.
     pub resends: u32,
 }
 
-/// What an attestation has to cover, and how long a partner's stays in date.
+/// What an attestation has to cover, and how long a partner's attestation remains valid.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttestationWindow {
-    /// Resends of the record by now.
+    /// Current number of resends of the record.
     pub(crate) resends: u32,
-    /// From when no attempt that may have run can still be running, in Unix time.
+    /// The time from which no attempt that may have run can still be running, in Unix time.
     pub(crate) settled_at: Micros,
-    /// Now, in Unix time.
+    /// The current Unix time.
     pub(crate) now: Micros,
-    /// How long a partner's claim of `not applied` stays in date.
+    /// How long a partner's claim of `not applied` remains valid.
     pub(crate) validity: Micros,
 }
 
@@ -88,7 +88,8 @@
         }
     }
 
-    /// An attestation from after `now` was made before the clock was set back, and says nothing of its age.
+    /// An attestation dated after `now` was made before the clock was set back. Its age is unknown, so it does not
+    /// count.
     fn covers_all_attempts(&self, attestation: &Attestation) -> bool {
         attestation.resends == self.resends
             && attestation.at >= self.settled_at
@@ -96,7 +97,7 @@
     }
 }
 
-/// What the attestations that count claim, all together.
+/// The combined claims of all attestations that count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Claims {
     None,
@@ -136,7 +137,7 @@
     Applied,
 }
 
-/// All by which a claim is resolved.
+/// The three properties that select a row of the module's table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Evidence {
     claims: Claims,
@@ -166,7 +167,8 @@
     }
 }
 
-/// The attestations after the latest partner's and from the last change of claim on; all of them claim the same.
+/// The attestations after the partner's latest one and from the last change of claim on. All of them make the same
+/// claim.
 fn after_last_contradiction<'a, 'b>(
     counted: &'a [&'b Attestation],
     latest_partner: Option<usize>,
@@ -189,7 +191,8 @@
     }
 }
 
-/// Takes attestations that all claim the same. An operator who attested twice counts once.
+/// The agreement of operators in `decisive`, whose attestations all make the same claim. An operator who attested twice
+/// counts once.
 fn operator_agreement(decisive: &[&Attestation]) -> OperatorAgreement {
     let operators: BTreeSet<&str> = decisive
         .iter()
@@ -208,11 +211,11 @@
     }
 }
 
-/// Whether the attestations establish that no attempt took effect; the module's table, line by line.
+/// Checks that the attestations establish that no attempt took effect. Implements the module's table row by row.
 ///
 /// # Errors
 ///
-/// [`ResendBlocked::Applied`] if they establish that one did, else what is missing.
+/// [`ResendBlocked::Applied`] if they establish that an attempt took effect, otherwise the evidence that is missing.
 pub(crate) fn resolve(
     attestations: &[Attestation],
     window: &AttestationWindow,
--- a/crates/undeliverable/src/batch.rs
+++ b/crates/undeliverable/src/batch.rs
@@ -1,5 +1,5 @@
-//! Batches: many records are resent under one name, at a limited rate and with limited concurrency. A batch stops by
-//! itself when too many of its resends fail.
+//! Batches: many records are resent under one name, at a limited rate and with limited concurrency. A batch stops
+//! automatically when too many of its resends fail.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,13 +12,13 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Resends that may follow each other at once: the rate limit does not let unused time accumulate.
+/// Capacity of the rate limiter's token bucket: unused time permits no burst of more than one resend.
 const MAX_RATE_TOKENS: f64 = 1.0;
-/// Maximum batches in a store; beyond that a new one replaces the oldest that has ended, or is rejected.
+/// Maximum batches in a store. A further batch replaces the oldest one that has ended, or is rejected if none has.
 pub const MAX_BATCHES: usize = 256;
-/// Minimum rate of a batch, in records a second.
+/// Minimum rate of a batch, in records per second.
 pub const MIN_RATE_PER_SECOND: f64 = 0.01;
-/// Maximum rate of a batch, in records a second.
+/// Maximum rate of a batch, in records per second.
 pub const MAX_RATE_PER_SECOND: f64 = 1000.0;
 /// Minimum of [`BatchSpec::at_once`].
 pub const MIN_CONCURRENT_RESENDS: u32 = 1;
@@ -32,11 +32,11 @@
 /// The specification of a batch, as it was requested.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchSpec {
-    /// Its name: 1 to [`MAX_NAME_BYTES`] letters, digits, `.`, `_` and `-`.
+    /// Unique name: 1 to [`MAX_NAME_BYTES`] letters, digits, `.`, `_` and `-`.
     pub name: String,
-    /// The records that it resends.
+    /// Selects the records to resend.
     pub filter: Filter,
-    /// Maximum rate, in records a second.
+    /// Maximum rate, in records per second.
     pub per_second: f64,
     /// Maximum resends in flight.
     pub at_once: u32,
@@ -47,22 +47,22 @@
 /// The state of a batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BatchState {
-    /// Its dry run is done, and it has not been started.
+    /// The dry run is done, and the batch has not been started.
     Planned,
-    /// It resends records.
+    /// Records are being resent.
     Running,
-    /// An operator has paused it: resends in flight end, and no other one begins.
+    /// Paused by an operator: resends in flight complete, and no further one starts.
     Paused,
-    /// It has stopped by itself, as too many resends failed; it may be resumed.
+    /// Stopped automatically because too many resends failed; an operator may resume the batch.
     Stopped,
-    /// All of its records were examined, and its resends have ended.
+    /// All records were examined, and all resends have ended.
     Done,
-    /// An operator has cancelled it.
+    /// Cancelled by an operator.
     Cancelled,
 }
 
 impl BatchState {
-    /// Its identifier, in lower case.
+    /// The identifier in the administration API, in lower case.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Whether it has ended and cannot be resumed.
+    /// Whether the batch has ended and cannot be resumed.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         matches!(self, BatchState::Done | BatchState::Cancelled)
     }
 }
@@ -85,74 +85,76 @@
 /// An operator's command to a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchCommand {
-    /// Start or resume.
+    /// Start or resume the batch.
     Run,
-    /// Begin no other resend until it is resumed.
+    /// Start no further resend until the batch is resumed.
     Pause,
-    /// End it.
+    /// End the batch for good.
     Cancel,
 }
 
-/// Counts of a batch: of its dry run, and of its resends.
+/// Counts from a batch's dry run and of its resends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BatchCounts {
     /// Open records that matched when the batch was planned.
     pub found: u64,
-    /// Of those, the ones that could be resent then.
-    pub may_go: u64,
-    /// Of those, the ones that could not, by [`ResendBlocked::as_str`].
-    pub needs: BTreeMap<String, u64>,
-    /// Resends that were begun.
+    /// Records out of `found` that could be resent at that time.
+    #[serde(rename = "may_go")]
+    pub resendable: u64,
+    /// Records out of `found` that could not be resent at that time, by [`ResendBlocked::as_str`].
+    #[serde(rename = "needs")]
+    pub blocked: BTreeMap<String, u64>,
+    /// Resends that were started.
     pub sent: u64,
     /// Resends that were delivered.
     pub delivered: u64,
     /// Resends that ended without delivery.
     pub failed: u64,
-    /// Records that were skipped, as they have changed since or may not be resent.
+    /// Records that were skipped because they changed after planning or may not be resent.
     pub skipped: u64,
 }
 
 impl BatchCounts {
-    /// Counts a record in the dry run.
+    /// Counts a record that matched in the dry run, with the resend policy's result for it.
     pub fn count_planned(&mut self, checked: Result<(), ResendBlocked>) {
         self.found += 1;
         match checked {
-            Ok(()) => self.may_go += 1,
-            Err(blocked) => *self.needs.entry(blocked.as_str().into()).or_default() += 1,
+            Ok(()) => self.resendable += 1,
+            Err(blocked) => *self.blocked.entry(blocked.as_str().into()).or_default() += 1,
         }
     }
 }
 
-/// A batch. Postcard stores it by position: fields keep their order, and none is added or taken out.
+/// A batch. Postcard encodes it by position, so no field may be moved, added or removed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Its specification.
+    /// The specification that was requested.
     pub spec: BatchSpec,
-    /// Who requested it.
+    /// Name of the operator who requested the batch.
     pub by: String,
-    /// When it was planned, in Unix time.
+    /// When the batch was planned, in Unix time.
     pub created_at: Micros,
-    /// Its state.
+    /// The current state.
     pub state: BatchState,
-    /// Its counts.
+    /// Counts from the dry run and of the resends.
     pub counts: BatchCounts,
-    /// Grows with every change of its state.
+    /// Starts at 1 and increases with every change of the state.
     pub version: u32,
-    /// The last record that was examined.
+    /// The last record that was examined; 0 before the first.
     pub last_examined: RecordId,
-    /// The last record in the store when it was planned; later ones do not belong to it.
+    /// The last record in the store when the batch was planned; later records are not part of it.
     pub last_planned: RecordId,
-    /// Whether each of the latest resends was delivered, at most `2 * stop_after` of them since it was last started.
+    /// Whether each of the latest resends was delivered: at most `2 * stop_after`, since the batch was last started.
     recently_delivered: VecDeque<bool>,
     /// Resends in flight.
     in_flight: u32,
-    /// Resends that the rate allows now; filled up to [`MAX_RATE_TOKENS`] as time passes.
+    /// Tokens of the rate limiter, one per resend; refilled up to [`MAX_RATE_TOKENS`] as time passes.
     rate_tokens: f64,
     /// When `rate_tokens` was last refilled, in Unix time.
     refilled_at: Micros,
 }
 
-/// Why a batch is not planned, or a command not carried out.
+/// Why a batch is not planned, or a command is rejected. The text goes to the administrator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BatchError {
     /// A batch of this name exists.
@@ -160,17 +162,17 @@
     Exists,
     /// No batch has this name.
     #[error("there is no such batch")]
-    None,
+    NotFound,
     /// There are [`MAX_BATCHES`] batches, and none has ended.
     #[error("there are {MAX_BATCHES} batches; cancel one that waits")]
     TooMany,
-    /// The batch has changed since the caller read it; its present version.
+    /// The batch has changed since the caller read it; holds the current version.
     #[error("the batch is in version {0} by now")]
     Version(u32),
-    /// The batch has ended; the identifier of its state.
+    /// The batch has ended; holds the identifier of its state.
     #[error("the batch is {0}")]
-    Over(&'static str),
-    /// A value of the specification is out of bounds; which one, and its bounds.
+    Ended(&'static str),
+    /// A value of the specification is out of bounds; names the value and its bounds.
     #[error("{0}")]
     Malformed(&'static str),
 }
@@ -205,7 +207,7 @@
 }
 
 impl Batch {
-    /// A batch whose dry run gave `counts`, and that has not been started.
+    /// Creates a batch in the state `Planned` with the `counts` of its dry run.
     ///
     /// # Errors
     ///
@@ -234,17 +236,17 @@
         })
     }
 
-    /// Who resends its records, as [`crate::RecordState::Sending`] names it.
+    /// The sender's name in [`crate::RecordState::Sending`] for records that this batch resends.
     #[must_use]
     pub fn sender_name(&self) -> String {
         format!("batch {}", self.spec.name)
     }
 
-    /// Carries a command out; one that the batch complies with already changes nothing.
+    /// Executes a command. Running a running batch, or pausing one that is not running, changes nothing.
     ///
     /// # Errors
     ///
-    /// A [`BatchError`] if the batch has another version or has ended.
+    /// [`BatchError::Version`] if the batch has another version, [`BatchError::Ended`] if it has ended.
     pub fn apply_command(
         &mut self,
         command: BatchCommand,
@@ -254,8 +256,8 @@
         if version.is_some_and(|expected| expected != self.version) {
             return Err(BatchError::Version(self.version));
         }
-        if self.state.is_over() {
-            return Err(BatchError::Over(self.state.as_str()));
+        if self.state.has_ended() {
+            return Err(BatchError::Ended(self.state.as_str()));
         }
         let state = match (command, &self.state) {
             (BatchCommand::Run, BatchState::Running)
@@ -277,16 +279,17 @@
         Ok(())
     }
 
-    /// Whether a record may be resent now, by the state, the concurrency and the rate of the batch.
+    /// Checks whether the batch's state, concurrency limit and rate permit a resend now.
     ///
     /// # Errors
     ///
-    /// The moment from which the rate allows it, in Unix time; [`Micros::MAX`] if it waits for an outcome or a command.
+    /// The time from which the rate permits a resend, in Unix time, or [`Micros::MAX`] if the batch waits for an
+    /// outcome or a command.
     pub fn check_pace(&mut self, now: Micros) -> Result<(), Micros> {
         if self.state != BatchState::Running || self.in_flight >= self.spec.at_once {
             return Err(Micros::MAX);
         }
-        // When the clock was set back no time has passed, and the tokens stay as they are.
+        // If the clock was set back, the elapsed time counts as 0 and no token is added.
         let seconds = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_SECOND;
         self.rate_tokens = (self.rate_tokens + seconds * self.spec.per_second).min(MAX_RATE_TOKENS);
         self.refilled_at = now;
@@ -297,13 +300,13 @@
         Err(now.saturating_add(wait.ceil() as Micros + 1))
     }
 
-    /// A record was examined and skipped.
+    /// Records that a record was examined and skipped.
     pub fn record_skipped(&mut self, id: RecordId) {
         self.last_examined = self.last_examined.max(id);
         self.counts.skipped += 1;
     }
 
-    /// A resend of a record was begun.
+    /// Records that a resend of a record was started.
     pub fn record_sent(&mut self, id: RecordId) {
         self.last_examined = self.last_examined.max(id);
         self.rate_tokens -= 1.0;
@@ -311,7 +314,7 @@
         self.counts.sent += 1;
     }
 
-    /// A resend has ended, with or without delivery. Returns true if the batch stops for that.
+    /// Records the end of a resend, with or without delivery. Returns whether this outcome stops the batch.
     pub fn record_outcome(&mut self, delivered: bool) -> bool {
         self.in_flight = self.in_flight.saturating_sub(1);
         if delivered {
@@ -337,7 +340,7 @@
         stops
     }
 
-    /// No record is left to examine: the batch is done once none of its resends is in flight.
+    /// Records that no record is left to examine. A running batch is done once no resend is in flight.
     pub fn mark_exhausted(&mut self) {
         self.last_examined = self.last_planned;
         if self.state == BatchState::Running && self.in_flight == 0 {
@@ -346,7 +349,7 @@
         }
     }
 
-    /// After a restart, `in_flight` of its resends continue; the rate starts without a token.
+    /// Restores the pace after a restart, with `in_flight` resends that continue. The rate limiter starts empty.
     pub fn resume_after_restart(&mut self, in_flight: u32, now: Micros) {
         self.in_flight = in_flight;
         self.rate_tokens = 0.0;
--- a/crates/undeliverable/src/batch/tests.rs
+++ b/crates/undeliverable/src/batch/tests.rs
@@ -16,12 +16,12 @@
     let mut batch = Batch::plan(spec(), "ann", 0, 100, BatchCounts::default()).expect("in bounds");
     batch
         .apply_command(BatchCommand::Run, Some(1), 0)
-        .expect("planned");
+        .expect("starts a planned batch");
     batch
 }
 
 #[test]
-fn batch_keeps_its_rate_and_its_limit_of_concurrent_resends() {
+fn batch_respects_its_rate_and_its_limit_of_concurrent_resends() {
     let (mut batch, mut now, mut sent) = (running(), 0, Vec::new());
     while now < 10_000_000 {
         if batch.check_pace(now).is_ok() {
@@ -41,7 +41,7 @@
     );
     assert!(
         (14..=17).contains(&sent.len()),
-        "three in flight, which end every two seconds: {}",
+        "at most three in flight, all of which end every two seconds: {}",
         sent.len()
     );
 }
@@ -66,11 +66,11 @@
     );
     batch
         .apply_command(BatchCommand::Run, None, 99_000_000)
-        .expect("a stopped batch has not ended");
+        .expect("resumes a stopped batch");
     assert!(batch.check_pace(99_000_000).is_ok());
     assert!(
         !batch.record_outcome(false),
-        "failures from before the command do not count"
+        "failures before the command do not count"
     );
 }
 
@@ -83,18 +83,18 @@
     );
     batch
         .apply_command(BatchCommand::Run, Some(2), 0)
-        .expect("no change");
+        .expect("accepts a command that changes nothing");
     assert_eq!(batch.version, 2);
     batch
         .apply_command(BatchCommand::Pause, Some(2), 0)
-        .expect("running");
+        .expect("pauses a running batch");
     assert_eq!(batch.check_pace(5_000_000), Err(Micros::MAX));
     batch
         .apply_command(BatchCommand::Cancel, Some(3), 0)
-        .expect("paused");
+        .expect("cancels a paused batch");
     assert_eq!(
         batch.apply_command(BatchCommand::Run, None, 0),
-        Err(BatchError::Over("cancelled"))
+        Err(BatchError::Ended("cancelled"))
     );
 }
 
@@ -115,7 +115,9 @@
 #[test]
 fn backward_clock_step_neither_refills_nor_blocks_the_rate() {
     let mut batch = running();
-    batch.check_pace(50_000_000).expect("a token");
+    batch
+        .check_pace(50_000_000)
+        .expect("the first token is available");
     batch.record_sent(1);
     assert!(batch.check_pace(10_000_000).is_err());
     assert!(batch.check_pace(10_600_000).is_ok());
--- a/crates/undeliverable/src/filter.rs
+++ b/crates/undeliverable/src/filter.rs
@@ -1,4 +1,4 @@
-//! Selects records by their properties.
+//! A filter that selects records by their properties.
 
 use serde::{Deserialize, Serialize};
 use tenancy::Scope;
@@ -6,26 +6,26 @@
 use crate::record::{Reason, Record, RecordState};
 use crate::Micros;
 
-/// Conditions on a record. It matches if it meets every condition that is set; none matches every record.
+/// Conditions on a record. A record matches if it meets every condition that is set; an empty filter matches all.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Filter {
-    /// The number of its destination.
+    /// The number of the message's destination.
     pub destination: Option<u16>,
-    /// Its class.
+    /// The message's class.
     pub class: Option<String>,
-    /// The reason why it was given up most recently.
+    /// Why the message was given up most recently.
     pub reason: Option<Reason>,
-    /// Its tenant, by name.
+    /// The name of the message's tenant.
     pub tenant: Option<String>,
-    /// The tenants that the caller may see, of which it belongs to one.
+    /// The tenants that the caller may see; the message's tenant must be one of them.
     pub scope: Option<Scope>,
-    /// It was given up at this moment or later, in Unix time.
+    /// The message was given up at this time or later, in Unix time.
     pub since: Option<Micros>,
-    /// It was given up before this moment, in Unix time.
+    /// The message was given up before this time, in Unix time.
     pub until: Option<Micros>,
     /// Whether one of its attempts may have run.
     pub may_have_run: Option<bool>,
-    /// Its state, by [`RecordState::as_str`].
+    /// The record's state, as given by [`RecordState::as_str`].
     pub state: Option<String>,
 }
 
@@ -55,7 +55,7 @@
                 .is_none_or(|wanted| *wanted == record.state.as_str())
     }
 
-    /// The same conditions on open records alone.
+    /// This filter, restricted to open records.
     #[must_use]
     pub fn only_open(&self) -> Self {
         Filter {
--- a/crates/undeliverable/src/lib.rs
+++ b/crates/undeliverable/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages that were given up: their records, which of them may be sent again, and their store.
+//! Undeliverable messages: the records of messages that were given up, the policy for resending them, and their store.
 //!
-//! All decisions are free of I/O: [`resend_policy`] decides whether a record may be sent again, [`record`] has the
-//! transitions of its state, [`batch`] and [`rules`] decide which records are resent next. [`store`] keeps records in
-//! an embedded database over a file that the caller opens. Each record has a version that grows with every change; a
-//! request for a change names the version that its caller has read, so that of two concurrent requests one fails.
+//! All decisions are free of I/O: [`resend_policy`] decides whether a record may be resent, [`record`] implements its
+//! state transitions, and [`batch`] and [`rules`] decide which records are resent next. [`store`] keeps records in an
+//! embedded database over a file that the caller opens. Each record has a version that increases with every change. A
+//! change request names the version that its caller has read, so one of two concurrent requests fails.
 
 pub mod attestation;
 pub mod batch;
@@ -16,7 +16,7 @@
 #[cfg(test)]
 mod test_records;
 
-/// A moment in Unix time or a duration, in microseconds.
+/// A point in Unix time or a duration, in microseconds.
 pub type Micros = u64;
 
 pub use filter::Filter;
--- a/crates/undeliverable/src/record/mod.rs
+++ b/crates/undeliverable/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! A message that was given up: its stored form, and the transitions of its state.
+//! The record of a message that was given up: its stored form and its state transitions.
 
 mod error;
 mod stored;
--- a/crates/undeliverable/src/record/stored.rs
+++ b/crates/undeliverable/src/record/stored.rs
@@ -1,5 +1,4 @@
-//! The stored form of a record. Postcard writes it by position: fields and variants keep their order, and none is
-//! added or taken out.
+//! The stored form of a record. Postcard encodes it by position, so no field or variant may be moved, added or removed.
 
 use serde::{Deserialize, Serialize};
 use tenancy::registry::tenant_name;
@@ -7,11 +6,11 @@
 use crate::attestation::Attestation;
 use crate::Micros;
 
-/// Number of a record in its store; numbers grow in the order in which records were added.
+/// Number of a record in its store, from 1, in the order of insertion.
 pub type RecordId = u64;
-/// Maximum attempts of one record; beyond that, those of the newer half that did not run are replaced first.
+/// Maximum attempts of one record. Beyond that, attempts of the newer half that did not run are replaced first.
 pub const MAX_ATTEMPTS: usize = 64;
-/// Maximum attestations of one record; beyond that the oldest is replaced.
+/// Maximum attestations of one record. Beyond that, the oldest is replaced.
 pub const MAX_ATTESTATIONS: usize = 16;
 /// Maximum length of an operator's or a batch's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
@@ -19,41 +18,41 @@
 /// Whether a message may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// Repeats have no further effect.
+    /// Repeated execution has no further effect.
     Idempotent,
-    /// Destinations ignore repeats of an idempotency key during a window.
+    /// Destinations ignore repeated use of an idempotency key within a window.
     Keyed {
-        /// Length of the window, from the first attempt that may have run.
+        /// Length of the window, which starts with the first attempt that may have run.
         window: Micros,
     },
-    /// It must not run twice.
+    /// The message must not run twice.
     NonIdempotent,
 }
 
-/// Why a message was given up. The vocabulary is fixed: an identifier is never given another meaning.
+/// Why a message was given up. The identifiers are stable: none is reused with another meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// Its deadline passed before any call.
+    /// The deadline passed before any call.
     OutOfTimeUnsent,
-    /// Its deadline passed after at least one call.
+    /// The deadline passed after at least one call.
     OutOfTime,
-    /// Its attempts were exhausted.
+    /// All permitted attempts were made.
     AttemptsSpent,
-    /// It may have run and must not run twice.
+    /// The message may have run and must not run twice.
     MayHaveRun,
-    /// It may have run, and its destination no longer remembers its key.
+    /// The message may have run, and the destination no longer remembers its idempotency key.
     KeyForgotten,
-    /// Its tenant was removed.
+    /// The tenant was removed.
     TenantRemoved,
-    /// Its class or tenant no longer exists after a restart.
+    /// The class or tenant does not exist after a restart.
     NotKnown,
-    /// The delivery policy gave it up for another reason.
+    /// The delivery policy gave the message up for another reason.
     GivenUp,
 }
 
 impl Reason {
-    /// All of them, in the order of their stored numbers.
+    /// All reasons, in the order of their stored numbers.
     pub const ALL: [Reason; 8] = [
         Reason::OutOfTimeUnsent,
         Reason::OutOfTime,
@@ -65,7 +64,7 @@
         Reason::GivenUp,
     ];
 
-    /// Its identifier, in lower case with hyphens.
+    /// The identifier, in lower case with hyphens.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -80,7 +79,7 @@
         }
     }
 
-    /// The reason with this identifier.
+    /// The reason with this identifier; none if the identifier is unknown.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         Reason::ALL
@@ -97,9 +96,9 @@
     Unknown,
     /// The host responded with an error.
     Error,
-    /// The host rejected it.
+    /// The host rejected the message without running it.
     Refused,
-    /// No response in time.
+    /// The host did not respond in time.
     TimedOut,
     /// The connection could not be established.
     NotConnected,
@@ -117,15 +116,15 @@
 /// An attempt to deliver a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// When it was sent, in Unix time.
+    /// When the attempt was sent, in Unix time.
     pub sent: Micros,
-    /// The host's name; empty where it is not known.
+    /// The host's name; empty if unknown.
     pub host: String,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// False once it is known not to have run.
+    /// False if the message is known not to have run in this attempt.
     pub may_have_run: bool,
-    /// 0 for attempts before the message was given up, else the number of the resend.
+    /// The number of the resend that the attempt belongs to; 0 for attempts before the message was given up.
     pub resend: u32,
 }
 
@@ -137,35 +136,35 @@
     Delivered,
     /// An earlier attempt had taken effect.
     AppliedBefore,
-    /// An operator discarded it.
+    /// An operator discarded the record.
     Discarded,
 }
 
 /// The state of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RecordState {
-    /// It may be claimed, sent again or closed.
+    /// The record may be claimed, resent or closed.
     Open,
-    /// An operator has reserved it; nobody else may change it until the lease ends.
+    /// An operator has reserved the record; no other operator may change it until the lease ends.
     Claimed {
-        /// The operator.
+        /// The operator's name.
         by: String,
         /// End of the lease, in Unix time.
         until: Micros,
     },
     /// A resend is in flight.
     Sending {
-        /// Who requested it: an operator, a batch or a rule.
+        /// Who requested the resend: an operator, a batch or a rule.
         by: String,
-        /// When it began, in Unix time.
+        /// When the resend started, in Unix time.
         since: Micros,
     },
-    /// Nothing is left to be done since that moment, in Unix time.
+    /// No further action is needed. Holds the resolution and when the record was closed, in Unix time.
     Closed(Resolution, Micros),
 }
 
 impl RecordState {
-    /// Its identifier, in lower case with hyphens; a closed record is named by its resolution.
+    /// The identifier, in lower case with hyphens; for a closed record, that of its resolution.
     #[must_use]
     pub fn as_str(&self) -> &'static str {
         match self {
@@ -182,24 +181,24 @@
 /// The message as it was submitted, without its body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
-    /// Its id on the wire.
+    /// The message's id on the wire.
     pub name: String,
-    /// Its tenant, as the journal names it.
+    /// The tenant's reference in the journal: its name, with `/generation` after the first generation.
     pub tenant: String,
-    /// Its class.
+    /// The message's class.
     pub class: String,
-    /// The number of its destination.
+    /// The destination's number.
     pub destination: u16,
-    /// Its idempotency key.
+    /// The idempotency key, if the message has one.
     pub idempotency_key: Option<String>,
-    /// Its ordering key.
+    /// The ordering key, if the message has one.
     pub ordering_key: Option<u64>,
-    /// Its deadline, in Unix time.
+    /// The deadline, in Unix time.
     pub deadline: Micros,
 }
 
 impl Origin {
-    /// The tenant's name, without the incarnation that the journal adds.
+    /// The tenant's name, without the generation in the journal's reference.
     #[must_use]
     pub fn tenant_name(&self) -> &str {
         tenant_name(&self.tenant)
@@ -209,30 +208,30 @@
 /// A message that was given up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The message.
+    /// The message as it was submitted.
     pub origin: Origin,
-    /// Whether it may run more than once.
+    /// Whether the message may run more than once.
     pub idempotency: Idempotency,
-    /// Size of its body, in bytes.
+    /// Size of the message's body, in bytes.
     pub size: u32,
-    /// When it was first given up, in Unix time; a resend that fails does not change it.
+    /// When the message was first given up, in Unix time. A failed resend does not change it.
     pub given_up_at: Micros,
-    /// Why it was given up most recently.
+    /// Why the message was given up most recently.
     pub reason: Reason,
-    /// Its attempts in order, at most [`MAX_ATTEMPTS`].
+    /// Attempts in order, at most [`MAX_ATTEMPTS`].
     pub attempts: Vec<Attempt>,
-    /// Its attestations in order, at most [`MAX_ATTESTATIONS`].
+    /// Attestations in order, at most [`MAX_ATTESTATIONS`].
     pub attestations: Vec<Attestation>,
-    /// Its state.
+    /// The current state.
     pub state: RecordState,
-    /// Grows with every change.
+    /// Increases with every change; a request may name the version that it expects.
     pub version: u32,
-    /// How often it has been sent again.
+    /// Number of resends that were started.
     pub resends: u32,
 }
 
 impl Record {
-    /// Whether one of its attempts may have run, by the attempts alone.
+    /// Whether at least one attempt may have run. Attestations are not considered.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.may_have_run)
--- a/crates/undeliverable/src/record/tests.rs
+++ b/crates/undeliverable/src/record/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn claim_excludes_other_operators_until_it_expires_and_changes_raise_the_version() {
+fn claim_excludes_other_operators_until_it_expires_and_changes_increment_the_version() {
     let mut record = record(Idempotency::Idempotent, Vec::new());
     record.claim("ann", Some(1), 100, 50).expect("not claimed");
     assert_eq!(
@@ -65,7 +65,7 @@
 fn only_one_resend_is_in_flight_and_backward_clock_step_expires_no_claim() {
     let mut record = record(Idempotency::Idempotent, Vec::new());
     record.claim("ann", None, 1000, 500).expect("not claimed");
-    // With the clock set back the claim lasts longer, never shorter.
+    // If the clock is set back, the claim lasts longer, never shorter.
     assert!(record.check_unclaimed("bob", None, 10).is_err());
     assert_eq!(record.begin_resend("ann", 1000), 1);
     assert_eq!(
@@ -92,7 +92,7 @@
     assert_eq!(
         record.attempts.len(),
         1,
-        "a closed record has no more attempts"
+        "a closed record accepts no further attempts"
     );
 }
 
--- a/crates/undeliverable/src/record/transitions.rs
+++ b/crates/undeliverable/src/record/transitions.rs
@@ -1,4 +1,4 @@
-//! The transitions of a record's state. Each one that changes the record raises its version.
+//! State transitions of a record. Each transition that changes the record increments its version.
 
 use super::error::RecordError;
 use super::stored::{
@@ -8,19 +8,19 @@
 use crate::attestation::{Attestation, Attester, ExecutionClaim};
 use crate::Micros;
 
-/// The oldest attempts, none of which is replaced: they show how the record began.
+/// Number of oldest attempts that are never replaced, so that the start of the record's history is kept.
 const PROTECTED_OLDEST_ATTEMPTS: usize = MAX_ATTEMPTS / 2;
 
 impl Record {
-    /// Whether `who` may change the record: it has the expected version, is not closed, has no resend in flight, and
-    /// nobody else's claim on it is in force.
+    /// Checks that `operator` may change the record: it has the expected version, is not closed, has no resend in
+    /// flight, and no other operator's claim on it is in force.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] if the version is another one, or the record is claimed, being sent, or closed.
+    /// A [`RecordError`] if the version differs, or the record is claimed, being resent, or closed.
     pub fn check_unclaimed(
         &self,
-        who: &str,
+        operator: &str,
         version: Option<u32>,
         now: Micros,
     ) -> Result<(), RecordError> {
@@ -28,7 +28,7 @@
             return Err(RecordError::Version(self.version));
         }
         match &self.state {
-            RecordState::Claimed { by, until } if by != who && *until > now => {
+            RecordState::Claimed { by, until } if by != operator && *until > now => {
                 Err(RecordError::Claimed(by.clone()))
             }
             RecordState::Open | RecordState::Claimed { .. } => Ok(()),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Open or claimed becomes claimed, for `lease` from now on.
+    /// Open or claimed becomes claimed by `operator`, for `lease` from now on.
     ///
     /// # Errors
     ///
@@ -45,48 +45,49 @@
     /// [`MAX_NAME_BYTES`].
     pub fn claim(
         &mut self,
-        who: &str,
+        operator: &str,
         version: Option<u32>,
         now: Micros,
         lease: Micros,
     ) -> Result<(), RecordError> {
-        if who.is_empty() || who.len() > MAX_NAME_BYTES {
+        if operator.is_empty() || operator.len() > MAX_NAME_BYTES {
             return Err(RecordError::Malformed(
                 "the operator's name is empty or too long",
             ));
         }
-        self.check_unclaimed(who, version, now)?;
+        self.check_unclaimed(operator, version, now)?;
         self.transition_to(RecordState::Claimed {
-            by: who.into(),
+            by: operator.into(),
             until: now.saturating_add(lease),
         });
         Ok(())
     }
 
-    /// Claimed becomes open. A record that is not claimed stays as it is.
+    /// Claimed becomes open. A record that is not claimed does not change.
     ///
     /// # Errors
     ///
     /// A [`RecordError`] as for [`Record::check_unclaimed`].
     pub fn release(
         &mut self,
-        who: &str,
+        operator: &str,
         version: Option<u32>,
         now: Micros,
     ) -> Result<(), RecordError> {
-        self.check_unclaimed(who, version, now)?;
+        self.check_unclaimed(operator, version, now)?;
         if matches!(self.state, RecordState::Claimed { .. }) {
             self.transition_to(RecordState::Open);
         }
         Ok(())
     }
 
-    /// Adds an attestation; the state stays. It replaces the same operator's earlier one on the same resend, while
-    /// all of the partner's are kept. `requested_at` is when the claim was asked for, in Unix time.
+    /// Adds an attestation; the state does not change. An operator's attestation replaces the same operator's earlier
+    /// one for the same number of resends. All attestations of the partner are kept. `requested_at` is when the claim
+    /// was requested, in Unix time.
     ///
     /// # Errors
     ///
-    /// A [`RecordError`] as for [`Record::check_unclaimed`], unless the partner itself attests on a claimed record.
+    /// A [`RecordError`] as for [`Record::check_unclaimed`], except that the partner may attest on a claimed record.
     pub fn attest(
         &mut self,
         attester: Attester,
@@ -96,7 +97,7 @@
         now: Micros,
     ) -> Result<(), RecordError> {
         match (&attester, &self.state) {
-            // A claim keeps other operators out, not the partner's response.
+            // A claim excludes other operators, but not the partner's response.
             (Attester::Partner, RecordState::Claimed { .. }) => {}
             (Attester::Partner, _) => self.check_unclaimed("", version, now)?,
             (Attester::Operator(name), _) => self.check_unclaimed(name, version, now)?,
@@ -120,11 +121,11 @@
         Ok(())
     }
 
-    /// Open or claimed becomes sending; returns the number of the resend.
+    /// Open or claimed becomes sending. Returns the number of the resend, from 1.
     pub fn begin_resend(&mut self, by: &str, now: Micros) -> u32 {
         debug_assert!(
             matches!(self.state, RecordState::Open | RecordState::Claimed { .. }),
-            "one resend at a time"
+            "a resend starts only from an open or claimed record"
         );
         self.resends += 1;
         self.transition_to(RecordState::Sending {
@@ -134,15 +135,16 @@
         self.resends
     }
 
-    /// Sending becomes open, as the process ended before the resend was submitted. Its number is not used again.
+    /// Sending becomes open because the process ended before the resend was submitted. The number of the resend is not
+    /// reused.
     pub fn abort_resend(&mut self) {
         if matches!(self.state, RecordState::Sending { .. }) {
             self.transition_to(RecordState::Open);
         }
     }
 
-    /// Sending becomes open, as the outcome of the resend is lost. It may have run at any time since it began, so
-    /// both ends of that span are added as attempts that may have run.
+    /// Sending becomes open because the outcome of the resend is lost. The resend may have run at any time since it
+    /// started, so an attempt that may have run is added at either end of that period.
     pub fn record_unknown_outcome(&mut self, now: Micros) {
         let RecordState::Sending { since, .. } = self.state else {
             return;
@@ -159,8 +161,8 @@
         self.reopen_after_resend(attempts, None);
     }
 
-    /// Any state but closed becomes sending, where the store has lost the change that began the resend `number`,
-    /// which the journal still has.
+    /// Any state but closed becomes sending. Used if the store has lost the change that started the resend `number`,
+    /// but the journal still contains that resend.
     pub fn continue_resend(&mut self, by: &str, number: u32, now: Micros) {
         if self.resends < number && !matches!(self.state, RecordState::Closed(..)) {
             self.resends = number;
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Sending becomes open, as the resend ended without delivery. Its attempts are added; `None` keeps the reason.
+    /// Sending becomes open because the resend ended without delivery. The attempts of the resend are added. A `reason`
+    /// of `None` keeps the earlier reason.
     pub fn reopen_after_resend(&mut self, attempts: Vec<Attempt>, reason: Option<Reason>) {
         if !matches!(self.state, RecordState::Sending { .. }) {
             return;
@@ -183,13 +186,13 @@
         self.transition_to(RecordState::Open);
     }
 
-    /// Any state becomes closed.
+    /// Any state becomes closed with this resolution.
     pub fn resolve(&mut self, resolution: Resolution, now: Micros) {
         self.transition_to(RecordState::Closed(resolution, now));
     }
 
-    /// Adds an attempt. Past [`MAX_ATTEMPTS`] it replaces one of the newer half: the oldest of these that did not
-    /// run, or the oldest if all may have.
+    /// Adds an attempt. Beyond [`MAX_ATTEMPTS`], it replaces one of the newer half: the oldest of these that did not
+    /// run, or the oldest of these if all of them may have run.
     fn push_attempt(&mut self, attempt: Attempt) {
         if self.attempts.len() >= MAX_ATTEMPTS {
             let dispensable = (PROTECTED_OLDEST_ATTEMPTS..self.attempts.len())
--- a/crates/undeliverable/src/resend_blocked.rs
+++ b/crates/undeliverable/src/resend_blocked.rs
@@ -1,27 +1,27 @@
-//! Why a message may not be sent again as things stand.
+//! Why a message may not be resent at present.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The condition that has to be met before a resend, or the reason why there is none.
+/// The condition that has to be met before a resend, or the reason why no resend is possible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResendBlocked {
-    /// No attestation counts: the partner's is needed, or those of two operators.
+    /// No attestation counts: an attestation by the partner or by two operators is needed.
     NeedsAttestation,
     /// Attestations contradict each other: two operators have to agree after the last contradiction.
     NeedsAgreement,
     /// One operator has attested; a second one has to agree.
     NeedsSecondOperator,
-    /// The message has taken effect: the record is to be closed.
+    /// The message has taken effect; the record should be closed.
     Applied,
-    /// The record has been sent again as often as [`crate::ResendPolicy::max_resends`] allows.
+    /// The record has been resent [`crate::ResendPolicy::max_resends`] times.
     ResendsExhausted,
 }
 
 impl ResendBlocked {
-    /// Its identifier on the wire, in lower case with hyphens.
+    /// The identifier on the wire, in lower case with hyphens.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/undeliverable/src/resend_policy.rs
+++ b/crates/undeliverable/src/resend_policy.rs
@@ -1,15 +1,15 @@
-//! Whether a message may be sent again.
+//! The policy that decides whether a message may be resent.
 //!
 //! | idempotency | an attempt may have run | resend |
 //! | --- | --- | --- |
 //! | idempotent | either | permitted |
 //! | keyed, non-idempotent | no | permitted |
 //! | keyed | yes, and its destination still remembers the key | permitted with the same key, until the key expires |
-//! | keyed | yes, and the key may have expired | as a non-idempotent one |
-//! | non-idempotent | yes | permitted once attestations establish that it was not applied |
+//! | keyed | yes, and the key may have expired | as for a non-idempotent message |
+//! | non-idempotent | yes | permitted once attestations establish that the message was not applied |
 //!
-//! Attestations that establish an effect block every resend, whatever the idempotency; the record is then closed as
-//! applied before. How attestations resolve stands in [`crate::attestation`].
+//! Attestations that establish an effect block every resend, regardless of idempotency; the record is then closed as
+//! applied before. [`crate::attestation`] describes how attestations resolve.
 
 use crate::attestation::{self, AttestationWindow};
 use crate::record::{Idempotency, Record};
@@ -17,53 +17,53 @@
 
 pub use crate::resend_blocked::ResendBlocked;
 
-/// The moment and the limits that a resend is checked against.
+/// The current time and the limits that a resend is checked against.
 #[derive(Clone, Copy, Debug)]
 pub struct ResendPolicy {
-    /// Now, in Unix time.
+    /// The current Unix time.
     pub now: Micros,
-    /// How long before the end of its window a key counts as expired, so that the resend still arrives in time.
+    /// How long before the end of its window a key counts as expired, so that a resend arrives within the window.
     pub key_expiry_margin: Micros,
-    /// How long after it was sent an attempt may still be running; an attestation requested sooner does not cover it.
+    /// How long an attempt may still be running after it was sent. An attestation requested earlier does not cover it.
     pub settle_time: Micros,
-    /// How long a partner's attestation stays in date.
+    /// How long a partner's attestation of `not applied` remains valid.
     pub attestation_validity: Micros,
     /// Maximum resends of one record.
     pub max_resends: u32,
 }
 
-/// How a message may be sent again.
+/// How a message may be resent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResendPermit {
     /// As a message that has never run.
     AsNew,
-    /// With its idempotency key, as a message that may have run at `first`; not after the key's window has ended.
+    /// With its idempotency key, as a message that may have run at `first`, and only within the key's window.
     Keyed {
         /// When the first attempt that may have run was sent, in Unix time.
         first: Micros,
     },
 }
 
-/// Whether a message may be sent again now.
+/// Checks whether a message may be resent now, and how.
 ///
 /// # Errors
 ///
-/// The [`ResendBlocked`] that has to be met first.
+/// The [`ResendBlocked`] condition that prevents the resend.
 pub fn check_resend(record: &Record, policy: &ResendPolicy) -> Result<ResendPermit, ResendBlocked> {
     let attested = resolve_attestations(record, policy);
-    // What is known to have taken effect is never sent again, whatever its idempotency.
+    // A message that is known to have taken effect is never resent, regardless of its idempotency.
     if attested == Err(ResendBlocked::Applied) {
         return Err(ResendBlocked::Applied);
     }
     if record.resends >= policy.max_resends {
         return Err(ResendBlocked::ResendsExhausted);
     }
-    let first_doubt = record
+    let first_possible_run = record
         .attempts
         .iter()
         .find(|attempt| attempt.may_have_run)
         .map(|attempt| attempt.sent);
-    match (record.idempotency, first_doubt) {
+    match (record.idempotency, first_possible_run) {
         (_, None) | (Idempotency::Idempotent, _) => Ok(ResendPermit::AsNew),
         (Idempotency::Keyed { window }, Some(first)) if is_key_valid(first, window, policy) => {
             Ok(ResendPermit::Keyed { first })
@@ -74,14 +74,14 @@
     }
 }
 
-/// Whether the destination still remembers a key that it first saw at `first`. With a clock that was set back to
-/// before that, the key's age is not known, and it counts as expired.
+/// Whether the destination still remembers a key that it first received at `first`. If the clock was set back to a time
+/// before `first`, the key's age is unknown and the key counts as expired.
 fn is_key_valid(first: Micros, window: Micros, policy: &ResendPolicy) -> bool {
     policy.now >= first
         && policy.now.saturating_add(policy.key_expiry_margin) < first.saturating_add(window)
 }
 
-/// Whether it is established that no attempt took effect.
+/// Checks that the record's attestations establish that no attempt took effect.
 fn resolve_attestations(record: &Record, policy: &ResendPolicy) -> Result<(), ResendBlocked> {
     let settled_at = record
         .attempts
--- a/crates/undeliverable/src/resend_policy/tests.rs
+++ b/crates/undeliverable/src/resend_policy/tests.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// The attester of a name; the empty name is the partner.
+/// The attester with this name; the empty name stands for the partner.
 fn attester(name: &str) -> Attester {
     if name.is_empty() {
         Attester::Partner
@@ -105,7 +105,7 @@
     assert_eq!(
         check(ExecutionClaim::NotApplied, 30 * SECOND, 20 * SECOND),
         Err(ResendBlocked::NeedsAttestation),
-        "from before the clock was set back"
+        "the claim is dated in the future, as the clock was set back"
     );
     assert_eq!(
         check(ExecutionClaim::Unknown, 12 * SECOND, 20 * SECOND),
@@ -114,7 +114,7 @@
     assert_eq!(
         check(ExecutionClaim::Applied, 1, 20 * SECOND),
         Err(ResendBlocked::Applied),
-        "an effect does not go away, whenever it was claimed"
+        "a claim of an effect counts regardless of its time"
     );
 }
 
@@ -198,7 +198,7 @@
     );
 }
 
-/// A claim of the partner, whose name is empty, or of an operator; the moment is in seconds.
+/// A claim by the partner, whose name is empty, or by an operator; `at` is in seconds.
 #[derive(Clone, Debug)]
 struct Claimed {
     name: &'static str,
--- a/crates/undeliverable/src/rules.rs
+++ b/crates/undeliverable/src/rules.rs
@@ -1,4 +1,4 @@
-//! Rules by which records are resent automatically: on the recovery of their partner, or after a delay.
+//! Rules that resend records automatically, when their partner has recovered or after a delay.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,34 +8,35 @@
 
 /// Consecutive deliveries after which a partner counts as recovered.
 const RECOVERY_DELIVERIES: usize = 3;
-/// The window of a rule's rate.
+/// The window over which a rule's rate is counted, in microseconds.
 const RATE_WINDOW: Micros = 60_000_000;
 
 /// When a rule resends a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RuleTrigger {
-    /// Once its partner has accepted three consecutive live calls since the record's last attempt.
+    /// Once the partner has accepted three consecutive live calls since the record's last attempt.
     Recovered,
-    /// This delay after it was given up; each further resend is due one delay later.
+    /// This long after the message was given up, in microseconds; each further resend is due one such delay later.
     After(Micros),
 }
 
 /// A rule from the operator's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Its name.
+    /// The name under which the rule resends records.
     pub name: String,
-    /// The records that it resends.
+    /// Selects the records to resend.
     pub filter: Filter,
-    /// When it resends them.
-    pub when: RuleTrigger,
-    /// Maximum resends in a minute.
+    /// When a selected record is resent.
+    pub trigger: RuleTrigger,
+    /// Maximum resends per minute.
     pub per_minute: u32,
-    /// Maximum resends of a record, whoever requested them.
-    pub resends: u32,
+    /// Maximum resends of one record, including those by operators, batches and other rules.
+    pub max_resends: u32,
 }
 
-/// The health of partners by live calls alone. Resends do not count, as one delivery would release all others.
+/// The health of partners, judged by live calls only. Resends do not count: otherwise a delivered resend would trigger
+/// all others.
 #[derive(Debug, Default)]
 pub struct PartnerHealth {
     /// By destination: when the latest deliveries since the last failure ended, at most [`RECOVERY_DELIVERIES`].
@@ -43,7 +44,7 @@
 }
 
 impl PartnerHealth {
-    /// A live call has ended, with or without delivery.
+    /// Records the end of a live call, with or without delivery.
     pub fn record_call(&mut self, destination: u16, delivered: bool, now: Micros) {
         let deliveries = self.deliveries.entry(destination).or_default();
         if !delivered {
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Since when a partner is recovered: the earliest of its last three consecutive deliveries. None if it has fewer.
+    /// The time since which a partner counts as recovered: the earliest of its last three consecutive deliveries. None
+    /// if there are fewer.
     #[must_use]
     pub fn healthy_since(&self, destination: u16) -> Option<Micros> {
         self.deliveries
@@ -81,7 +83,7 @@
 }
 
 impl Rules {
-    /// Rules that have not resent anything yet.
+    /// Activates rules, with no resends counted against their rates.
     #[must_use]
     pub fn new(rules: Vec<Rule>) -> Self {
         Rules {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Whether there are none.
+    /// Whether no rule is configured.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rules.is_empty()
@@ -125,7 +127,7 @@
             .max(record.given_up_at);
         self.rules.iter_mut().position(|active| {
             let rule = &active.rule;
-            let is_due = match rule.when {
+            let is_due = match rule.trigger {
                 RuleTrigger::Recovered => partners
                     .healthy_since(record.origin.destination)
                     .is_some_and(|since| since > last_attempt),
@@ -137,13 +139,14 @@
                 }
             };
             is_due
-                && record.resends < rule.resends
+                && record.resends < rule.max_resends
                 && rule.filter.matches(record)
                 && active.has_capacity(now)
         })
     }
 
-    /// The rule at this index has resent a record. Returns who did, as [`RecordState::Sending`] names it.
+    /// Counts a resend against the rate of the rule at this index. Returns the sender's name in
+    /// [`RecordState::Sending`].
     pub fn record_resend(&mut self, rule: usize, now: Micros) -> String {
         let Some(active) = self.rules.get_mut(rule) else {
             return String::new();
@@ -154,9 +157,9 @@
 }
 
 impl ActiveRule {
-    /// Whether the rate allows a resend now; forgets the resends that have left the window.
+    /// Whether the rate permits a resend now. Removes the resends that have left the window.
     fn has_capacity(&mut self, now: Micros) -> bool {
-        // When the clock was set back, a resend in the future counts as one of now.
+        // If the clock was set back, a resend dated in the future counts as having been sent now.
         for resent_at in &mut self.resent_at {
             *resent_at = (*resent_at).min(now);
         }
--- a/crates/undeliverable/src/rules/tests.rs
+++ b/crates/undeliverable/src/rules/tests.rs
@@ -4,13 +4,13 @@
 use crate::record::Idempotency;
 use crate::test_records::{attempt, record};
 
-fn rule(when: RuleTrigger) -> Rule {
+fn rule(trigger: RuleTrigger) -> Rule {
     Rule {
         name: "r".into(),
         filter: Filter::default(),
-        when,
+        trigger,
         per_minute: 2,
-        resends: 3,
+        max_resends: 3,
     }
 }
 
@@ -32,7 +32,7 @@
     assert_eq!(
         rules.matching_rule(&record, &partners, 8_000_000),
         None,
-        "one of the deliveries was before the last attempt"
+        "one of the three deliveries precedes the last attempt"
     );
     partners.record_call(3, true, 7_600_000);
     assert_eq!(rules.matching_rule(&record, &partners, 8_000_000), Some(0));
@@ -40,12 +40,12 @@
     assert_eq!(
         rules.matching_rule(&record, &partners, 8_000_000),
         Some(0),
-        "another partner's failure"
+        "a failure of another partner has no effect"
     );
 }
 
 #[test]
-fn each_resend_waits_another_delay_and_rule_keeps_its_rate() {
+fn each_resend_waits_another_delay_and_rule_respects_its_rate() {
     let (partners, mut rules) = (
         PartnerHealth::default(),
         Rules::new(vec![rule(RuleTrigger::After(10_000_000))]),
@@ -68,7 +68,7 @@
     assert_eq!(
         rules.matching_rule(&record, &partners, 26_000_000),
         None,
-        "two a minute"
+        "the rate is two resends per minute"
     );
     assert!(
         !rules.has_capacity(1_000_000),
@@ -82,6 +82,6 @@
     assert_eq!(
         rules.matching_rule(&record, &partners, 999_000_000),
         None,
-        "resent as often as the rule allows"
+        "the rule's maximum of resends is reached"
     );
 }
--- a/crates/undeliverable/src/store/batches.rs
+++ b/crates/undeliverable/src/store/batches.rs
@@ -9,7 +9,7 @@
 use crate::batch::Batch;
 
 impl Store {
-    /// All batches, by name. One that can't be read is skipped and counted.
+    /// All batches, ordered by name. A batch that can't be read is skipped and counted.
     ///
     /// # Errors
     ///
@@ -26,7 +26,7 @@
         Ok(batches)
     }
 
-    /// Stores a batch as it is now, in place of an earlier one of its name.
+    /// Stores a batch, replacing an earlier one of the same name.
     ///
     /// # Errors
     ///
--- a/crates/undeliverable/src/store/database.rs
+++ b/crates/undeliverable/src/store/database.rs
@@ -17,8 +17,9 @@
 }
 
 impl Store {
-    /// Opens the store in a file, or creates it in an empty one. The whole file is checked, so that a damaged one gives
-    /// an error and no wrong records. With `syncs` a committed change outlasts the machine, else only the process.
+    /// Opens the store in a file, or creates it in an empty one. The whole file is checked, so that a damaged file
+    /// results in an error and not in wrong records. With `syncs`, a committed change survives a crash of the machine;
+    /// otherwise only a crash of the process.
     ///
     /// # Errors
     ///
@@ -39,7 +40,7 @@
         })
     }
 
-    /// Decodes a record; one that can't be read is counted.
+    /// Decodes a record. A record that can't be read is counted.
     pub(super) fn decode_record(&self, id: RecordId, encoded: &[u8]) -> Result<Record, StoreError> {
         decode(encoded).ok_or_else(|| {
             self.count_unreadable_value();
--- a/crates/undeliverable/src/store/encoding.rs
+++ b/crates/undeliverable/src/store/encoding.rs
@@ -1,37 +1,36 @@
-//! The encoding of stored values: a CRC-32 (little-endian) of all that follows it, the version of the encoding in one
-//! byte, and the payload.
+//! The encoding of stored values: a little-endian CRC-32 of the bytes after it, one byte with the version of the
+//! encoding, and the payload.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
 use super::error::StoreError;
 
-/// Version of the encoding.
 const ENCODING_VERSION: u8 = 1;
 const CHECKSUM_BYTES: usize = 4;
 /// Bytes before the payload.
 pub(super) const HEADER_BYTES: usize = CHECKSUM_BYTES + 1;
 
-/// Encodes a value in postcard's form.
+/// Encodes a value with postcard, after the header.
 pub(super) fn encode(value: &impl Serialize) -> Result<Vec<u8>, StoreError> {
     let encoded = postcard::to_extend(value, vec![0; HEADER_BYTES])
         .map_err(|e| StoreError::Database(e.to_string()))?;
     Ok(fill_header(encoded))
 }
 
-/// Encodes bytes as they are.
+/// Encodes bytes unchanged, after the header.
 pub(super) fn encode_bytes(payload: &[u8]) -> Vec<u8> {
     let mut encoded = vec![0; HEADER_BYTES];
     encoded.extend_from_slice(payload);
     fill_header(encoded)
 }
 
-/// The value, unless its header or its payload is damaged.
+/// Decodes a value; none if its header or payload is damaged.
 pub(super) fn decode<T: DeserializeOwned>(encoded: &[u8]) -> Option<T> {
     postcard::from_bytes(decode_bytes(encoded)?).ok()
 }
 
-/// The payload, unless its checksum or version is another one.
+/// The payload; none if the checksum or the version does not match.
 pub(super) fn decode_bytes(encoded: &[u8]) -> Option<&[u8]> {
     let (checksum, checked) = encoded.split_first_chunk::<CHECKSUM_BYTES>()?;
     let (version, payload) = checked.split_first()?;
@@ -40,7 +39,7 @@
     is_intact.then_some(payload)
 }
 
-/// Fills the first [`HEADER_BYTES`], which are zero, for what follows them.
+/// Writes the header into the first [`HEADER_BYTES`], which must be zero.
 fn fill_header(mut encoded: Vec<u8>) -> Vec<u8> {
     encoded[CHECKSUM_BYTES] = ENCODING_VERSION;
     let checksum = crc32fast::hash(&encoded[CHECKSUM_BYTES..]);
--- a/crates/undeliverable/src/store/error.rs
+++ b/crates/undeliverable/src/store/error.rs
@@ -4,13 +4,13 @@
 
 use crate::record::RecordId;
 
-/// Why something could not be stored or read.
+/// Why a value could not be stored or read.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The database or its file returned an error. The request was not carried out.
     #[error("the store of undeliverable messages: {0}")]
     Database(String),
-    /// The file is damaged: nothing in it can be relied on.
+    /// The file is damaged, and none of its content can be trusted.
     #[error("the store of undeliverable messages is spoilt: {0}")]
     Corrupt(String),
     /// The value of this record can't be read.
--- a/crates/undeliverable/src/store/eviction.rs
+++ b/crates/undeliverable/src/store/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction of what exceeds the limits of a store, the oldest first.
+//! Eviction of records beyond the limits of a store, oldest first.
 
 use redb::{ReadableTable, WriteTransaction};
 
@@ -7,7 +7,7 @@
 use super::error::StoreError;
 use super::group::GroupBy;
 use super::tables::{
-    current_total, remove_record, value_or_zero, BYTE_TOTAL, COUNTS, DROPPED, INDEX, RECORDS,
+    current_total, remove_record, value_or_zero, BYTE_TOTAL, COUNTS, EVICTIONS, INDEX, RECORDS,
     RECORD_TOTAL, TENANT_BYTES_KEY,
 };
 use crate::record::{Record, RecordId, RecordState};
@@ -16,13 +16,13 @@
 /// Limits of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Maximum bytes of all records.
+    /// Maximum bytes of all records, as counted in [`StoreTotals::bytes`](super::StoreTotals::bytes).
     pub bytes: u64,
     /// Maximum bytes of one tenant's records.
     pub tenant_bytes: u64,
     /// Maximum records.
     pub records: u64,
-    /// How long after it was given up a record is kept.
+    /// How long a record is kept after its message was given up, in microseconds.
     pub age: Micros,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl EvictionCause {
-    /// Its name in the table of evicted records.
+    /// The identifier in the table of evicted records.
     fn as_str(self) -> &'static str {
         match self {
             EvictionCause::Age => "age",
@@ -50,11 +50,11 @@
 /// One of the oldest records.
 struct OldestRecord {
     id: RecordId,
-    /// None if the record can't be read.
+    /// When the message was given up, in Unix time; none if the record can't be read.
     given_up_at: Option<Micros>,
 }
 
-/// An eviction that is under way in a transaction.
+/// An eviction in progress within a transaction.
 struct Eviction<'a> {
     transaction: &'a WriteTransaction,
     limits: &'a StoreLimits,
@@ -64,9 +64,9 @@
 }
 
 impl Store {
-    /// Evicts records beyond the limits, at most `max_evictions`; returns how many were evicted. More may be left.
-    /// First go those past their age, then those of tenants beyond their bytes, then those beyond the store's bytes and
-    /// number. A record with a resend in flight is passed over.
+    /// Evicts at most `max_evictions` records beyond the limits, and returns how many were evicted; further ones may
+    /// remain. Records past the maximum age are evicted first, then records of tenants beyond their bytes, then records
+    /// beyond the store's total bytes and number. A record with a resend in flight is skipped.
     ///
     /// # Errors
     ///
@@ -99,8 +99,8 @@
 }
 
 impl Eviction<'_> {
-    /// Numbers of records grow with time, so the oldest come first; after the clock was set back, some of them are
-    /// kept longer than their age. A record that can't be read counts as past its age.
+    /// Record numbers increase with time, so the oldest records are listed first. After the clock was set back, some of
+    /// them are kept longer than the maximum age. A record that can't be read counts as past the maximum age.
     fn evict_beyond_age(&mut self, oldest: &[OldestRecord], now: Micros) -> Result<(), StoreError> {
         for record in oldest {
             let is_expired = record
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Evicts a record and counts it, unless it is gone already or a resend of it is in flight.
+    /// Evicts a record and counts it, unless it was already removed or a resend of it is in flight.
     fn evict(&mut self, id: RecordId, cause: EvictionCause) -> Result<(), StoreError> {
         let encoded = self
             .transaction
@@ -166,7 +166,7 @@
             return Ok(());
         }
         remove_record(self.transaction, id, record.as_ref())?;
-        // Of a record that can't be read the tenant is not known.
+        // The tenant of a record that can't be read is unknown.
         let tenant = record
             .as_ref()
             .map_or("", |record| record.origin.tenant_name());
@@ -186,7 +186,7 @@
     tenant: &str,
     cause: EvictionCause,
 ) -> Result<(), StoreError> {
-    let mut table = transaction.open_table(DROPPED)?;
+    let mut table = transaction.open_table(EVICTIONS)?;
     let key = (tenant, cause.as_str());
     let count = value_or_zero(&table, key)?;
     table.insert(key, count + 1)?;
--- a/crates/undeliverable/src/store/group.rs
+++ b/crates/undeliverable/src/store/group.rs
@@ -3,23 +3,24 @@
 use crate::filter::Filter;
 use crate::record::Record;
 
-/// A property by which records are indexed and counted. Its number is a key in the index and the counts.
+/// A property by which records are indexed and counted. Its discriminant is part of the keys of the index and the
+/// counts, so the order of the variants is part of the stored format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GroupBy {
-    /// The destination.
+    /// The destination's number, padded to five digits.
     Destination,
-    /// The class.
+    /// The message's class.
     Class,
-    /// The reason.
+    /// The identifier of the reason why the message was given up.
     Reason,
-    /// The tenant.
+    /// The tenant's name.
     Tenant,
-    /// The state.
+    /// The identifier of the record's state.
     State,
 }
 
 impl GroupBy {
-    /// All of them, in the order of their numbers.
+    /// All properties, in the order of their numbers.
     pub const ALL: [GroupBy; 5] = [
         GroupBy::Destination,
         GroupBy::Class,
@@ -28,7 +29,7 @@
         GroupBy::State,
     ];
 
-    /// Its number in the keys of the index and the counts.
+    /// The number in the keys of the index and the counts.
     pub(super) fn key(self) -> u8 {
         self as u8
     }
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The only group that a filter admits; none if it admits several.
+    /// The only group that a filter matches; none if it matches several.
     pub(super) fn group_in(self, filter: &Filter) -> Option<String> {
         match self {
             GroupBy::Destination => filter.destination.map(destination_group),
@@ -56,7 +57,7 @@
     }
 }
 
-/// Padded to one length, so that groups are in the order of the numbers.
+/// Padded to a fixed length, so that groups are sorted by destination number.
 fn destination_group(destination: u16) -> String {
     format!("{destination:05}")
 }
--- a/crates/undeliverable/src/store/mod.rs
+++ b/crates/undeliverable/src/store/mod.rs
@@ -1,11 +1,12 @@
-//! Records in an embedded database (redb), over a file that the caller opens.
+//! The store of records, in an embedded database (redb) over a file that the caller opens.
 //!
-//! Each value carries a CRC-32 and the version of its encoding. All that belongs to a change is written in one
-//! transaction: a process that ends leaves all of it or nothing. A value that can't be read is skipped by queries and
-//! counted in [`GroupCounts::unreadable_values`].
+//! Each value has a CRC-32 and the version of its encoding. Each change is written in one transaction, so a crash of
+//! the process leaves it applied in whole or not at all. A value that can't be read is skipped by queries and counted
+//! in [`StoreTotals::unreadable_values`].
 //!
-//! [`StoreLimits`] bound the bytes of all records and of one tenant's, their age, and their number. What exceeds them
-//! is evicted, the oldest first, and counted by tenant and cause; a record with a resend in flight never is.
+//! [`StoreLimits`] bound the bytes of all records, the bytes of each tenant's records, and the age and number of
+//! records. Records beyond the limits are evicted, oldest first, and counted by tenant and cause. A record with a
+//! resend in flight is never evicted.
 
 mod batches;
 mod database;
@@ -25,4 +26,4 @@
 pub use error::StoreError;
 pub use eviction::StoreLimits;
 pub use group::GroupBy;
-pub use queries::{EvictionCount, GroupCounts, Page};
+pub use queries::{EvictionCount, Page, StoreTotals};
--- a/crates/undeliverable/src/store/queries.rs
+++ b/crates/undeliverable/src/store/queries.rs
@@ -1,4 +1,4 @@
-//! Pages, counts and totals.
+//! Queries of the store: pages of records, counts by group, and totals.
 
 use std::ops::Range;
 
@@ -8,12 +8,13 @@
 use super::error::StoreError;
 use super::group::GroupBy;
 use super::tables::{
-    read_total, value_or_zero, BYTE_TOTAL, COUNTS, DROPPED, INDEX, LAST_ID, RECORDS, RECORD_TOTAL,
+    read_total, value_or_zero, BYTE_TOTAL, COUNTS, EVICTIONS, INDEX, LAST_ID, RECORDS, RECORD_TOTAL,
 };
 use crate::filter::Filter;
 use crate::record::{Record, RecordId};
 
-/// Maximum records that one page examines: a filter that few records match gives a short page with a next one.
+/// Maximum records that one page examines. A filter that few records match therefore results in a short page that still
+/// has a next one.
 const MAX_EXAMINED_RECORDS: usize = 4000;
 
 /// A page of records.
@@ -21,30 +22,30 @@
 pub struct Page {
     /// The records, in the order of the query.
     pub records: Vec<(RecordId, Record)>,
-    /// The record from which the next page goes on; none at the end.
+    /// The last record that was examined, from which the next page continues; none if this is the last page.
     pub next: Option<RecordId>,
 }
 
-/// Evicted records of a tenant and a cause, since the store was created.
+/// The number of records evicted for one tenant and one cause since the store was created.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvictionCount {
     /// The tenant's name; empty for records that could not be read.
     pub tenant: String,
-    /// The limit that they exceeded: `age`, `tenant-bytes`, `bytes` or `records`.
+    /// The limit that the records exceeded: `age`, `tenant-bytes`, `bytes` or `records`.
     pub cause: String,
-    /// Records.
+    /// Number of evicted records.
     pub records: u64,
 }
 
 /// Totals of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct GroupCounts {
-    /// Records.
+pub struct StoreTotals {
+    /// Number of records in the store.
     pub records: u64,
     /// Bytes that count against the limits.
     pub bytes: u64,
-    /// Evicted records by tenant and cause, in their order.
-    pub dropped: Vec<EvictionCount>,
+    /// Evicted records, ordered by tenant and cause.
+    pub evictions: Vec<EvictionCount>,
     /// Values that could not be read since the store was opened.
     pub unreadable_values: u64,
 }
@@ -56,7 +57,7 @@
     OldestFirst,
 }
 
-/// The records of a page, out of which the filter selects.
+/// The query for one page.
 struct PageQuery<'a> {
     filter: &'a Filter,
     ids: Range<RecordId>,
@@ -64,7 +65,7 @@
     max_records: usize,
 }
 
-/// A group that contains every record that a filter matches.
+/// A group that contains every record that a filter matches, with its number of records.
 struct FilteredGroup {
     records: u64,
     group_by: GroupBy,
@@ -72,7 +73,7 @@
 }
 
 impl Store {
-    /// Records that match, newest first, with numbers below `before`.
+    /// A page of matching records with numbers below `before`, newest first.
     ///
     /// # Errors
     ///
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Records that match, oldest first, with numbers above `after`.
+    /// A page of matching records with numbers above `after`, oldest first.
     ///
     /// # Errors
     ///
@@ -110,7 +111,7 @@
         })
     }
 
-    /// Scans the smallest group that the filter names, or all records.
+    /// Scans the smallest group that the filter names, or all records if it names none.
     fn scan(&self, query: &PageQuery) -> Result<Page, StoreError> {
         let transaction = self.database.begin_read()?;
         let smallest = smallest_group(&transaction, query.filter)?;
@@ -128,7 +129,7 @@
         self.collect_page(query, &records, ids, |(_, _, id)| id)
     }
 
-    /// Collects the records that match, until the page is full or has examined its maximum.
+    /// Collects matching records until the page is full or [`MAX_EXAMINED_RECORDS`] were examined.
     fn collect_page<K: Key + 'static, V: Value + 'static>(
         &self,
         query: &PageQuery,
@@ -160,7 +161,7 @@
         Ok(page)
     }
 
-    /// Records of each group that is not empty, by group.
+    /// Number of records in each group that is not empty, ordered by group.
     ///
     /// # Errors
     ///
@@ -178,7 +179,7 @@
         Ok(counts)
     }
 
-    /// The last record's number; 0 if there has been none.
+    /// The number of the last record that was inserted; 0 if the store has never had one.
     ///
     /// # Errors
     ///
@@ -187,33 +188,33 @@
         read_total(&self.database.begin_read()?, LAST_ID)
     }
 
-    /// Totals of the store.
+    /// Totals over all records, and of evictions and unreadable values.
     ///
     /// # Errors
     ///
     /// [`StoreError::Database`] if the database or its file fails.
-    pub fn totals(&self) -> Result<GroupCounts, StoreError> {
+    pub fn totals(&self) -> Result<StoreTotals, StoreError> {
         let transaction = self.database.begin_read()?;
-        let mut dropped = Vec::new();
-        for entry in transaction.open_table(DROPPED)?.iter()? {
+        let mut evictions = Vec::new();
+        for entry in transaction.open_table(EVICTIONS)?.iter()? {
             let (key, count) = entry?;
             let (tenant, cause) = key.value();
-            dropped.push(EvictionCount {
+            evictions.push(EvictionCount {
                 tenant: tenant.into(),
                 cause: cause.into(),
                 records: count.value(),
             });
         }
-        Ok(GroupCounts {
+        Ok(StoreTotals {
             records: read_total(&transaction, RECORD_TOTAL)?,
             bytes: read_total(&transaction, BYTE_TOTAL)?,
-            dropped,
+            evictions,
             unreadable_values: self.unreadable_values(),
         })
     }
 }
 
-/// The smallest of the groups that a filter names, the first of equal ones; none if it names none.
+/// The smallest of the groups that a filter names, or the first of several equally small ones; none if it names none.
 fn smallest_group(
     transaction: &ReadTransaction,
     filter: &Filter,
--- a/crates/undeliverable/src/store/records.rs
+++ b/crates/undeliverable/src/store/records.rs
@@ -1,4 +1,4 @@
-//! Insertion, reading and change of single records.
+//! Inserting, reading and updating single records.
 
 use redb::{ReadableDatabase, ReadableTable, WriteTransaction};
 
@@ -9,8 +9,8 @@
 use crate::record::{Record, RecordId};
 
 impl Store {
-    /// Inserts records, each with the body of its message, and returns their numbers. A message that is stored already
-    /// keeps its record and number: the journal submits again what it does not know to be stored.
+    /// Inserts records, each with the body of its message, and returns their numbers. A message that is already stored
+    /// keeps its record and number, because the journal resubmits messages that it does not know to be stored.
     ///
     /// # Errors
     ///
@@ -25,7 +25,7 @@
         Ok(ids)
     }
 
-    /// The record with this number.
+    /// The record with this number; none if there is no such record.
     ///
     /// # Errors
     ///
@@ -40,7 +40,7 @@
             .transpose()
     }
 
-    /// The body of a record's message.
+    /// The body of a record's message; none if there is no such record.
     ///
     /// # Errors
     ///
@@ -59,8 +59,8 @@
         Ok(Some(body.to_vec()))
     }
 
-    /// Changes a record, in one transaction with its place in the index and the counts. `change` gets the record as it
-    /// is now; where it returns an error, nothing is written. `None` if there is no such record.
+    /// Changes a record together with its entries in the index and the counts, in one transaction. `change` receives
+    /// the current record; if it returns an error, nothing is written. Returns `None` if there is no such record.
     ///
     /// # Errors
     ///
--- a/crates/undeliverable/src/store/recovery.rs
+++ b/crates/undeliverable/src/store/recovery.rs
@@ -1,5 +1,5 @@
-//! Opens and checks the database's file. redb recovers by itself from a process that ended within a transaction; what
-//! it cannot recover is an error here, and the caller decides what becomes of the file.
+//! Opens and checks the database's file. redb recovers from a process that ended within a transaction. Damage that redb
+//! cannot recover from is reported as an error, and the caller decides what to do with the file.
 
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -10,15 +10,15 @@
 use super::error::StoreError;
 use super::tables::create_tables;
 
-/// Memory for the database's pages, in bytes.
+/// Size of the database's page cache, in bytes.
 const PAGE_CACHE_BYTES: usize = 16 << 20;
 
-/// Whether a committed change outlasts the machine or only the process.
+/// Whether a committed change survives a crash of the machine or only of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Durability {
-    /// Each commit is synced to the disk.
+    /// Each commit is synced to disk.
     Machine,
-    /// Commits are written and not synced.
+    /// Commits are written but not synced.
     Process,
 }
 
@@ -60,7 +60,7 @@
 ///
 /// [`StoreError::Corrupt`] if the file is damaged, [`StoreError::Database`] if it cannot be read or written.
 pub(super) fn open_database(backend: impl StorageBackend) -> Result<Database, StoreError> {
-    // redb may panic on a file whose bytes are arbitrary.
+    // redb may panic on a file with arbitrary content.
     catch_unwind(AssertUnwindSafe(|| check_and_open(backend))).unwrap_or_else(|_| {
         Err(StoreError::Corrupt(
             "the file can't be made sense of".into(),
--- a/crates/undeliverable/src/store/tables.rs
+++ b/crates/undeliverable/src/store/tables.rs
@@ -1,5 +1,5 @@
-//! The tables, and the changes of several of them that belong together. Names, types and keys are the stored form and
-//! do not change.
+//! The tables, and changes that update several of them together. Names, types and keys are part of the stored format
+//! and must not change.
 
 use redb::{ReadTransaction, ReadableTable, TableDefinition, WriteTransaction};
 
@@ -8,65 +8,65 @@
 use super::group::GroupBy;
 use crate::record::{Record, RecordId};
 
-/// Records by their number, encoded in postcard's form.
+/// Records by number, encoded with postcard.
 pub(super) const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
-/// Bodies of the messages by the number of the record.
+/// Message bodies by the number of the record.
 pub(super) const BODIES: TableDefinition<u64, &[u8]> = TableDefinition::new("bodies");
-/// The number of the record by [`origin_key`].
+/// Record numbers by [`origin_key`].
 pub(super) const ORIGINS: TableDefinition<&str, u64> = TableDefinition::new("origins");
-/// Keys: [`GroupBy::key`], a group, the number of a record in it.
+/// The records of each group. A key consists of [`GroupBy::key`], the group, and the number of a record in it.
 pub(super) const INDEX: TableDefinition<(u8, &str, u64), ()> = TableDefinition::new("index");
-/// Records of a group by [`GroupBy::key`] and group, and bytes of a tenant by [`TENANT_BYTES_KEY`] and tenant.
+/// Number of records by [`GroupBy::key`] and group, and bytes by [`TENANT_BYTES_KEY`] and tenant.
 pub(super) const COUNTS: TableDefinition<(u8, &str), u64> = TableDefinition::new("counts");
-/// Evicted records by tenant and cause.
-pub(super) const DROPPED: TableDefinition<(&str, &str), u64> = TableDefinition::new("dropped");
-/// Batches by name, encoded in postcard's form.
+/// Number of evicted records by tenant and cause.
+pub(super) const EVICTIONS: TableDefinition<(&str, &str), u64> = TableDefinition::new("dropped");
+/// Batches by name, encoded with postcard.
 pub(super) const BATCHES: TableDefinition<&str, &[u8]> = TableDefinition::new("batches");
 /// Totals by name.
-pub(super) const NUMBERS: TableDefinition<&str, u64> = TableDefinition::new("numbers");
+pub(super) const TOTALS: TableDefinition<&str, u64> = TableDefinition::new("numbers");
 
-/// Total: the last record's number.
+/// Total: number of the last record that was inserted.
 pub(super) const LAST_ID: &str = "last";
-/// Total: records in the store.
+/// Total: number of records in the store.
 pub(super) const RECORD_TOTAL: &str = "records";
 /// Total: bytes that count against the limits.
 pub(super) const BYTE_TOTAL: &str = "bytes";
 
-/// Beside [`GroupBy::key`], the first part of a key in [`COUNTS`] of a tenant's bytes.
+/// First part of a key in [`COUNTS`] for a tenant's bytes, where other keys have [`GroupBy::key`].
 pub(super) const TENANT_BYTES_KEY: u8 = 100;
-/// Bytes that a record takes beside its encoded form and its body: its keys in the tables.
+/// Bytes that a record takes in addition to its encoded form and its body, for its keys in the tables.
 const KEY_OVERHEAD_BYTES: usize = 160;
 
-/// Makes the tables that are not there yet.
+/// Creates the tables that do not exist yet.
 pub(super) fn create_tables(transaction: &WriteTransaction) -> Result<(), StoreError> {
     transaction.open_table(RECORDS)?;
     transaction.open_table(BODIES)?;
     transaction.open_table(ORIGINS)?;
     transaction.open_table(INDEX)?;
     transaction.open_table(COUNTS)?;
-    transaction.open_table(DROPPED)?;
+    transaction.open_table(EVICTIONS)?;
     transaction.open_table(BATCHES)?;
-    transaction.open_table(NUMBERS)?;
+    transaction.open_table(TOTALS)?;
     Ok(())
 }
 
-/// Identifies a message that was given up, so that a second insertion of it is recognized.
+/// Identifies a message that was given up, so that a repeated insertion is detected.
 pub(super) fn origin_key(record: &Record) -> String {
     let origin = &record.origin;
     format!("{}\n{}\n{}", origin.tenant, origin.name, origin.deadline)
 }
 
-/// One of the totals, as a reader sees it.
+/// One of the totals, as of the start of a read transaction.
 pub(super) fn read_total(transaction: &ReadTransaction, name: &str) -> Result<u64, StoreError> {
-    value_or_zero(&transaction.open_table(NUMBERS)?, name)
+    value_or_zero(&transaction.open_table(TOTALS)?, name)
 }
 
-/// One of the totals, with the changes of this transaction.
+/// One of the totals, including the changes of this write transaction.
 pub(super) fn current_total(transaction: &WriteTransaction, name: &str) -> Result<u64, StoreError> {
-    value_or_zero(&transaction.open_table(NUMBERS)?, name)
+    value_or_zero(&transaction.open_table(TOTALS)?, name)
 }
 
-/// The value at a key; 0 if there is none.
+/// The value at a key; 0 if the key does not exist.
 pub(super) fn value_or_zero<'k, K: redb::Key + 'static>(
     table: &impl ReadableTable<K, u64>,
     key: impl std::borrow::Borrow<K::SelfType<'k>>,
@@ -74,19 +74,19 @@
     Ok(table.get(key)?.map_or(0, |value| value.value()))
 }
 
-/// Adds to one of the totals, and returns the sum; it does not go below 0.
+/// Adds to one of the totals, and returns the sum, which is at least 0.
 pub(super) fn add_to_total(
     transaction: &WriteTransaction,
     name: &str,
     change: i64,
 ) -> Result<u64, StoreError> {
-    let mut table = transaction.open_table(NUMBERS)?;
+    let mut table = transaction.open_table(TOTALS)?;
     let sum = value_or_zero(&table, name)?.saturating_add_signed(change);
     table.insert(name, sum)?;
     Ok(sum)
 }
 
-/// Adds to one of the counts; one of 0 is taken out.
+/// Adds to one of the counts, and removes its entry at 0.
 fn add_to_count(
     transaction: &WriteTransaction,
     key: (u8, &str),
@@ -107,8 +107,8 @@
     (encoded_bytes + body_bytes + KEY_OVERHEAD_BYTES) as i64
 }
 
-/// Writes a record as it is after a change or, without `before`, for the first time; with it its place in the index,
-/// the counts and the totals.
+/// Writes a record after a change or, without `before`, for the first time. Updates the index, the counts and the
+/// totals accordingly.
 pub(super) fn write_record(
     transaction: &WriteTransaction,
     id: RecordId,
@@ -142,7 +142,7 @@
     Ok(())
 }
 
-/// Moves a record from one group to another one, in the index and the counts.
+/// Moves a record from one group to another in the index and the counts.
 fn move_in_index(
     transaction: &WriteTransaction,
     group_by: GroupBy,
@@ -162,8 +162,8 @@
     add_to_count(transaction, (group_by.key(), new_group), 1)
 }
 
-/// Removes a record with its body. Of one that can't be read, whose groups are not known, the entries in the index,
-/// the counts and the origins stay.
+/// Removes a record with its body. The groups of a record that can't be read are unknown, so its entries in the index,
+/// the counts and the origins remain.
 pub(super) fn remove_record(
     transaction: &WriteTransaction,
     id: RecordId,
--- a/crates/undeliverable/src/store/tests.rs
+++ b/crates/undeliverable/src/store/tests.rs
@@ -85,7 +85,7 @@
     loop {
         let page = store.page(&filter, before, 2).expect("read");
         listed.extend(page.records.iter().map(|(id, _)| *id));
-        // New records have larger numbers and are on no later page.
+        // New records have larger numbers, so no later page contains them.
         store
             .insert(&[(numbered_record(100 + listed.len() as u64, 1, "beta"), b"x")])
             .expect("inserted");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn update_moves_record_in_indexes_and_refused_update_writes_nothing() {
+fn update_moves_record_in_indexes_and_rejected_update_writes_nothing() {
     let store = store_of(6);
     let closed = store.update(2, |record| {
         record.resolve(Resolution::Discarded, 5);
@@ -143,11 +143,11 @@
         store.counts(GroupBy::Reason).expect("read"),
         [("given-up".into(), 1), ("out-of-time".into(), 5)]
     );
-    let refused = store.update(1, |record| {
+    let rejected = store.update(1, |record| {
         record.resolve(Resolution::Discarded, 5);
         Err::<(), _>(RecordError::Sending)
     });
-    assert_eq!(refused.expect("read"), Some(Err(RecordError::Sending)));
+    assert_eq!(rejected.expect("read"), Some(Err(RecordError::Sending)));
     assert_eq!(
         store.find(1).expect("read").map(|record| record.state),
         Some(RecordState::Open)
@@ -160,7 +160,7 @@
     );
 }
 
-/// Evicts at most 100 records, and returns how many were.
+/// Evicts at most 100 records, and returns how many were evicted.
 fn evict(store: &Store, limits: &StoreLimits, now: u64) -> u64 {
     store
         .evict_beyond_limits(limits, now, 100)
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn eviction_removes_oldest_counts_them_and_spares_records_being_sent() {
+fn eviction_removes_and_counts_the_oldest_but_keeps_records_being_sent() {
     let store = store_of(20);
     store
         .update(1, |record| {
@@ -185,7 +185,7 @@
         age: 1000,
         ..UNLIMITED
     };
-    // The records of moments 1000 to 1009 are too old at 2009; the first is being sent.
+    // At time 2009, the records given up at 1000 to 1009 are too old; the first of them is being resent.
     assert_eq!(evict(&store, &by_age, 2009), 6);
     let bytes = store.totals().expect("read").bytes;
     let record_bytes = bytes / store.totals().expect("read").records;
@@ -205,7 +205,7 @@
     );
 }
 
-/// Limits the bytes of a tenant so that those of `beta` exceed them.
+/// Sets a limit on a tenant's bytes that only `beta` exceeds.
 fn check_eviction_by_tenant(store: &Store, record_bytes: u64) {
     let acme = store.counts(GroupBy::Tenant).expect("read")[0].clone();
     assert_eq!(acme, ("acme".into(), 3));
@@ -221,7 +221,7 @@
     );
 }
 
-/// Limits all bytes to those of three records, of which one call evicts two at most.
+/// Limits the store to the bytes of three records, and evicts at most two records per call.
 fn check_eviction_by_bytes(store: &Store, record_bytes: u64) {
     let by_bytes = StoreLimits {
         bytes: 3 * record_bytes,
@@ -233,12 +233,12 @@
         totals.bytes <= 3 * record_bytes + record_bytes / 2,
         "{totals:?}"
     );
-    let evicted: u64 = totals.dropped.iter().map(|evicted| evicted.records).sum();
+    let evicted: u64 = totals.evictions.iter().map(|evicted| evicted.records).sum();
     assert_eq!(evicted + totals.records, 20, "{totals:?}");
 }
 
 #[test]
-fn file_of_noise_is_an_error_without_panic() {
+fn file_with_arbitrary_bytes_is_an_error_without_panic() {
     let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(|_| {}));
     for seed in 0..8u8 {
--- a/crates/undeliverable/src/test_records.rs
+++ b/crates/undeliverable/src/test_records.rs
@@ -3,7 +3,7 @@
 use crate::record::{Attempt, Idempotency, Origin, Outcome, Reason, Record, RecordState};
 use crate::Micros;
 
-/// An attempt that timed out, or one that the host rejected if it cannot have run.
+/// An attempt that timed out if it may have run, or else one that the host rejected.
 pub(crate) fn attempt(sent: Micros, may_have_run: bool) -> Attempt {
     let outcome = if may_have_run {
         Outcome::TimedOut
@@ -19,7 +19,7 @@
     }
 }
 
-/// An open record of a payout of the tenant `acme`, given up after five seconds.
+/// An open record of a payout by the tenant `acme`, given up at 5 s.
 pub(crate) fn record(idempotency: Idempotency, attempts: Vec<Attempt>) -> Record {
     let origin = Origin {
         name: "m1".into(),
--- a/crates/undeliverable/tests/resend_policy.rs
+++ b/crates/undeliverable/tests/resend_policy.rs
@@ -1,5 +1,6 @@
-//! Golden cases of the resend policy. `tests/golden/resend-policy.txt` has them in terms that do not depend on the code,
-//! and its head explains them; what is here maps them to the crate's items. No test writes that file.
+//! Golden cases of the resend policy. `tests/golden/resend-policy.txt` lists them in a notation that does not depend on
+//! the code and is explained at the top of that file. This test maps the notation to the crate's items. No test writes
+//! the file.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,7 +13,7 @@
     ResendPolicy, Resolution,
 };
 
-/// The outcomes in the last column; there is a case of each.
+/// The outcomes in the last column of the file. Each of them needs at least one case.
 const ALL_OUTCOMES: [&str; 7] = [
     "may-go",
     "may-go-with-key",
@@ -28,13 +29,13 @@
     fs::read_to_string(path).expect("a golden file")
 }
 
-/// Microseconds of a moment in seconds with up to six decimals; `max` is the largest one.
-fn moment(text: &str) -> u64 {
+/// Parses a time in seconds with up to six decimals to microseconds; `max` is the largest time.
+fn micros(text: &str) -> u64 {
     if text == "max" {
         return u64::MAX;
     }
     let (whole, decimals) = text.split_once('.').unwrap_or((text, ""));
-    format!("{whole}{decimals:0<6}").parse().expect("a moment")
+    format!("{whole}{decimals:0<6}").parse().expect("a time")
 }
 
 fn number(text: &str) -> u32 {
@@ -45,10 +46,10 @@
     match text.split_once(' ').unwrap_or((text, "")) {
         ("safe", "") => Idempotency::Idempotent,
         ("keyed", window) => Idempotency::Keyed {
-            window: moment(window),
+            window: micros(window),
         },
         ("unsafe", "") => Idempotency::NonIdempotent,
-        _ => panic!("{text} is no idempotency"),
+        _ => panic!("{text} is not an idempotency"),
     }
 }
 
@@ -57,16 +58,16 @@
         ["open"] => RecordState::Open,
         ["claimed", by, until] => RecordState::Claimed {
             by: by.into(),
-            until: moment(until),
+            until: micros(until),
         },
         ["sending", by, since] => RecordState::Sending {
             by: by.into(),
-            since: moment(since),
+            since: micros(since),
         },
-        ["delivered", at] => RecordState::Closed(Resolution::Delivered, moment(at)),
-        ["applied-before", at] => RecordState::Closed(Resolution::AppliedBefore, moment(at)),
-        ["discarded", at] => RecordState::Closed(Resolution::Discarded, moment(at)),
-        _ => panic!("{text} is no state"),
+        ["delivered", at] => RecordState::Closed(Resolution::Delivered, micros(at)),
+        ["applied-before", at] => RecordState::Closed(Resolution::AppliedBefore, micros(at)),
+        ["discarded", at] => RecordState::Closed(Resolution::Discarded, micros(at)),
+        _ => panic!("{text} is not a state"),
     }
 }
 
@@ -75,10 +76,10 @@
     let may_have_run = match execution {
         "may-have-run" => true,
         "did-not-run" => false,
-        _ => panic!("{text} is no attempt"),
+        _ => panic!("{text} is not an attempt"),
     };
     Attempt {
-        sent: moment(sent),
+        sent: micros(sent),
         host: "h".into(),
         outcome: if may_have_run {
             Outcome::TimedOut
@@ -101,9 +102,9 @@
             "applied" => ExecutionClaim::Applied,
             "not-applied" => ExecutionClaim::NotApplied,
             "unknown" => ExecutionClaim::Unknown,
-            other => panic!("{other} is no claim"),
+            other => panic!("{other} is not a claim"),
         },
-        at: moment(columns[2]),
+        at: micros(columns[2]),
         resends: columns.get(3).map_or(resends, |column| {
             number(column.strip_prefix("resend-").expect("a resend"))
         }),
@@ -146,63 +147,69 @@
         Ok(ResendPermit::AsNew) => "may-go".into(),
         Ok(ResendPermit::Keyed { first }) => {
             let (seconds, micros) = (first / 1_000_000, first % 1_000_000);
-            assert_eq!(micros, 0, "whole seconds in the file");
+            assert_eq!(micros, 0, "the file has whole seconds only");
             format!("may-go-with-key {seconds}")
         }
         Err(blocked) => blocked.as_str().into(),
     }
 }
 
-/// The policy of a line `terms: margin 1 settle 2 ...`, which holds for the cases below it up to the next such line.
+/// Parses the policy of a line `terms: margin 1 settle 2 ...`, which applies to the cases up to the next such line.
 fn policy(text: &str, now: u64) -> ResendPolicy {
     let columns: Vec<&str> = text.split(' ').collect();
     let value = |name: &str| {
         let index = columns.iter().position(|column| *column == name);
-        columns[index.expect("every limit") + 1]
+        columns[index.expect("the line sets every limit") + 1]
     };
     ResendPolicy {
         now,
-        key_expiry_margin: moment(value("margin")),
-        settle_time: moment(value("settle")),
-        attestation_validity: moment(value("fresh")),
+        key_expiry_margin: micros(value("margin")),
+        settle_time: micros(value("settle")),
+        attestation_validity: micros(value("fresh")),
         max_resends: number(value("most-resends")),
     }
 }
 
 #[test]
-fn every_golden_case_has_its_outcome() {
+fn every_golden_case_has_its_expected_outcome() {
     let text = golden_cases();
-    let (mut in_force, mut differences, mut cases) = ("", Vec::new(), BTreeSet::new());
+    let (mut current_policy, mut differences, mut cases) = ("", Vec::new(), BTreeSet::new());
     let mut outcomes = BTreeSet::new();
     for line in text.lines() {
         if line.is_empty() || line.starts_with('#') {
             continue;
         }
         if let Some(text) = line.strip_prefix("terms: ") {
-            in_force = text;
+            current_policy = text;
             continue;
         }
         let (case, expected) = line.split_once(" -> ").expect("a case and its outcome");
         let columns: Vec<&str> = case.split(" | ").collect();
         assert_eq!(columns.len(), 6, "{line}");
-        assert!(cases.insert((in_force, case)), "twice: {line}");
-        let now = outcome(&record(&columns), &policy(in_force, moment(columns[5])));
-        outcomes.insert(now.split(' ').next().unwrap_or("").to_string());
-        if now != expected {
-            differences.push(format!("{line}\nnow: {now}\n"));
+        assert!(
+            cases.insert((current_policy, case)),
+            "duplicate case: {line}"
+        );
+        let actual = outcome(
+            &record(&columns),
+            &policy(current_policy, micros(columns[5])),
+        );
+        outcomes.insert(actual.split(' ').next().unwrap_or("").to_string());
+        if actual != expected {
+            differences.push(format!("{line}\nactual: {actual}\n"));
         }
     }
     let count = cases.len();
     assert!(
         differences.is_empty(),
-        "{} of {count} differ:\n{}",
+        "{} of {count} cases differ:\n{}",
         differences.len(),
         differences.concat()
     );
     assert_eq!(
         outcomes,
         ALL_OUTCOMES.map(String::from).into(),
-        "each outcome has a case"
+        "each outcome needs a case"
     );
 }
 
@@ -222,6 +229,6 @@
         ResendBlocked::Applied,
         ResendBlocked::ResendsExhausted,
     ];
-    let now = all_blocked.map(|blocked| format!("{}: {blocked}\n", blocked.as_str()));
-    assert_eq!(now.concat(), golden);
+    let actual = all_blocked.map(|blocked| format!("{}: {blocked}\n", blocked.as_str()));
+    assert_eq!(actual.concat(), golden);
 }
--- a/crates/undeliverable/tests/store_tables.rs
+++ b/crates/undeliverable/tests/store_tables.rs
@@ -1,6 +1,6 @@
-//! Golden files of the store beside those of `stored_format.rs`: the names and types of all tables, every kind of key
-//! and every variant of a stored value, as the database's own interface reads them from the file. Only how the values
-//! are made depends on the crate's items. No test writes the files in `tests/golden`.
+//! Further golden files of the store, in addition to those of `stored_format.rs`: the names and types of all tables,
+//! every kind of key and every variant of a stored value, read from the file through the database's own interface. Only
+//! the creation of the values depends on the crate's items. No test writes the files in `tests/golden`.
 
 use std::any::type_name;
 use std::collections::BTreeSet;
@@ -58,7 +58,8 @@
     }
 }
 
-/// One record of each reason, outcome and idempotency, with and without keys and attempts.
+/// A record whose reason is given and whose other properties vary with `number`, so that the numbers 1 to 8 cover every
+/// outcome and idempotency, with and without keys and attempts.
 fn record(number: u64, reason: Reason) -> Record {
     let outcomes = [
         Outcome::Unknown,
@@ -122,7 +123,8 @@
     record.attest(attester, claim, at, None, NOW)
 }
 
-/// Records in each state and with each claim, and with resends that failed, have an unknown outcome, and were aborted.
+/// Writes records in every state and with every claim, and with resends that failed, were aborted, or have an unknown
+/// outcome.
 fn write_records(store: &Store) {
     let records: Vec<(Record, &[u8])> = Reason::ALL
         .into_iter()
@@ -177,9 +179,9 @@
     }
 }
 
-/// A batch in each state, with all of its counts, and with filters of nothing and of everything.
+/// Writes a batch in every state, with all counts, and with filters that set no condition and every condition.
 fn write_batches(store: &Store) {
-    let everything = Filter {
+    let every_condition = Filter {
         destination: Some(65_535),
         class: Some("payout".into()),
         reason: Some(Reason::OutOfTimeUnsent),
@@ -192,17 +194,17 @@
     };
     let mut counts = BatchCounts {
         found: 9,
-        may_go: 4,
+        resendable: 4,
         ..BatchCounts::default()
     };
-    for need in [
+    for blocked in [
         "needs-word",
         "needs-agreement",
         "needs-second-operator",
         "applied",
         "resends-spent",
     ] {
-        counts.needs.insert(need.into(), 1);
+        counts.blocked.insert(blocked.into(), 1);
     }
     let plan = |name: &str| {
         Batch::plan(
@@ -214,7 +216,7 @@
         )
         .expect("in bounds")
     };
-    let planned = Batch::plan(spec("1-planned", everything), "ann", NOW, 8, counts);
+    let planned = Batch::plan(spec("1-planned", every_condition), "ann", NOW, 8, counts);
     let planned = planned.expect("in bounds");
     let run = |name: &str| {
         let mut batch = plan(name);
@@ -247,12 +249,12 @@
     for batch in [planned, running, paused, stopped, done, cancelled] {
         store.save_batch(&batch).expect("stored");
     }
-    store.save_batch(&plan("7-forgotten")).expect("stored");
-    store.remove_batch("7-forgotten").expect("removed");
+    store.save_batch(&plan("7-removed")).expect("stored");
+    store.remove_batch("7-removed").expect("removed");
 }
 
-/// A store from which a record was evicted for each cause, one of them unreadable.
-fn write_dropped(path: &Path) {
+/// Writes a store from which records were evicted for each cause, one of them unreadable.
+fn write_evictions(path: &Path) {
     let store = open(path);
     let records: Vec<(Record, &[u8])> = Reason::ALL
         .into_iter()
@@ -316,7 +318,7 @@
     assert!(left.records < before.records);
 }
 
-/// A key or a value in the text of a golden file.
+/// The notation of a key or value in a golden file.
 trait GoldenText {
     fn golden_text(&self) -> String;
 }
@@ -364,7 +366,7 @@
     }
 }
 
-/// The database refuses to open a table under other types than those that it was made with.
+/// Opens a table. redb rejects key and value types other than those that the table was created with.
 fn table<K: Key + 'static, V: Value + 'static>(
     read: &ReadTransaction,
     name: &str,
@@ -387,7 +389,7 @@
     }
 }
 
-/// All entries of all tables.
+/// The entries of all tables, one per line.
 fn dump(path: &Path) -> String {
     let database = Database::open(path).expect("a database");
     let read = database.begin_read().expect("readable");
@@ -403,7 +405,7 @@
     text
 }
 
-/// One line for a table: its name, and the types of its keys and values.
+/// One line with a table's name and the types of its keys and values.
 fn table_types<K: Key + 'static, V: Value + 'static>(read: &ReadTransaction, name: &str) -> String {
     drop(table::<K, V>(read, name));
     let (key, value) = (type_name::<K>(), type_name::<V>());
@@ -430,12 +432,12 @@
     let golden = golden("store-tables.txt");
     assert_eq!(types.concat(), golden);
     let named: BTreeSet<&str> = golden.lines().filter_map(|l| l.split(' ').next()).collect();
-    let there = read.list_tables().expect("tables");
-    let there: Vec<String> = there.map(|table| table.name().to_string()).collect();
+    let existing = read.list_tables().expect("tables");
+    let existing: Vec<String> = existing.map(|table| table.name().to_string()).collect();
     assert_eq!(
-        there.iter().map(String::as_str).collect::<BTreeSet<_>>(),
+        existing.iter().map(String::as_str).collect::<BTreeSet<_>>(),
         named,
-        "no other table is there"
+        "there is no other table"
     );
     assert_eq!(read.list_multimap_tables().expect("tables").count(), 0);
     fs::remove_dir_all(directory).expect("removed");
@@ -457,7 +459,7 @@
 fn counts_of_every_eviction_cause_are_unchanged() {
     let directory = create_directory("dropped");
     let path = directory.join("undeliverable.redb");
-    write_dropped(&path);
+    write_evictions(&path);
     let text = dump(&path);
     let lines = text.lines().filter(|line| {
         ["dropped", "counts", "numbers", "index"].contains(&line.split(' ').next().unwrap_or(""))
@@ -475,18 +477,18 @@
         .collect()
 }
 
-/// The golden file's bytes, inserted into a database directly, are read as the same records and batches.
+/// The golden file's bytes, inserted directly into a database, are read as the records and batches that were written.
 #[test]
 fn golden_bytes_of_every_variant_are_read() {
     let directory = create_directory("read");
-    let (by_hand, path) = (
-        directory.join("by-hand.redb"),
+    let (golden_path, path) = (
+        directory.join("golden.redb"),
         directory.join("undeliverable.redb"),
     );
-    let made = open(&path);
-    write_records(&made);
-    write_batches(&made);
-    let database = Database::create(&by_hand).expect("a database");
+    let written = open(&path);
+    write_records(&written);
+    write_batches(&written);
+    let database = Database::create(&golden_path).expect("a database");
     let writing = database.begin_write().expect("writable");
     for line in golden("store-variants.txt").lines() {
         let words: Vec<&str> = line.split(' ').collect();
@@ -508,15 +510,15 @@
     }
     writing.commit().expect("committed");
     drop(database);
-    let read = open(&by_hand);
+    let read = open(&golden_path);
     for id in 1..=8 {
         let record = read.find(id).expect("read");
         assert!(record.is_some(), "record {id}");
-        assert_eq!(record, made.find(id).expect("read"));
+        assert_eq!(record, written.find(id).expect("read"));
     }
     let batches = read.batches().expect("read");
     assert_eq!(batches.len(), 6);
-    assert_eq!(batches, made.batches().expect("read"));
+    assert_eq!(batches, written.batches().expect("read"));
     assert_eq!(read.totals().expect("read").unreadable_values, 0);
     fs::remove_dir_all(directory).expect("removed");
 }
--- a/crates/undeliverable/tests/stored_format.rs
+++ b/crates/undeliverable/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Golden files of the store: this version writes the same tables, keys and values as the one that made them, and
-//! reads its database. The files in `tests/golden` are never rewritten by a test.
+//! Golden files of the store: the current version writes the same tables, keys and values as the version that created
+//! the files, and reads that version's database. No test writes the files in `tests/golden`.
 
 use std::fmt::Write;
 use std::fs;
@@ -45,7 +45,7 @@
     }
 }
 
-/// One record of each reason, each with attempts of every outcome.
+/// One record for each reason, each with attempts of every outcome.
 fn records() -> Vec<Record> {
     let outcomes = [
         Outcome::Unknown,
@@ -93,7 +93,7 @@
     Reason::ALL.into_iter().zip(1..).map(record).collect()
 }
 
-/// Records in every state, an evicted one, attestations and batches.
+/// Writes records in every state, attestations and batches, and evicts one record.
 fn write_store(path: &Path) {
     let now = 1_796_168_070_000_000;
     let store = open(path);
@@ -172,10 +172,10 @@
     };
     let mut counts = BatchCounts {
         found: 3,
-        may_go: 2,
+        resendable: 2,
         ..BatchCounts::default()
     };
-    counts.needs.insert("key-forgotten".into(), 1);
+    counts.blocked.insert("key-forgotten".into(), 1);
     let planned = Batch::plan(spec("nightly"), "ann", now, 8, counts).expect("a plan");
     store.save_batch(&planned).expect("stored");
     let mut running =
@@ -192,7 +192,7 @@
         .fold(String::new(), |text, byte| text + &format!("{byte:02x}"))
 }
 
-/// Every table as the database itself has it.
+/// The content of every table, read through the database's own interface.
 fn dump(path: &Path) -> String {
     const NUMBERED: [TableDefinition<u64, &[u8]>; 2] = [
         TableDefinition::new("records"),
@@ -337,7 +337,7 @@
     let totals = store.totals().expect("read");
     assert_eq!((totals.records, totals.unreadable_values), (7, 0));
     assert_eq!(
-        totals.dropped,
+        totals.evictions,
         [EvictionCount {
             tenant: "beta".into(),
             cause: "records".into(),
