--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -1,7 +1,7 @@
-//! Entries of the audit log: who changed which tenant, from which state to which.
+//! Entries of the audit log: who changed which tenant, and its state before and after.
 //!
-//! The doc comments of the fields are the descriptions in the administration API's document, which stays as it is;
-//! those of the types are given to the document by `schema(description)`.
+//! The doc comments of the fields are the descriptions in the OpenAPI document of the administration API. The
+//! descriptions of the types are set by `schema(description)`.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -66,7 +66,7 @@
 }
 
 impl Entry {
-    /// The entry of a committed change.
+    /// Creates the entry of a committed change.
     pub fn of(record: &ChangeRecord) -> Self {
         let tenant = record.to.as_ref().or(record.from.as_ref());
         Entry {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The entry as a line of JSON, with its line feed.
+    /// Encodes the entry as a line of JSON with its line feed.
     #[must_use]
     pub fn line(&self) -> Vec<u8> {
         // Serialization fails for none of this crate's types.
@@ -92,10 +92,10 @@
     }
 }
 
-/// A time in milliseconds since the Unix epoch as an RFC 3339 timestamp in UTC.
+/// Formats a time in milliseconds since the Unix epoch as an RFC 3339 timestamp in UTC.
 #[must_use]
 pub fn rfc3339(at_ms: u64) -> String {
-    /// The last time that has a year of four digits; a later one is written as this.
+    /// The last time whose year has four digits. Later times are formatted as this one.
     const LAST_RFC3339_MS: u64 = 253_402_300_799_999;
     humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at_ms.min(LAST_RFC3339_MS)))
         .to_string()
--- a/crates/tenancy/src/fair_queueing/account.rs
+++ b/crates/tenancy/src/fair_queueing/account.rs
@@ -1,20 +1,20 @@
-//! What the scheduler keeps for a tenant.
+//! The scheduler's state for one tenant.
 
 use policy::types::{Micros, TenantTerms};
 
 use crate::meter::Meter;
 
-/// A tenant's terms and its messages.
+/// A tenant's terms and the counts of its messages.
 pub(super) struct Account {
     pub(super) terms: TenantTerms,
-    /// The tenant is gone; the account is removed once no message is queued.
+    /// Whether the tenant was removed. The account is removed once no message is queued.
     pub(super) is_removed: bool,
     pub(super) meter: Meter,
-    /// Messages in the queue, those in flight included.
+    /// Messages in the queue, including those in flight.
     pub(super) queued: usize,
     pub(super) queued_bytes: usize,
     pub(super) in_flight: usize,
-    /// The tenant has a share of the queue until then, whether it has a message in it or not; 0 if it has no share.
+    /// The time until which the tenant has a share of the queue, with or without queued messages; 0 if it has no share.
     pub(super) shares_queue_until: Micros,
 }
 
@@ -32,12 +32,12 @@
         }
     }
 
-    /// Whether the tenant is among those that share the queue.
+    /// Whether the tenant has a share of the queue.
     pub(super) fn shares_queue(&self) -> bool {
         self.shares_queue_until > 0
     }
 
-    /// The tenant's weight, for exact sums.
+    /// The tenant's weight as an integer, so that sums are exact.
     pub(super) fn weight(&self) -> u64 {
         u64::from(self.terms.weight)
     }
--- a/crates/tenancy/src/fair_queueing/mod.rs
+++ b/crates/tenancy/src/fair_queueing/mod.rs
@@ -1,12 +1,14 @@
 //! Fair queueing among tenants: weighted shares of the queue, of the slots and of each destination's calls.
 //!
 //! Slots and destinations are shared by start-time fair queueing (Goyal, Vin, Cheng 1996). Each tenant has a start tag
-//! for each resource, which grows by what it uses divided by its weight. Virtual time follows the least tag of the
-//! tenants that contend, that is, have candidates. The lead of a tag over virtual time is what its tenant has used
-//! beyond its share while others contended. Within a quantum of lead the candidates' cost of delay decides alone.
-//! Where no tenant is left waiting, virtual time catches up with all tags: unused capacity is lent for nothing.
+//! for each resource, which increases by the tenant's usage divided by its weight. Virtual time follows the least tag
+//! of the contending tenants, which are those with candidates. The lead of a tag over virtual time is the usage of its
+//! tenant beyond its share while others contended. Within one quantum of lead, the candidates' cost of delay alone
+//! decides. If no tenant is left waiting, virtual time catches up with all tags, so that using spare capacity costs
+//! nothing later.
 //!
-//! The queue is shared by the tenants that have messages in it or had one accepted lately.
+//! The queue is shared by the tenants that have queued messages or had a message accepted recently; see
+//! `QUEUE_SHARE_RETENTION`.
 
 mod account;
 mod virtual_clock;
@@ -20,37 +22,37 @@
 use account::Account;
 use virtual_clock::{Contention, Round, VirtualClock};
 
-/// The lead in slots within which the cost of delay decides, in seconds of all slots.
+/// The lead in slot usage within which the cost of delay decides, in seconds of all slots.
 const SLOT_QUANTUM_SECONDS: f64 = 0.25;
-/// The lead at a destination within which the cost of delay decides, in calls of all tenants there.
+/// The lead at a destination within which the cost of delay decides, in calls of all tenants to it.
 const CALL_QUANTUM: f64 = 4.0;
-/// Destinations with a virtual clock at most. Past that the clock that was unused for longest is evicted, with the
-/// leads that tenants had there.
+/// Maximum destinations with a virtual clock. Beyond that, the least recently used clock is evicted together with the
+/// leads of tenants at its destination.
 pub const MAX_DESTINATION_CLOCKS: usize = 4096;
-/// How long a tenant shares the queue after it had a message accepted, in microseconds. The time is set anew once
-/// half of it has passed.
+/// How long a tenant shares the queue after a message of it was accepted, in microseconds. The expiry is extended only
+/// once half of this time has passed.
 const QUEUE_SHARE_RETENTION: Micros = 10_000_000;
-/// The weight of a share of 1 in the settings, where shares are fractions.
+/// The weight that corresponds to a share of 1 in the settings, where shares are fractions.
 const WEIGHT_PER_SHARE: f64 = 1000.0;
-/// The largest weight of a share in the settings.
+/// The largest weight to which a share in the settings is converted.
 const MAX_SHARE_WEIGHT: f64 = 1e6;
 
 /// The tenant scheduler of a relay.
 pub struct FairQueueScheduler {
     accounts: BTreeMap<TenantId, Account>,
-    /// The relay's slots, at least 1.
+    /// Number of the relay's slots, at least 1.
     slot_count: f64,
     slots: VirtualClock,
     destinations: BTreeMap<DestinationId, VirtualClock>,
-    /// The weights of all tenants that share the queue, together.
+    /// Sum of the weights of all tenants that share the queue.
     queue_weight: u64,
-    /// The tenants that share the queue, by the time until which they do at least.
+    /// The tenants that share the queue, ordered by the earliest time at which their share expires.
     queue_share_expiry: BTreeSet<(Micros, TenantId)>,
     now: Micros,
 }
 
 impl FairQueueScheduler {
-    /// A scheduler without tenants, for a relay with this many slots.
+    /// Creates a scheduler without tenants, for a relay with this many slots.
     #[must_use]
     pub fn new(slots: usize) -> Self {
         FairQueueScheduler {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// A scheduler with the tenants of the settings, weighted by their shares.
+    /// Creates a scheduler with the tenants of the settings, weighted by their shares.
     #[must_use]
     pub fn from_settings(settings: &Settings) -> Self {
         let mut scheduler = FairQueueScheduler::new(settings.max_calls);
@@ -79,13 +81,13 @@
         scheduler
     }
 
-    /// Number of destinations with a virtual clock, [`MAX_DESTINATION_CLOCKS`] at most.
+    /// Number of destinations with a virtual clock, at most [`MAX_DESTINATION_CLOCKS`].
     #[must_use]
     pub fn destinations(&self) -> usize {
         self.destinations.len()
     }
 
-    /// Ends a tenant's messages, and removes its account once no message is queued.
+    /// Terminates a tenant, and removes its account once no message is queued.
     fn remove_tenant(&mut self, tenant: TenantId) {
         let Some(account) = self.accounts.get_mut(&tenant) else {
             return;
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Ends the shares of the queue that have expired, but for those of tenants with messages in it.
+    /// Ends the queue shares that have expired, except for those of tenants with queued messages.
     fn expire_queue_shares(&mut self, now: Micros) {
         while let Some((until, tenant)) = self.next_expired_queue_share(now) {
             self.queue_share_expiry.pop_first();
@@ -168,7 +170,7 @@
         least_recently_used.and_then(|destination| self.destinations.remove(&destination));
     }
 
-    /// Which tenants contend for which resource, without their leads.
+    /// The tenants that contend for each resource, without their leads.
     fn contention(&self, candidates: &[Candidate]) -> Round {
         let mut round = Round::default();
         for candidate in candidates {
@@ -186,7 +188,7 @@
         round
     }
 
-    /// Advances the virtual clocks of all resources for which tenants contend.
+    /// Advances the virtual clocks of all contended resources.
     fn start_round(&mut self, round: &mut Round) {
         self.slots
             .start_round(&mut round.slots, SLOT_QUANTUM_SECONDS);
@@ -197,8 +199,8 @@
         }
     }
 
-    /// The rank of a candidate, the lowest of which goes first: the most quanta that its tenant is ahead of its share of
-    /// either resource.
+    /// The rank of a candidate: the number of quanta by which its tenant is ahead of its share, of slots or of the
+    /// destination's calls, whichever is larger. Lower ranks go first.
     fn next_rank(&mut self, round: &mut Round, candidate: &Candidate) -> u32 {
         let weight = self.weight(candidate.tenant);
         let slot_cost =
@@ -277,7 +279,7 @@
     }
 
     fn message_removed(&mut self, message: &Message) {
-        // A message that was queued before its tenant had terms was not counted.
+        // A message that was queued before its tenant had terms is not counted.
         let account = self
             .accounts
             .get_mut(&message.tenant)
--- a/crates/tenancy/src/fair_queueing/virtual_clock.rs
+++ b/crates/tenancy/src/fair_queueing/virtual_clock.rs
@@ -4,7 +4,7 @@
 
 use policy::types::{DestinationId, Micros, TenantId};
 
-/// How far ahead of its share a tenant may get while nobody else uses the resource, in quanta.
+/// How far ahead of its share a tenant can get while no other tenant uses the resource, in quanta.
 const MAX_LEAD_QUANTA: f64 = 16.0;
 
 /// The tenants that contend for one resource in a round.
@@ -12,8 +12,8 @@
 pub(super) struct Contention {
     /// Converts a lead in virtual time, which is divided by weight, to the unit of the resource's quantum.
     pub(super) scale: f64,
-    /// How far each tenant is ahead of its share, in the unit of the quantum, as if the candidates that have a
-    /// rank were sent.
+    /// How far each tenant is ahead of its share, in the unit of the quantum, assuming that all candidates ranked so
+    /// far are sent.
     pub(super) leads: BTreeMap<TenantId, f64>,
 }
 
@@ -23,8 +23,8 @@
         self.leads.insert(tenant, 0.0);
     }
 
-    /// The rank of a tenant's next candidate, which is the number of quanta that the tenant is ahead; adds the
-    /// candidate's cost to its lead.
+    /// The rank of a tenant's next candidate: the number of quanta by which the tenant is ahead. Adds the candidate's
+    /// cost to the tenant's lead.
     pub(super) fn next_rank(&mut self, tenant: TenantId, quantum: f64, cost: f64) -> f64 {
         self.leads.get_mut(&tenant).map_or(0.0, |lead| {
             let rank = *lead / quantum;
@@ -37,9 +37,9 @@
 /// The contention for all resources in a round.
 #[derive(Default)]
 pub(super) struct Round {
-    /// For the relay's slots, in seconds of all slots.
+    /// Contention for the relay's slots, in seconds of all slots.
     pub(super) slots: Contention,
-    /// For each destination, in calls of all tenants there.
+    /// Contention for each destination, in calls of all tenants to it.
     pub(super) destinations: BTreeMap<DestinationId, Contention>,
 }
 
@@ -47,7 +47,7 @@
 #[derive(Default)]
 pub(super) struct VirtualClock {
     virtual_time: f64,
-    /// The tags ahead of virtual time; all others equal it.
+    /// The tags ahead of virtual time. All other tags equal virtual time.
     start_tags: BTreeMap<TenantId, f64>,
     /// The largest lead that counts at the next charge.
     max_lead: f64,
@@ -85,8 +85,8 @@
         self.start_tags.retain(|_, tag| *tag > now);
     }
 
-    /// Charges a tenant for a use, divided by its weight; a correction may be negative. Of the lead that it had
-    /// before, [`MAX_LEAD_QUANTA`] count at most.
+    /// Charges a tenant for its usage, divided by its weight; a correction may be negative. At most [`MAX_LEAD_QUANTA`]
+    /// of the tenant's earlier lead are kept.
     pub(super) fn charge(&mut self, tenant: TenantId, amount: f64) {
         let lead = self.lead(tenant).min(self.max_lead) + amount;
         if lead > 0.0 {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Forgets all leads, as no tenant is left waiting: what was used took nothing from anybody.
+    /// Resets all leads because no tenant is left waiting, so the usage was not at the expense of another tenant.
     pub(super) fn catch_up(&mut self) {
         self.virtual_time = 0.0;
         self.start_tags = BTreeMap::new();
--- a/crates/tenancy/src/lib.rs
+++ b/crates/tenancy/src/lib.rs
@@ -1,7 +1,8 @@
-//! Tenants of a relay: their limits and shares, and the order among them. This crate does no I/O.
+//! Tenants of a relay: their limits, their shares and the scheduling between them. This crate does no I/O.
 //!
-//! The decision module asks [`FairQueueScheduler`]. Administrators change the [`registry`], which is persisted in the
-//! format of [`registry_file`] and recovered from damaged files; each change has an [`audit`] entry.
+//! The decision module schedules tenants with [`FairQueueScheduler`]. Administrators change the [`registry`], which is
+//! persisted in the format of [`registry_file`] and can be recovered from damaged files. Each change has an [`audit`]
+//! entry.
 
 pub mod audit;
 mod fair_queueing;
--- a/crates/tenancy/src/registry/change.rs
+++ b/crates/tenancy/src/registry/change.rs
@@ -1,4 +1,4 @@
-//! How a change alters a tenant.
+//! Applies a requested change to a tenant.
 
 use serde_json::Value;
 
@@ -8,11 +8,11 @@
 use crate::secret::{Digest, MAX_SECRETS};
 use crate::spec::{check_name, OnRemoval, SpecError, TenantSpec, MAX_NAME_CHARS};
 
-/// Applies a change to a tenant, whose version and time of change stay for the caller to set.
+/// Applies a change to a tenant. The caller sets the tenant's version and time of change.
 ///
 /// # Errors
 ///
-/// [`RegistryError`] if the change is not possible; the tenant may be altered in part then.
+/// [`RegistryError`] if the change is rejected; the tenant may then be partly changed.
 pub(super) fn apply(
     change: &Change,
     tenant: &mut Tenant,
@@ -57,7 +57,7 @@
 }
 
 fn patched_spec(spec: &TenantSpec, patch: &Value) -> Result<TenantSpec, SpecError> {
-    // An array would be read as a specification whose fields stand in their order.
+    // An array would be deserialized as a specification with its fields in order.
     if !patch.is_object() {
         return Err(SpecError::new("patch", "is no object"));
     }
@@ -89,7 +89,7 @@
 }
 
 fn remove(tenant: &mut Tenant, on_removal: Option<OnRemoval>) {
-    // A draining tenant may be changed to end at once, but not back: messages that have ended do not return.
+    // A draining tenant may be switched to immediate termination, but not back: ended messages cannot be restored.
     let was_draining = tenant.state == State::Draining;
     let allowed = on_removal.filter(|how| !was_draining || *how == OnRemoval::Refuse);
     tenant.state = State::Draining;
--- a/crates/tenancy/src/registry/command.rs
+++ b/crates/tenancy/src/registry/command.rs
@@ -1,4 +1,4 @@
-//! What administrators ask of the registry, and the records of what was committed.
+//! Commands of administrators to the registry, and the records of committed changes.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -11,14 +11,14 @@
 /// Who makes a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Actor {
-    /// Name of the token, or `relay` for what the relay does by itself.
+    /// Name of the token, or `relay` for automatic changes by the relay.
     pub name: String,
-    /// The token's role.
+    /// The token's role, or `relay` for the relay itself.
     pub role: String,
 }
 
 impl Actor {
-    /// The relay itself.
+    /// The actor of automatic changes by the relay.
     pub(super) fn relay() -> Self {
         Actor {
             name: "relay".into(),
@@ -40,13 +40,13 @@
     Pause,
     /// Make a paused tenant active.
     Resume,
-    /// Remove the tenant; its specification says what becomes of queued messages unless this does.
+    /// Remove the tenant. The value overrides the specification's handling of queued messages if it is present.
     Remove(Option<OnRemoval>),
     /// Add a secret.
     AddSecret {
-        /// Its name, unique among the tenant's secrets.
+        /// The secret's name, unique among the tenant's secrets.
         id: String,
-        /// Its digest.
+        /// SHA-256 of the secret.
         sha256: Digest,
     },
     /// Remove the secret of this name.
@@ -56,7 +56,7 @@
 /// A request of an administrator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Command {
-    /// Who sent it.
+    /// Who sent the request.
     pub actor: Actor,
     /// The request's identifier, for the audit log.
     pub request: String,
@@ -64,9 +64,9 @@
     pub key: Option<(String, Digest)>,
     /// The tenant's name.
     pub name: String,
-    /// The versions that the change is meant for; ignored where a tenant is created.
+    /// The versions that the change may be applied to; ignored when a tenant is created.
     pub precondition: Precondition,
-    /// The change.
+    /// The requested change.
     pub change: Change,
 }
 
@@ -97,14 +97,14 @@
     SecretDropped,
 }
 
-/// A change as it is persisted: enough to apply it again and to write its audit entry.
+/// A persisted change, with all that is needed to reapply it and to write its audit entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeRecord {
     /// Sequence number among all changes of the registry, from 1.
     pub seq: u64,
-    /// When it was made, in milliseconds since the Unix epoch.
+    /// When the change was made, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Who made it.
+    /// Who made the change.
     pub actor: Actor,
     /// The request's identifier.
     pub request: String,
@@ -113,8 +113,8 @@
     pub key: Option<(String, Digest)>,
     /// The kind of change.
     pub action: Action,
-    /// The tenant before the change; none where it was created.
+    /// The tenant before the change; none if the change created it.
     pub from: Option<Tenant>,
-    /// The tenant after the change; none where it is gone.
+    /// The tenant after the change; none if the change removed it for good.
     pub to: Option<Tenant>,
 }
--- a/crates/tenancy/src/registry/decision.rs
+++ b/crates/tenancy/src/registry/decision.rs
@@ -9,7 +9,7 @@
 pub enum Decision {
     /// The caller persists this record, then commits it.
     Commit(Box<ChangeRecord>),
-    /// The tenant is in the requested state already.
+    /// The tenant is already in the requested state.
     Unchanged(Box<Tenant>),
     /// The command was committed before, with this response.
     Replay(Box<IdempotentResponse>),
--- a/crates/tenancy/src/registry/error.rs
+++ b/crates/tenancy/src/registry/error.rs
@@ -1,12 +1,12 @@
-//! Why the registry rejects a command.
+//! Errors of the registry.
 
 use super::version::Version;
 use crate::spec::SpecError;
 
-/// Why a command is rejected; nothing has changed then. The text reaches the administrator.
+/// Why a command is rejected. A rejected command changes nothing. The text goes to the administrator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RegistryError {
-    /// No tenant has this name, and no tombstone does.
+    /// No tenant and no tombstone has this name.
     #[error("there is no tenant {0:?}")]
     Unknown(String),
     /// The tenant was removed and has drained.
@@ -15,10 +15,10 @@
     /// A tenant of this name exists.
     #[error("there is a tenant {0:?} already")]
     Exists(String),
-    /// The tenant is draining, and can be changed no more.
+    /// The tenant is draining and can't be changed.
     #[error("the tenant {0:?} is being removed")]
     Draining(String),
-    /// The precondition names other versions than the current one, which this is.
+    /// The precondition does not include the tenant's current version, which this is.
     #[error("the tenant is at version {0} now")]
     Stale(Version),
     /// A value is out of bounds.
@@ -27,9 +27,9 @@
     /// A table is full.
     #[error("there are {most} {what}, which is the most")]
     TooMany {
-        /// What the table holds.
+        /// The items in the table, in the plural.
         what: &'static str,
-        /// Its capacity.
+        /// The table's capacity.
         most: usize,
     },
     /// The tenant has a secret of this name.
--- a/crates/tenancy/src/registry/generations.rs
+++ b/crates/tenancy/src/registry/generations.rs
@@ -2,11 +2,11 @@
 
 use super::tenant::{State, TenantEntry};
 
-/// The tenants of one name: the one that accepts messages, and older generations that drain.
+/// The tenants of one name: the current one, and older generations that are draining.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Generations {
     current: Option<TenantEntry>,
-    /// By generation.
+    /// Draining tenants, ordered by generation.
     draining: Vec<TenantEntry>,
 }
 
@@ -21,17 +21,17 @@
         self.current.as_mut()
     }
 
-    /// The tenants that drain, by generation.
+    /// The draining tenants, ordered by generation.
     pub(super) fn draining(&self) -> &[TenantEntry] {
         &self.draining
     }
 
-    /// The newest generation.
+    /// The tenant of the newest generation.
     pub(super) fn newest(&self) -> Option<&TenantEntry> {
         self.current.as_ref().or(self.draining.last())
     }
 
-    /// All tenants of the name, by generation.
+    /// All tenants of the name, ordered by generation.
     pub(super) fn all(&self) -> impl Iterator<Item = &TenantEntry> {
         self.draining.iter().chain(&self.current)
     }
@@ -42,7 +42,8 @@
         all.find(|entry| entry.generation() == generation)
     }
 
-    /// Inserts a tenant where its state belongs; its generation must have been removed before.
+    /// Inserts a tenant as current or draining, according to its state. An earlier entry of its generation must have
+    /// been removed.
     pub(super) fn insert(&mut self, entry: TenantEntry) {
         if entry.tenant.state == State::Draining {
             self.draining.push(entry);
--- a/crates/tenancy/src/registry/idempotency.rs
+++ b/crates/tenancy/src/registry/idempotency.rs
@@ -1,4 +1,4 @@
-//! Responses to commands with an idempotency key, which are replayed when the same command comes again.
+//! Responses to commands with an idempotency key, which are replayed when the same command is repeated.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 use super::tenant::Tenant;
 use crate::secret::Digest;
 
-/// Cached responses at most; the oldest is evicted first.
+/// Maximum cached responses; the oldest is evicted first.
 pub const MAX_IDEMPOTENCY_KEYS: usize = 1000;
 /// How long a response is cached, in milliseconds.
 pub const IDEMPOTENCY_KEY_TTL_MS: u64 = 24 * 3600 * 1000;
@@ -27,12 +27,12 @@
     pub at_ms: u64,
     /// The kind of change.
     pub action: Action,
-    /// The tenant after the change, as the response gave it.
+    /// The tenant after the change, as it was in the response.
     pub tenant: Tenant,
 }
 
 impl IdempotentResponse {
-    /// The response to a committed command; none if it had no key, or left no tenant.
+    /// The response to a committed command; none if the command had no key, or no tenant remains after it.
     fn of_record(record: &ChangeRecord) -> Option<Self> {
         let (key, digest) = record.key.as_ref()?;
         Some(IdempotentResponse {
@@ -57,7 +57,7 @@
 }
 
 impl IdempotencyCache {
-    /// The cache of a restored registry.
+    /// Creates the cache from the persisted responses of a registry.
     pub(super) fn restore(responses: Vec<IdempotentResponse>) -> Self {
         IdempotencyCache {
             responses: responses.into(),
@@ -69,7 +69,7 @@
         self.responses.iter()
     }
 
-    /// The response to a command that was committed before under the same key.
+    /// The cached response to an earlier command with the same key; none if there is none or it has expired.
     ///
     /// # Errors
     ///
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Caches the response to a committed command, and evicts what is expired or beyond
+    /// Caches the response to a committed command, and evicts responses that are expired or beyond
     /// [`MAX_IDEMPOTENCY_KEYS`].
     pub(super) fn observe_committed(&mut self, record: &ChangeRecord) {
         let Some(response) = IdempotentResponse::of_record(record) else {
--- a/crates/tenancy/src/registry/mod.rs
+++ b/crates/tenancy/src/registry/mod.rs
@@ -1,4 +1,4 @@
-//! The registry of tenants, and how administrators change it.
+//! The registry of tenants, and the changes that administrators make to it.
 //!
 //! A change is made in three steps: [`Registry::decide`] checks a command against the state and returns a record,
 //! the caller persists the record, and [`Registry::commit`] applies it. A change whose response was sent therefore
@@ -37,12 +37,12 @@
 pub use tombstones::MAX_TOMBSTONES;
 pub use version::{Precondition, Version};
 
-/// Tenants at most, draining ones included.
+/// Maximum tenants, including draining ones.
 pub const MAX_TENANTS: usize = 16_384;
-/// Draining tenants of one name at most.
+/// Maximum draining tenants of one name.
 pub const MAX_DRAINING_GENERATIONS: usize = 4;
 
-/// The whole content of a registry, for a snapshot.
+/// The complete content of a registry, for a snapshot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
     /// Sequence number of the last change.
@@ -58,9 +58,9 @@
 /// New terms of a tenant, for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TermsUpdate {
-    /// The decision module's number of the tenant.
+    /// The tenant's number in the decision module.
     pub number: TenantId,
-    /// Its terms; none once it is gone.
+    /// The tenant's new terms; none once it is gone.
     pub terms: Option<TenantTerms>,
 }
 
@@ -68,7 +68,7 @@
 #[derive(Default)]
 pub struct Registry {
     known_classes: Vec<String>,
-    /// The tenants by name.
+    /// Tenants by name.
     tenants: BTreeMap<String, Generations>,
     /// Names and generations of draining tenants.
     draining: BTreeSet<(String, u32)>,
@@ -80,7 +80,7 @@
 }
 
 impl Registry {
-    /// A registry without tenants, for a relay that knows these classes.
+    /// Creates a registry without tenants, for a relay with these classes.
     #[must_use]
     pub fn new(classes: Vec<String>) -> Self {
         Registry {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The registry of a persisted state, [`MAX_TENANTS`] of its tenants at most.
+    /// Restores a registry from a persisted state. Tenants beyond [`MAX_TENANTS`] are discarded.
     #[must_use]
     pub fn restore(classes: Vec<String>, state: PersistedState) -> Self {
         let mut registry = Registry {
@@ -109,12 +109,12 @@
         registry
     }
 
-    /// Sets the classes that later changes may name; specifications that name others stay as they are.
+    /// Sets the classes that later changes may name. Existing specifications that name other classes do not change.
     pub fn set_known_classes(&mut self, classes: &[String]) {
         self.known_classes = classes.to_vec();
     }
 
-    /// The whole content of the registry.
+    /// The complete content of the registry.
     #[must_use]
     pub fn persisted_state(&self) -> PersistedState {
         PersistedState {
@@ -144,15 +144,15 @@
         self.seq
     }
 
-    /// Makes the next change follow this sequence number, which another source knows; returns how many changes up
-    /// to it are unknown here.
+    /// Makes the next change follow this sequence number, which was found in another source. Returns the number of
+    /// changes up to it that are missing here.
     pub fn skip_to_sequence(&mut self, seq: u64) -> u64 {
         let unknown = seq.saturating_sub(self.seq);
         self.seq += unknown;
         unknown
     }
 
-    /// Number of tenants, draining ones included.
+    /// Number of tenants, including draining ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.numbers.assigned()
@@ -164,12 +164,12 @@
         self.len() == 0
     }
 
-    /// All tenants, by name and generation.
+    /// All tenants, ordered by name and generation.
     pub fn entries(&self) -> impl Iterator<Item = &TenantEntry> {
         self.tenants.values().flat_map(Generations::all)
     }
 
-    /// All tenants of the names after this one, by name and generation; all if none is given.
+    /// The tenants of all names after this one, ordered by name and generation. Without a name, all tenants.
     pub fn entries_after<'a>(
         &'a self,
         name: Option<&str>,
@@ -177,7 +177,7 @@
         self.names_after(name).flat_map(Generations::all)
     }
 
-    /// The newest tenant of each name after this one, by name; of all names if none is given.
+    /// The newest tenant of each name after this one, ordered by name. Without a name, that of all names.
     pub fn newest_entries_after<'a>(
         &'a self,
         after: Option<&str>,
@@ -193,8 +193,8 @@
             .map(|(_, generations)| generations)
     }
 
-    /// The newest tenant of a name. A name is gone once its newest tenant has drained, though an older generation
-    /// may drain still.
+    /// The newest tenant of a name. A name is gone once its newest tenant has drained, even if an older generation is
+    /// still draining.
     ///
     /// # Errors
     ///
@@ -210,7 +210,7 @@
             })
     }
 
-    /// The draining tenants of a name, by generation.
+    /// The draining tenants of a name, ordered by generation.
     #[must_use]
     pub fn draining_entries(&self, name: &str) -> &[TenantEntry] {
         self.tenants.get(name).map_or(&[], Generations::draining)
@@ -224,13 +224,13 @@
             .map(|entry| entry.tenant.version)
     }
 
-    /// The tenant of an accepted message, by the journal's reference to it: see [`Tenant::reference`].
+    /// The tenant of an accepted message, by its reference in the journal; see [`Tenant::reference`].
     pub fn entry_by_reference(&mut self, reference: &str) -> Option<&mut TenantEntry> {
         let (name, generation) = tenant::parse_reference(reference)?;
         self.tenants.get_mut(name)?.get_mut(generation)
     }
 
-    /// The tenant of a name that accepts messages, if a message of this class may go to this destination.
+    /// The current tenant of a name, if it may submit a message of this class to this destination.
     ///
     /// # Errors
     ///
@@ -255,7 +255,7 @@
         Ok(entry)
     }
 
-    /// The session of a client that presents a tenant's name and one of its secrets; none if they do not match.
+    /// Authenticates a client by a tenant's name and one of its secrets. None if they do not match.
     #[must_use]
     pub fn authenticate(&self, name: &str, secret: &[u8]) -> Option<Session> {
         let digest = Digest::of(secret);
@@ -288,7 +288,7 @@
         })
     }
 
-    /// Decides on a command against the current state, which stays as it is.
+    /// Decides on a command against the current state, which does not change.
     ///
     /// # Errors
     ///
@@ -347,7 +347,7 @@
         Ok(self.commit_decision(now_ms, command, Action::Created, None, to))
     }
 
-    /// Whether one more tenant of a name may be created, beside those that there are.
+    /// Checks that one more tenant of a name may be created in addition to the existing ones.
     fn check_capacity(
         &self,
         name: &str,
@@ -391,8 +391,8 @@
         }))
     }
 
-    /// The record by which the first draining tenant without unacknowledged messages is gone; none if there is no
-    /// such tenant. The caller persists and commits it.
+    /// The record that removes the first draining tenant without unacknowledged messages; none if there is no such
+    /// tenant. The caller persists and commits the record.
     #[must_use]
     pub fn next_drained(&self, now_ms: u64) -> Option<ChangeRecord> {
         let mut draining = self.draining.iter().filter_map(|(name, generation)| {
@@ -413,14 +413,14 @@
         })
     }
 
-    /// Takes a record's sequence number and response over, without its tenant: for a change that a snapshot holds
-    /// already.
+    /// Records a change's sequence number and response but not its tenant, for a change that a snapshot already
+    /// contains.
     pub fn observe_committed(&mut self, record: &ChangeRecord) {
         self.seq = self.seq.max(record.seq);
         self.idempotency.observe_committed(record);
     }
 
-    /// Applies a record that was persisted; returns the terms that the decision module must learn.
+    /// Applies a persisted record. Returns the terms that must be passed to the decision module.
     pub fn commit(&mut self, record: &ChangeRecord) -> Option<TermsUpdate> {
         self.observe_committed(record);
         match (&record.from, &record.to) {
@@ -430,7 +430,7 @@
         }
     }
 
-    /// Inserts a tenant, in place of an earlier revision if there is one.
+    /// Inserts a tenant, replacing an earlier revision if there is one.
     fn upsert(&mut self, tenant: Tenant) -> TermsUpdate {
         let terms = tenant.terms();
         let generation = tenant.version.generation;
@@ -450,7 +450,7 @@
         }
     }
 
-    /// Removes a tenant that has drained, and leaves a tombstone; none if it is unknown.
+    /// Removes a tenant that has drained, and adds a tombstone. None if the tenant is unknown.
     fn remove(&mut self, tenant: &Tenant) -> Option<TermsUpdate> {
         let generation = tenant.version.generation;
         let generations = self.tenants.get_mut(&tenant.name)?;
--- a/crates/tenancy/src/registry/numbering.rs
+++ b/crates/tenancy/src/registry/numbering.rs
@@ -1,8 +1,8 @@
-//! The decision module's numbers of tenants.
+//! The numbers that identify tenants in the decision module.
 
 use policy::types::TenantId;
 
-/// Assigns numbers, each to one tenant at a time. Released numbers are assigned again, the last released first.
+/// Assigns each number to one tenant at a time. Released numbers are reused, the most recently released first.
 #[derive(Default)]
 pub(super) struct TenantNumbers {
     assigned: usize,
@@ -11,12 +11,12 @@
 }
 
 impl TenantNumbers {
-    /// How many numbers are assigned.
+    /// Count of assigned numbers.
     pub(super) fn assigned(&self) -> usize {
         self.assigned
     }
 
-    /// A number that no other tenant has. The caller bounds the tenants, so that the numbers suffice.
+    /// Assigns a number that no other tenant has. The caller limits the number of tenants, so numbers do not run out.
     pub(super) fn assign(&mut self) -> TenantId {
         self.assigned += 1;
         self.released.pop().unwrap_or_else(|| {
@@ -25,7 +25,7 @@
         })
     }
 
-    /// The tenant of this number is gone.
+    /// Releases the number of a tenant that is gone.
     pub(super) fn release(&mut self, number: TenantId) {
         self.assigned -= 1;
         self.released.push(number);
--- a/crates/tenancy/src/registry/session.rs
+++ b/crates/tenancy/src/registry/session.rs
@@ -1,6 +1,6 @@
 //! A client's authenticated session.
 
-/// What a client authenticated as, with which secret.
+/// The tenant that a client authenticated as, and the secret that it used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Session {
     /// The tenant's name.
--- a/crates/tenancy/src/registry/tenant.rs
+++ b/crates/tenancy/src/registry/tenant.rs
@@ -1,4 +1,4 @@
-//! A tenant, its secrets, and what the relay counts for it.
+//! A tenant, its secrets and its message counters.
 
 use policy::types::{TenantId, TenantState, TenantTerms};
 use serde::{Deserialize, Serialize};
@@ -17,42 +17,43 @@
     Active,
     /// No message is accepted and no call is started; queued messages wait until they expire.
     Paused,
-    /// It is removed: no message is accepted, queued ones end as its [`OnRemoval`] says, then the tenant is gone.
+    /// Removed: no message is accepted, queued messages are handled according to [`OnRemoval`], then the tenant is
+    /// gone.
     Draining,
 }
 
 /// A credential with which clients authenticate as the tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Secret {
-    /// Its name, unique among the tenant's secrets.
+    /// The secret's name, unique among the tenant's secrets.
     pub id: String,
     /// SHA-256 of the secret, in hexadecimal digits.
     pub sha256: Digest,
-    /// When it was added, in milliseconds since the Unix epoch.
+    /// When the secret was added, in milliseconds since the Unix epoch.
     pub created_at_ms: u64,
 }
 
 /// A tenant as administrators see it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name; see [`crate::spec::check_name`].
+    /// The tenant's name; see [`crate::spec::check_name`].
     pub name: String,
-    /// Its generation and revision.
+    /// The tenant's generation and revision.
     pub version: Version,
-    /// Its state.
+    /// The state in the life cycle.
     pub state: State,
-    /// What an administrator set.
+    /// The specification that an administrator set.
     pub spec: TenantSpec,
-    /// The credentials of its clients, [`crate::secret::MAX_SECRETS`] at most.
+    /// The credentials of the tenant's clients, at most [`crate::secret::MAX_SECRETS`].
     pub secrets: Vec<Secret>,
-    /// When it was created, in milliseconds since the Unix epoch.
+    /// When the tenant was created, in milliseconds since the Unix epoch.
     pub created_at_ms: u64,
-    /// When it was last changed, in milliseconds since the Unix epoch.
+    /// When the tenant was last changed, in milliseconds since the Unix epoch.
     pub changed_at_ms: u64,
 }
 
 impl Tenant {
-    /// The terms by which the decision module treats the tenant.
+    /// The tenant's terms in the decision module.
     #[must_use]
     pub fn terms(&self) -> TenantTerms {
         let state = match (self.state, self.spec.on_removal) {
@@ -64,7 +65,7 @@
         self.spec.terms(state)
     }
 
-    /// The reference by which the journal knows the tenant: its name, with `/generation` after the first generation.
+    /// The tenant's reference in the journal: its name, followed by `/generation` for all but the first generation.
     #[must_use]
     pub fn reference(&self) -> String {
         match self.version.generation {
@@ -82,7 +83,7 @@
         .map_or(reference, |(name, _)| name)
 }
 
-/// The name and generation in a tenant's reference; none if the generation is no number.
+/// The name and generation in a tenant's reference; none if the generation is not a number.
 pub(super) fn parse_reference(reference: &str) -> Option<(&str, u32)> {
     match reference.split_once('/') {
         Some((name, generation)) => Some((name, generation.parse().ok()?)),
@@ -90,7 +91,7 @@
     }
 }
 
-/// What happened to a tenant's messages since the relay's start.
+/// Counts of a tenant's messages since the relay started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TenantCounters {
     /// Messages accepted.
@@ -101,20 +102,21 @@
     pub refused: u64,
     /// Messages that were accepted and failed.
     pub failed: u64,
-    /// Requests that the tenant may not make: for another tenant, or of a class or destination it may not use.
+    /// Requests that the tenant is not allowed to make: for another tenant, or for a class or destination that it may
+    /// not use.
     pub rejected: u64,
 }
 
 /// A tenant of the registry with its number and counters.
 #[derive(Clone, Debug)]
 pub struct TenantEntry {
-    /// The tenant.
+    /// The tenant as administrators see it.
     pub tenant: Tenant,
-    /// The decision module's number of the tenant.
+    /// The tenant's number in the decision module.
     pub number: TenantId,
-    /// What happened to its messages.
+    /// Counts of the tenant's messages.
     pub counts: TenantCounters,
-    /// Messages that were accepted and have no acknowledged end; a draining tenant is gone once there is none.
+    /// Accepted messages whose end is not yet acknowledged. A draining tenant is gone once there are none.
     pub unacknowledged: usize,
 }
 
--- a/crates/tenancy/src/registry/tombstones.rs
+++ b/crates/tenancy/src/registry/tombstones.rs
@@ -2,10 +2,11 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Tombstones at most; the oldest is evicted first.
+/// Maximum tombstones; the oldest is evicted first.
 pub const MAX_TOMBSTONES: usize = 1024;
 
-/// The last generation of each removed tenant: the API answers 410 for its name, and generations are not reused.
+/// The last generation of each removed tenant, so that the API responds with 410 for its name and generations are not
+/// reused.
 #[derive(Default)]
 pub(super) struct Tombstones {
     generations: BTreeMap<String, u32>,
@@ -26,7 +27,7 @@
             .filter_map(|name| Some((name, self.generation(name)?)))
     }
 
-    /// Records that a generation is gone, and evicts the oldest name past [`MAX_TOMBSTONES`].
+    /// Records that a generation is gone, and evicts the oldest name beyond [`MAX_TOMBSTONES`].
     pub(super) fn insert(&mut self, name: String, generation: u32) {
         let newest = self.generation(&name).unwrap_or(0).max(generation);
         if self.generations.insert(name.clone(), newest).is_some() {
--- a/crates/tenancy/src/registry/version.rs
+++ b/crates/tenancy/src/registry/version.rs
@@ -10,9 +10,9 @@
 /// A tenant's generation and revision: the entity tag of the administration API. Its text is `generation.revision`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// 1 for the first tenant of its name, one more for each tenant that is created after one was removed.
+    /// Starts at 1 and increases with each tenant that is created under the name after the previous one was removed.
     pub generation: u32,
-    /// 1 when the tenant is created, one more with each change.
+    /// Starts at 1 when the tenant is created and increases with each change.
     pub revision: u64,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// The versions of a tenant that a command is meant for (optimistic concurrency control).
+/// The versions of a tenant that a command may be applied to (optimistic concurrency control).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Precondition {
     /// Any version.
--- a/crates/tenancy/src/registry_file/record.rs
+++ b/crates/tenancy/src/registry_file/record.rs
@@ -4,10 +4,10 @@
 
 use crate::registry::{ChangeRecord, IdempotentResponse, Tenant};
 
-/// The format that is written; a later one is not read.
+/// The format version that is written. Later versions are rejected.
 pub const FORMAT_VERSION: u32 = 1;
-/// The longest line that is read, without its line feed, in bytes. The longest that is written has two tenants with
-/// 256 classes, 256 ranges of destinations and 8 secrets each.
+/// Maximum length of a line that is read, without its line feed, in bytes. The longest line that is written contains
+/// two tenants with 256 classes, 256 ranges of destinations and 8 secrets each.
 pub const MAX_LINE_BYTES: usize = 256 << 10;
 /// Hexadecimal digits of a line's checksum.
 const CHECKSUM_DIGITS: usize = 8;
@@ -17,11 +17,11 @@
 #[serde(rename = "Head")]
 pub(super) struct SnapshotTrailer {
     pub(super) format: u32,
-    /// Sequence number of the last change that the snapshot holds.
+    /// Sequence number of the last change that the snapshot contains.
     pub(super) seq: u64,
-    /// Lines of the snapshot before this one.
+    /// Number of lines of the snapshot before this one.
     pub(super) lines: usize,
-    /// Changes that were lost before the snapshot was written.
+    /// Number of changes that were lost before the snapshot was written.
     #[serde(rename = "lost")]
     pub(super) lost_changes: u64,
 }
@@ -42,7 +42,7 @@
 }
 
 impl Record {
-    /// The line with its checksum and line feed.
+    /// Encodes the record as a line with its checksum and line feed.
     pub(super) fn encode(&self) -> Vec<u8> {
         // Serialization fails for none of this crate's types.
         let text = serde_json::to_vec(self).unwrap_or_default();
@@ -52,7 +52,7 @@
         line
     }
 
-    /// The record of a line with its line feed; none if the line is torn, too long or corrupt.
+    /// Decodes a line with its line feed; none if the line is torn, too long or corrupt.
     pub(super) fn decode(line: &[u8]) -> Option<Self> {
         let line = line
             .strip_suffix(b"\n")
@@ -70,7 +70,7 @@
     format!("{:08x}", crc32fast::hash(text))
 }
 
-/// The line of a change, which is appended to both replicas.
+/// Encodes a change as a line, which is appended to both replicas.
 #[must_use]
 pub fn encode_change(record: &ChangeRecord) -> Vec<u8> {
     Record::Change(Box::new(record.clone())).encode()
--- a/crates/tenancy/src/registry_file/recovery.rs
+++ b/crates/tenancy/src/registry_file/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading a registry from its two replicas.
+//! Recovers a registry from its two replicas.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -6,24 +6,24 @@
 use super::record::{Record, SnapshotTrailer, FORMAT_VERSION};
 use crate::registry::{ChangeRecord, IdempotentResponse, PersistedState, Registry, Tenant};
 
-/// The registry that was recovered, and the damage that was found.
+/// The recovered registry, and the damage that was found.
 #[derive(Debug, Default)]
 pub struct RecoveredRegistry {
     /// The registry after the last change that was found.
     pub state: PersistedState,
-    /// The changes that the files hold, by sequence number.
+    /// The changes that the files contain, by sequence number.
     pub changes: BTreeMap<u64, ChangeRecord>,
-    /// Changes that neither replica holds: a tenant may be as it was before one of them. Those that were lost
-    /// earlier are included.
+    /// Number of changes that neither replica contains, including those lost earlier. A tenant may be in its state
+    /// before a lost change.
     pub lost_changes: u64,
-    /// A replica is missing or corrupt, or the two differ: both have to be rewritten.
+    /// Whether both replicas have to be rewritten, because one is missing or corrupt, or they differ.
     pub needs_repair: bool,
 }
 
-/// Why the files cannot be read at all.
+/// The format of a replica is not supported.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnsupportedFormat {
-    /// A later version of the program wrote them, in this format.
+    /// A later version of the program wrote a replica, in this format.
     #[error(
         "the registry of tenants is of format {0}, this version reads {FORMAT_VERSION} at most"
     )]
@@ -38,7 +38,7 @@
     tombstones: Vec<(String, u32)>,
     idempotent_responses: Vec<IdempotentResponse>,
     changes: BTreeMap<u64, ChangeRecord>,
-    /// At least one line could not be read.
+    /// Whether at least one line could not be read.
     is_corrupt: bool,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sequence number of the snapshot if it is complete: its trailer counts as many lines as were read.
+    /// Sequence number of the snapshot if it is complete, that is, if as many lines were read as its trailer counts.
     fn complete_snapshot(&self) -> Option<u64> {
         let lines = self.tenants.len() + self.tombstones.len() + self.idempotent_responses.len();
         self.trailer
@@ -144,7 +144,7 @@
     }
 }
 
-/// The changes of all replicas; of two with one sequence number the later replica's.
+/// The changes of all replicas. If two have the same sequence number, that of the later replica is used.
 fn merged_changes(replicas: &[Replica]) -> BTreeMap<u64, ChangeRecord> {
     replicas
         .iter()
@@ -153,7 +153,7 @@
         .collect()
 }
 
-/// What can be saved of snapshots none of which is complete: each tenant in its newest version, and all tombstones.
+/// The recoverable content if no snapshot is complete: each tenant in its newest version, and all tombstones.
 fn merged_incomplete_snapshots(replicas: &[Replica]) -> PersistedState {
     let mut newest: BTreeMap<(String, u32), Tenant> = BTreeMap::new();
     for tenant in replicas.iter().flat_map(|replica| &replica.tenants) {
@@ -178,7 +178,7 @@
     }
 }
 
-/// Applies the changes after a snapshot; returns how many are missing between them.
+/// Applies the changes after a snapshot. Returns the number of changes missing in between.
 fn replay(registry: &mut Registry, changes: &BTreeMap<u64, ChangeRecord>) -> u64 {
     let mut missing = 0;
     for (seq, record) in changes.range(registry.last_sequence() + 1..) {
@@ -192,7 +192,8 @@
     missing
 }
 
-/// Whether the snapshot, which was written in slices, holds the tenant of a change in this version or a newer one.
+/// Whether the snapshot already contains the tenant of a change in the same or a newer version. This can be the case
+/// because snapshots are written in slices.
 fn is_applied(registry: &Registry, record: &ChangeRecord) -> bool {
     record.to.as_ref().is_some_and(|to| {
         registry
--- a/crates/tenancy/src/registry_file/snapshot.rs
+++ b/crates/tenancy/src/registry_file/snapshot.rs
@@ -1,13 +1,13 @@
-//! Writing a snapshot of a registry.
+//! Writes snapshots of a registry.
 
 use super::record::{Record, SnapshotTrailer, FORMAT_VERSION};
 use crate::registry::Registry;
 
 /// Writes a snapshot of a registry in slices, between which the registry may change.
 ///
-/// A tenant is written as it is when its slice is taken, which may be newer than the sequence number in the
-/// snapshot's trailer. The changes after that number follow in the file, and each holds a whole tenant, so that
-/// replaying them yields the newest state.
+/// A tenant is written in its state at the time of its slice, which may be newer than the sequence number in the
+/// snapshot's trailer. The changes after that number follow in the file, and each contains a complete tenant, so that
+/// replaying them results in the newest state.
 pub struct SnapshotWriter {
     text: Vec<u8>,
     lines: usize,
@@ -18,7 +18,7 @@
 }
 
 impl SnapshotWriter {
-    /// An empty snapshot as of the registry's last change; `lost_changes` were lost before.
+    /// Starts a snapshot as of the registry's last change; `lost_changes` is the number of changes lost earlier.
     #[must_use]
     pub fn new(registry: &Registry, lost_changes: u64) -> Self {
         SnapshotWriter {
@@ -30,12 +30,12 @@
         }
     }
 
-    /// Appends about `max_entries` more tenants, and the rest of the snapshot after the last of them. Returns whether
+    /// Appends about `max_entries` more tenants and, after the last tenant, the rest of the snapshot. Returns whether
     /// the snapshot is complete.
     pub fn append_entries(&mut self, registry: &Registry, max_entries: usize) -> bool {
         let after = self.last_name.clone();
         for (appended, entry) in registry.entries_after(after.as_deref()).enumerate() {
-            // The next slice begins after a name, so that all tenants of a name belong to one slice.
+            // The next slice continues after a name, so all tenants of a name must be in one slice.
             let starts_name = self.last_name.as_ref() != Some(&entry.tenant.name);
             if appended >= max_entries && starts_name {
                 return false;
@@ -68,14 +68,14 @@
         self.text.extend(Record::SnapshotTrailer(trailer).encode());
     }
 
-    /// The file's bytes so far.
+    /// The bytes of the snapshot as written so far.
     #[must_use]
     pub fn into_bytes(self) -> Vec<u8> {
         self.text
     }
 }
 
-/// A whole snapshot of a registry; `lost_changes` were lost before.
+/// Encodes a complete snapshot of a registry; `lost_changes` is the number of changes lost earlier.
 #[must_use]
 pub fn encode_snapshot(registry: &Registry, lost_changes: u64) -> Vec<u8> {
     let mut snapshot = SnapshotWriter::new(registry, lost_changes);
--- a/crates/tenancy/src/registry_file/tests.rs
+++ b/crates/tenancy/src/registry_file/tests.rs
@@ -1,4 +1,4 @@
-//! Recovery of a registry from whole, torn and corrupt replicas.
+//! Tests of the recovery of a registry from intact, torn and corrupt replicas.
 
 use super::record::{Record, SnapshotTrailer};
 use super::*;
@@ -6,7 +6,7 @@
 use crate::secret::Digest;
 use crate::spec::{OnRemoval, TenantSpec};
 
-/// A registry file and the states that it passed through.
+/// A registry file and the states of the registry after each of its changes.
 struct RecordedChanges {
     /// An empty snapshot and the changes after it.
     text: Vec<u8>,
@@ -15,7 +15,7 @@
 }
 
 impl RecordedChanges {
-    /// Where each line of the file ends.
+    /// The end offset of each line of the file.
     fn line_ends(&self) -> Vec<usize> {
         (1..=self.text.len())
             .filter(|end| self.text[end - 1] == b'\n')
@@ -39,7 +39,7 @@
     }
 }
 
-/// Seven changes of two tenants, of which one is gone at the end.
+/// Seven changes of two tenants, one of which is gone at the end.
 fn recorded_changes() -> RecordedChanges {
     let mut registry = Registry::new(vec!["payout".into()]);
     let mut text = encode_snapshot(&registry, 0);
@@ -85,7 +85,7 @@
     let recovered = recover_replicas(Some(&text), Some(&text));
     assert_eq!(Some(&recovered.state), states.last());
     assert!(!recovered.needs_repair && recovered.lost_changes == 0 && recovered.changes.len() == 7);
-    // A snapshot of the recovered registry yields the same state.
+    // A snapshot of the recovered registry is recovered to the same state.
     let registry = Registry::restore(vec!["payout".into()], recovered.state.clone());
     let text = encode_snapshot(&registry, 0);
     let reread = recover_replicas(Some(&text), Some(&text));
@@ -93,14 +93,15 @@
     assert!(!reread.needs_repair && reread.lost_changes == 0 && reread.changes.is_empty());
 }
 
-/// The file cut at every byte, alone or with an intact replica.
+/// Cuts the file at every byte, and recovers it alone or with an intact replica.
 #[test]
 fn torn_replica_yields_an_earlier_state_or_is_repaired() {
     let RecordedChanges { text, states } = recorded_changes();
     for cut in 0..text.len() {
         let alone = recover_replicas(Some(&text[..cut]), None);
         assert!(states.contains(&alone.state), "cut at {cut}");
-        // A missing tail is not a loss, as its changes were not answered; an incomplete snapshot is one.
+        // A missing tail is not reported as a loss, because its changes were not confirmed to clients. An incomplete
+        // snapshot is reported as a loss.
         let snapshot_end = text.iter().position(|byte| *byte == b'\n').expect("a line") + 1;
         assert_eq!(alone.lost_changes > 0, cut < snapshot_end, "cut at {cut}");
         for (one, other) in [(&text[..cut], &text[..]), (&text[..], &text[..cut])] {
@@ -114,8 +115,8 @@
     }
 }
 
-/// Each bit flipped in one replica or in both: recovered from the other, or counted as a lost change unless the
-/// state is one that was there.
+/// Flips each bit in one replica or in both. Damage in one replica is recovered from the other. Damage in both results
+/// in an earlier state or is counted as a lost change.
 #[test]
 fn flipped_bit_is_repaired_or_reported_as_lost() {
     let RecordedChanges { text, states } = recorded_changes();
@@ -150,7 +151,7 @@
     let (two, five) = (&text[..ends[2]], &text[..ends[5]]);
     let recovered = recover_replicas(Some(two), Some(five));
     assert_eq!(recovered.state, states[5]);
-    // One replica was rewritten since, the other was not.
+    // One replica was rewritten afterwards, the other was not.
     let registry = Registry::restore(vec!["payout".into()], states[5].clone());
     let rewritten = [
         encode_snapshot(&registry, 0),
@@ -162,8 +163,8 @@
     assert_eq!(recovered.lost_changes, 0);
 }
 
-/// A snapshot that is written in slices while tenants are created, changed and removed yields, with the changes that
-/// follow it, the last state.
+/// A snapshot that is written in slices while tenants are created, changed and removed results, together with the
+/// changes that follow it, in the last state.
 #[test]
 fn sliced_snapshot_with_later_changes_yields_the_last_state() {
     for slice_length in [1, 2, 3, 7] {
--- a/crates/tenancy/src/scope.rs
+++ b/crates/tenancy/src/scope.rs
@@ -1,4 +1,4 @@
-//! Which tenants an administrator may see.
+//! The set of tenants that an administrator may see.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/tenancy/src/secret.rs
+++ b/crates/tenancy/src/secret.rs
@@ -1,4 +1,4 @@
-//! Digests of secrets; the secrets themselves are not stored.
+//! Digests of secrets. The secrets themselves are not stored.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,12 +9,12 @@
 
 use crate::spec::SpecError;
 
-/// Secrets of a tenant at most: one in use, its successor while clients rotate, and some for single clients.
+/// Maximum secrets of a tenant: one in use, its successor during a rotation, and some for individual clients.
 pub const MAX_SECRETS: usize = 8;
-/// The longest secret, in bytes.
+/// Maximum length of a secret, in bytes.
 pub const MAX_SECRET_BYTES: usize = 256;
 
-/// SHA-256 of a secret. It is unsalted and fast to compute, so a secret needs 128 random bits or more.
+/// SHA-256 of a secret. The digest is unsalted and fast to compute, so a secret needs at least 128 random bits.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest([u8; 32]);
@@ -26,8 +26,8 @@
         Digest(Sha256::digest(bytes).into())
     }
 
-    /// The digest of a sequence of parts. Each is preceded by its length, so that other splits of the same bytes have
-    /// other digests.
+    /// The digest of a sequence of parts. Each part is preceded by its length, so that the digest depends on how the
+    /// bytes are split.
     pub fn of_parts<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hasher = Sha256::new();
         for part in parts {
@@ -37,7 +37,7 @@
         Digest(hasher.finalize().into())
     }
 
-    /// Whether both are equal, in a time that does not depend on where they differ.
+    /// Compares two digests in a time that does not depend on where they differ.
     #[must_use]
     pub fn constant_time_eq(&self, other: &Digest) -> bool {
         self.0.ct_eq(&other.0).into()
--- a/crates/tenancy/src/spec.rs
+++ b/crates/tenancy/src/spec.rs
@@ -1,7 +1,7 @@
 //! A tenant's specification, and the bounds of its values.
 //!
-//! The doc comments of the fields are the descriptions in the administration API's document, which stays as it is;
-//! those of the types are given to the document by `schema(description)`.
+//! The doc comments of the fields are the descriptions in the OpenAPI document of the administration API. The
+//! descriptions of the types are set by `schema(description)`.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,20 +10,20 @@
 use policy::types::{DestinationId, RateLimit, TenantState, TenantTerms};
 use serde::{Deserialize, Serialize};
 
-/// The longest name of a tenant, in characters.
+/// Maximum length of a tenant's name, in characters.
 pub const MAX_NAME_CHARS: usize = 64;
-/// The largest weight.
+/// Maximum weight of a tenant.
 pub const MAX_WEIGHT: u32 = 10_000;
-/// The weight of a tenant whose specification names none.
+/// Weight of a tenant whose specification does not set one.
 pub const DEFAULT_WEIGHT: u32 = 100;
-/// The highest rate, in messages a second.
+/// Maximum rate, in messages per second.
 pub const MAX_RATE_PER_SECOND: f64 = 1e6;
-/// The largest burst, in messages.
+/// Maximum burst, in messages.
 pub const MAX_BURST: u32 = 1_000_000;
-/// Classes in a specification at most, and ranges of destinations.
+/// Maximum classes, and maximum ranges of destinations, in a specification.
 pub const MAX_LISTED_ITEMS: usize = 256;
 
-/// A tenant's rate limit, a token bucket. A message beyond it is rejected with a Retry-After.
+/// A tenant's rate limit, which is a token bucket. A message beyond it is rejected with a Retry-After.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
 #[cfg_attr(
@@ -41,7 +41,7 @@
     pub burst: u32,
 }
 
-/// What becomes of a removed tenant's queued messages. Calls in flight are completed either way.
+/// How a removed tenant's queued messages are handled. Calls in flight are completed in either case.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
 #[cfg_attr(
@@ -52,14 +52,14 @@
 )]
 #[serde(rename_all = "lowercase")]
 pub enum OnRemoval {
-    /// They are delivered as before.
+    /// The messages are delivered as before.
     #[default]
     Finish,
-    /// They are rejected at once.
+    /// The messages are rejected immediately.
     Refuse,
 }
 
-/// A range of destinations, both ends included; its text is `7` or `10-19`.
+/// An inclusive range of destinations, written as `7` or `10-19`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Destinations {
@@ -170,13 +170,13 @@
     }
 }
 
-/// A value that is out of bounds or malformed. The text reaches the administrator.
+/// A value that is out of bounds or malformed. The text goes to the administrator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct SpecError {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
-    /// Why its value is not accepted.
+    /// Why the field's value is rejected.
     pub reason: String,
 }
 
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     ///
-    /// [`SpecError`] names the first value that is out of bounds.
+    /// [`SpecError`] for the first value that is out of bounds.
     pub fn check(&self, known_classes: &[String]) -> Result<(), SpecError> {
         self.check_weight()?;
         self.check_rate()?;
@@ -302,7 +302,7 @@
         Ok(())
     }
 
-    /// The terms by which the decision module treats a tenant in this state.
+    /// The terms of a tenant in this state, for the decision module.
     #[must_use]
     pub fn terms(&self, state: TenantState) -> TenantTerms {
         let limit = |limit: Option<u32>| limit.map_or(usize::MAX, |limit| limit as usize);
@@ -333,7 +333,7 @@
 ///
 /// # Errors
 ///
-/// [`SpecError`] says what is wrong with the name.
+/// [`SpecError`] if the name is invalid.
 pub fn check_name(name: &str) -> Result<(), SpecError> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     let starts_well = name
--- a/crates/tenancy/src/spec/tests.rs
+++ b/crates/tenancy/src/spec/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Why a text is no specification that the relay accepts.
+/// Why a text is rejected as a specification.
 #[derive(Debug, thiserror::Error)]
 enum ParseError {
     #[error(transparent)]
@@ -78,11 +78,11 @@
     }
 }
 
-/// The text is part of what the API answers to a body of a wrong type.
+/// The text is part of the API's response to a body of the wrong type.
 #[test]
 fn wrong_type_is_reported_under_the_name_of_the_schema() {
     let error =
-        serde_json::from_str::<TenantSpec>("\"x\"").expect_err("a string is no specification");
+        serde_json::from_str::<TenantSpec>("\"x\"").expect_err("a string is not a specification");
     assert_eq!(
         error.to_string(),
         "invalid type: string \"x\", expected struct Spec at line 1 column 3"
--- a/crates/tenancy/tests/fair_queueing.rs
+++ b/crates/tenancy/tests/fair_queueing.rs
@@ -1,4 +1,4 @@
-//! Properties of fair queueing: shares by weight, capacity that is lent and taken back, exact accounting.
+//! Tests of fair queueing: shares by weight, use of spare capacity, and exact accounting.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy)]
 struct Demand {
     candidates: u64,
-    /// How long each call takes, as expected.
+    /// Expected duration of each call.
     duration: Micros,
     cost_of_delay: f64,
 }
@@ -75,8 +75,8 @@
     }
 }
 
-/// Runs rounds in which the tenants contend for one destination that takes `calls_per_round`, and in which all
-/// slots are wanted; returns the calls that each tenant got.
+/// Runs rounds in which the tenants contend for one destination that accepts `calls_per_round`, and for all slots.
+/// Returns the number of calls of each tenant.
 fn contend(
     scheduler: &mut FairQueueScheduler,
     demands: &[Demand],
@@ -109,7 +109,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Tenants that always contend get calls by their weights, whatever their costs of delay.
+    /// Tenants that always contend get calls in proportion to their weights, regardless of their costs of delay.
     #[test]
     fn calls_at_a_destination_are_shared_by_weight(
         weights in prop::collection::vec(1u32..20, 2..6),
@@ -128,13 +128,13 @@
         let all = (rounds * calls_per_round) as f64;
         for (weight, calls) in weights.iter().zip(&calls_by_tenant) {
             let fair = all * f64::from(*weight) / f64::from(total_weight);
-            // A quantum of the destination's calls, by weight, and a call for each tenant that may be ahead.
+            // A quantum of the destination's calls, by weight, plus one call for each tenant that may be ahead.
             let tolerance = 6.0 + weights.len() as f64;
             prop_assert!((*calls as f64 - fair).abs() <= tolerance, "{weights:?}: {calls_by_tenant:?}, fair {fair}");
         }
     }
 
-    /// Where slots are short, tenants share the time for which calls hold them, not the number of calls.
+    /// If slots are scarce, tenants share the time for which calls occupy slots, not the number of calls.
     #[test]
     fn slot_time_is_shared_by_weight(
         weights in prop::collection::vec(1u32..8, 2..5),
@@ -142,7 +142,7 @@
         calls_per_round in 1usize..8,
     ) {
         let mut scheduler = scheduler_with_weights(8, &weights);
-        // Each tenant has a destination of its own, so that only slots are shared.
+        // Each tenant has its own destination, so that only slots are shared.
         let mut slot_time = vec![0.0; weights.len()];
         for round in 0..3000 {
             let mut candidates = Vec::new();
@@ -164,14 +164,15 @@
         let all: f64 = slot_time.iter().sum();
         for (weight, time) in weights.iter().zip(&slot_time) {
             let fair = all * f64::from(*weight) / f64::from(total_weight);
-            // A quantum of 0.25 s of 8 slots, and what calls of one round may take beyond their expected duration.
+            // A quantum of 0.25 s of 8 slots, plus the time by which calls of one round may exceed their expected
+            // duration.
             let tolerance = 0.25e6 * 8.0 + 8.0 * 800.0 * MS as f64;
             prop_assert!((time - fair).abs() <= tolerance, "{weights:?} {durations:?}: {slot_time:?}, fair {fair}");
         }
     }
 
-    /// A tenant that had a destination to itself is behind for a bounded number of calls once another contends, which
-    /// is owed nothing for the time before.
+    /// A tenant that was alone at a destination is at a disadvantage for only a bounded number of calls once another
+    /// tenant contends. The other tenant gets no compensation for the time before.
     #[test]
     fn lent_capacity_is_not_paid_back(alone in 1usize..3000, weights in prop::collection::vec(1u32..9, 2)) {
         let mut scheduler = scheduler_with_weights(1000, &weights);
@@ -184,17 +185,17 @@
         }
     }
 
-    /// The share of a tenant that has no candidates goes to the others, whole.
+    /// The share of a tenant without candidates goes entirely to the others.
     #[test]
-    fn unused_share_is_lent_whole(weights in prop::collection::vec(1u32..9, 3), calls_per_round in 1usize..9) {
+    fn unused_share_goes_entirely_to_other_tenants(weights in prop::collection::vec(1u32..9, 3), calls_per_round in 1usize..9) {
         let mut scheduler = scheduler_with_weights(1000, &weights);
         let calls_by_tenant = contend(&mut scheduler, &[50, 0, 1].map(Demand::of_candidates), calls_per_round, 100);
         prop_assert_eq!(calls_by_tenant[0] + calls_by_tenant[2], 100 * calls_per_round as u64);
         prop_assert!(calls_by_tenant[0] >= 100 * (calls_per_round as u64 - 1));
     }
 
-    /// Where the queue is beyond its capacity some tenant exceeds its share, no tenant within its share does, and the
-    /// accounts are exact over any changes of terms.
+    /// If the queue exceeds its capacity, at least one tenant exceeds its share. A tenant within its share is never
+    /// reported as exceeding it, and the accounting is exact for any sequence of changes of terms.
     #[test]
     fn queue_shares_are_exact_after_any_updates(steps in prop::collection::vec((0u16..6, 0u8..5, 1u32..30), 1..400)) {
         let mut scheduler = FairQueueScheduler::new(8);
@@ -223,7 +224,7 @@
                 _ => {}
             }
             queued.retain(|_, queued| *queued > 0);
-            // No time passes: a tenant that had a message queued shares the queue still.
+            // No time passes, so a tenant that had a queued message still shares the queue.
             sharing.retain(|tenant| terms.contains_key(tenant));
             sharing.extend(queued.keys());
             let total_weight: u64 = sharing.iter().map(|tenant| u64::from(terms[tenant])).sum();
@@ -276,7 +277,7 @@
         assert_eq!(scheduler.may_start_call(3), sends, "{state:?}");
         assert_eq!(scheduler.abandons_messages(3), abandons, "{state:?}");
     }
-    // A removed tenant is terminating until none of its messages is queued; then its number may be assigned again.
+    // A removed tenant is terminating until none of its messages is queued. Then its number may be reassigned.
     scheduler.update_tenant(0, 3, None);
     assert!(scheduler.abandons_messages(3));
     scheduler.message_removed(&one);
--- a/crates/tenancy/tests/flood.rs
+++ b/crates/tenancy/tests/flood.rs
@@ -1,5 +1,5 @@
-//! A tenant that floods the relay, and the service that the other tenants keep: the decision module with the tenant
-//! scheduler, on a virtual clock.
+//! Tests that a tenant that floods the relay does not degrade the service of other tenants. They run the decision
+//! module with the tenant scheduler on a virtual clock.
 
 use std::collections::BTreeMap;
 
@@ -13,14 +13,14 @@
 const TICK: Micros = 5 * MS;
 const DURATION: Micros = 12 * S;
 const TENANTS: usize = 3;
-/// How long a partner takes for a call.
+/// How long a partner takes to respond to a call.
 const PARTNER_RESPONSE_TIME: Micros = 150 * MS;
 const PARTNERS: DestinationId = 4;
-/// Calls that a partner answers at once.
+/// Calls that a partner processes concurrently.
 const CALLS_PER_PARTNER: usize = 64;
-/// Messages a second that a tenant sends.
+/// Messages per second that a tenant sends.
 const NORMAL_RATE: u64 = 20;
-/// A flood has this many times the normal rate.
+/// The rate of a flood, as a multiple of the normal rate.
 const FLOOD_FACTOR: u64 = 20;
 const MAX_CLIENT_RETRIES: u32 = 3;
 const LATENCY_OBJECTIVE: Micros = 2 * S;
@@ -75,7 +75,7 @@
     }
 }
 
-/// What a tenant sends: the class and destination of each message follow from its number.
+/// The traffic of a tenant. The class and destination of each message are functions of its number.
 #[derive(Clone, Copy)]
 struct Traffic {
     messages_per_second: u64,
@@ -84,7 +84,7 @@
     message_size: usize,
 }
 
-/// A message that a client has not had an answer for.
+/// A message that a client has submitted or will submit, and that has no response yet.
 struct PendingMessage {
     tenant: usize,
     class: u16,
@@ -99,30 +99,30 @@
     sent_at: Micros,
 }
 
-/// What was served in a run.
+/// The service provided in a run.
 struct Served {
-    /// Messages of each tenant that were delivered within the latency objective.
+    /// For each tenant, the messages that were delivered within the latency objective.
     in_time: [u64; TENANTS],
-    /// Calls that ended, of all tenants.
+    /// Calls of all tenants that ended.
     calls: u64,
 }
 
-/// A relay's decision module with its clients and partners.
+/// A relay's decision module with simulated clients and partners.
 struct TestBed {
     policy: DeliveryPolicy,
     now: Micros,
     started_at: Micros,
     last_id: MessageId,
-    /// Messages that each tenant has sent, without retries.
+    /// Number of messages that each tenant has sent, not counting retries.
     sent: [u64; TENANTS],
     events: Vec<Event>,
     open: BTreeMap<MessageId, PendingMessage>,
     attempts: BTreeMap<MessageId, u8>,
-    /// What clients submit, by its time.
+    /// Future submissions of clients, by time.
     submissions: BTreeMap<(Micros, MessageId), PendingMessage>,
-    /// What partners answer, by its time.
+    /// Future responses of partners, by time.
     responses: BTreeMap<(Micros, MessageId), Call>,
-    /// When each of a partner's places is free again.
+    /// For each partner, when each of its worker slots becomes free.
     partner_free_at: BTreeMap<HostId, Vec<Micros>>,
     timers: BTreeMap<Micros, u64>,
     served: Served,
@@ -171,7 +171,7 @@
                 }
             }
             self.submit_due();
-            self.answer_due();
+            self.respond_due();
             self.fire_due_timers();
             self.decide();
             self.now += TICK;
@@ -184,7 +184,7 @@
         self.last_id
     }
 
-    /// Generates the messages that a tenant has sent by now.
+    /// Generates the messages that a tenant has sent up to now.
     fn generate(&mut self, tenant: usize, traffic: &Traffic) {
         while self.sent[tenant] * S < (self.now - self.started_at) * traffic.messages_per_second {
             let number = self.sent[tenant];
@@ -220,7 +220,7 @@
         }
     }
 
-    fn answer_due(&mut self) {
+    fn respond_due(&mut self) {
         while let Some(Due { at, id, item: call }) = pop_due(&mut self.responses, self.now) {
             self.events.push(Event::AttemptEnded(AttemptEnd {
                 id,
@@ -267,23 +267,23 @@
         }
     }
 
-    /// A call waits at its partner for the place that is free first.
+    /// Starts a call, which waits at its partner for the first free worker slot.
     fn start_call(&mut self, id: MessageId, host: HostId) {
         self.attempts
             .entry(id)
             .and_modify(|attempt| *attempt += 1)
             .or_insert(0);
-        let places = self
+        let worker_slots = self
             .partner_free_at
             .entry(host)
             .or_insert_with(|| vec![0; CALLS_PER_PARTNER]);
-        let place = places.iter_mut().min().expect("a place");
-        *place = self.now.max(*place) + PARTNER_RESPONSE_TIME;
+        let free_at = worker_slots.iter_mut().min().expect("a worker slot");
+        *free_at = self.now.max(*free_at) + PARTNER_RESPONSE_TIME;
         let call = Call {
             host,
             sent_at: self.now,
         };
-        self.responses.insert((*place, id), call);
+        self.responses.insert((*free_at, id), call);
     }
 
     fn retry_later(&mut self, id: MessageId, retry_after: Micros) {
@@ -300,14 +300,14 @@
     }
 }
 
-/// An item of a queue whose time has come.
+/// An item of a queue that is due.
 struct Due<T> {
     at: Micros,
     id: MessageId,
     item: T,
 }
 
-/// Takes the first item out of a queue if its time has come.
+/// Removes the first item of a queue if it is due.
 fn pop_due<T>(queue: &mut BTreeMap<(Micros, MessageId), T>, now: Micros) -> Option<Due<T>> {
     let first = queue.first_entry()?;
     let (at, id) = *first.key();
@@ -326,7 +326,7 @@
     Box::new(NoTenants)
 }
 
-/// Traffic of three tenants, and the flood by which the first may replace its own.
+/// Normal traffic of three tenants, and a flood that can replace the traffic of the first.
 struct TrafficMix {
     name: &'static str,
     normal: [Traffic; TENANTS],
@@ -334,7 +334,8 @@
 }
 
 impl TrafficMix {
-    /// A mix in which all tenants have the same traffic, and the flood is of the normal rate's multiple.
+    /// A mix in which all tenants have the same normal traffic. The flood's rate is [`FLOOD_FACTOR`] times the normal
+    /// rate.
     fn new(name: &'static str, normal: Traffic, flood: Traffic) -> Self {
         TrafficMix {
             name,
@@ -346,7 +347,8 @@
         }
     }
 
-    /// The part of their messages in time that the second and third tenants keep while the first floods.
+    /// The messages that the second and third tenants have delivered in time while the first floods, as a fraction of
+    /// those in normal operation.
     fn kept_service(&self, scheduler: fn() -> Box<dyn TenantScheduler>) -> [f64; 2] {
         let normal = TestBed::new(scheduler()).run(self.normal.map(Some));
         let [_, second, third] = self.normal;
--- a/crates/tenancy/tests/registry.rs
+++ b/crates/tenancy/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry: changes against each state of a tenant, its bounds, and recovery from its file.
+//! Tests of the registry: changes in each state of a tenant, limits, and recovery from its file.
 
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Decides on a command and commits it; returns the tenant after it.
+/// Decides on a command and commits it. Returns the tenant after the command.
 fn execute(registry: &mut Registry, command: &Command) -> Result<Tenant, RegistryError> {
     match registry.decide(1000, command)? {
         Decision::Commit(record) => {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Executes a change of a tenant in any version.
+/// Executes a change of a tenant, regardless of its version.
 fn execute_change(
     registry: &mut Registry,
     name: &str,
@@ -62,7 +62,7 @@
     entry.expect("admitted").unacknowledged = 1;
 }
 
-/// Commits all tenants that have drained as gone; returns how many.
+/// Commits the removal of all tenants that have drained. Returns how many were removed.
 fn commit_drained(registry: &mut Registry) -> usize {
     let mut count = 0;
     while let Some(record) = registry.next_drained(2000) {
@@ -186,7 +186,7 @@
         execute_change(&mut registry, "acme", finish),
         Ok(terminated)
     );
-    // A tenant that is created under the name is another generation, beside the draining one.
+    // A tenant that is created under the same name is a new generation, in addition to the draining one.
     let second = create(&mut registry, "acme");
     assert_eq!(
         second.version,
@@ -243,7 +243,7 @@
     assert_eq!(create(&mut registry, "acme").version.generation, 3);
 }
 
-/// A registry with as many draining tenants of a name as there may be.
+/// A registry with the maximum of draining tenants of one name.
 fn registry_with_draining_tenants() -> Registry {
     let mut registry = Registry::new(classes());
     for _ in 0..MAX_DRAINING_GENERATIONS {
@@ -280,7 +280,7 @@
     }
     let result = execute_change(&mut registry, "late", Change::Create(TenantSpec::default()));
     assert_too_many(&result, MAX_TENANTS);
-    // The maximum number of tenants is restored, too.
+    // A registry with the maximum number of tenants is restored completely.
     let restored = Registry::restore(classes(), registry.persisted_state());
     assert_eq!(restored.len(), MAX_TENANTS);
 }
@@ -325,7 +325,7 @@
     let create = keyed("k1", b"create", Change::Create(TenantSpec::default()));
     let created = execute(&mut registry, &create).expect("created");
     execute_change(&mut registry, "acme", Change::Pause).expect("paused");
-    // The first response is replayed, though the tenant has changed since.
+    // The first response is replayed although the tenant has changed in the meantime.
     assert!(
         matches!(registry.decide(2000, &create), Ok(Decision::Replay(a)) if a.tenant == created)
     );
@@ -430,7 +430,7 @@
     assert_eq!(names(Some("c")), [""; 0]);
 }
 
-/// Any change of one of four tenants, by chance with an idempotency key that fits it.
+/// Any change of one of four tenants, sometimes with an idempotency key and the matching digest.
 fn any_command() -> impl Strategy<Value = Command> {
     let change = prop_oneof![
         3 => (1u32..50).prop_map(|weight| Change::Create(TenantSpec { weight, ..TenantSpec::default() })),
@@ -456,8 +456,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 150, failure_persistence: None, rng_seed: RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// After any sequence of commands versions have only grown, each change has one sequence number, no two tenants
-    /// have one number, and the file yields the same state at any point.
+    /// For any sequence of commands: versions only increase, each change has its own sequence number, no two tenants
+    /// have the same number, and recovery from the file results in the registry's state at any point.
     #[test]
     fn file_yields_the_registry_after_any_commands(steps in prop::collection::vec((any_command(), any::<bool>()), 1..60)) {
         let mut registry = Registry::new(classes());
--- a/crates/tenancy/tests/stored_format.rs
+++ b/crates/tenancy/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! Golden files of the registry and the audit log: this version writes the same bytes as the one that made them,
-//! and reads them. The files in `tests/golden` are never rewritten by a test.
+//! Golden files of the registry and the audit log: the current version writes the same bytes as the version that
+//! created the files, and reads them. No test writes the files in `tests/golden`.
 
 use std::fs;
 use std::path::Path;
@@ -138,7 +138,7 @@
         ),
         (registry.persisted_state(), 2, false)
     );
-    // The first replica is torn within its last change, the second one repairs it.
+    // The first replica is torn within its last change, which is recovered from the second.
     let torn = &changes[..changes.len() - 30];
     let recovered = recover(&classes(), Some(torn), Some(&changes)).expect("readable");
     assert_eq!(
