--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -13,15 +13,15 @@
 /// A tenant before or after a change, without the digests of its secrets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(as = Image, description = "A tenant as it was before or after a change. Of its secrets only the names are told."))]
+#[cfg_attr(feature = "openapi", schema(as = Image, description = "A tenant before or after a change. Only the names of its secrets are included."))]
 pub struct TenantSnapshot {
-    /// Its generation and revision.
+    /// The tenant's generation and revision.
     pub version: String,
-    /// Where it stood.
+    /// The tenant's state.
     pub state: State,
-    /// What was set.
+    /// The tenant's specification.
     pub spec: TenantSpec,
-    /// Names of its secrets.
+    /// Names of the tenant's secrets.
     pub secrets: Vec<String>,
 }
 
@@ -43,25 +43,28 @@
 /// An entry of the audit log: one committed change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(description = "A change that was made."))]
+#[cfg_attr(
+    feature = "openapi",
+    schema(description = "An entry of the audit log: one committed change.")
+)]
 pub struct Entry {
-    /// Counts all changes, from 1 and without a gap.
+    /// Sequence number among all changes, from 1 without gaps.
     pub seq: u64,
-    /// When, as RFC 3339 has it.
+    /// When the change was made, as an RFC 3339 timestamp.
     pub at: String,
-    /// Name of the token that was used, or `relay` for what the relay did by itself.
+    /// Name of the token that was used, or `relay` for automatic changes by the relay.
     pub actor: String,
-    /// Its role.
+    /// The role of the token.
     pub role: String,
-    /// The request's name.
+    /// The request's identifier.
     pub request: String,
-    /// What was done.
+    /// The kind of change.
     pub action: Action,
     /// The tenant's name.
     pub tenant: String,
-    /// The tenant before; null where it was made.
+    /// The tenant before the change; null if the change created it.
     pub from: Option<TenantSnapshot>,
-    /// The tenant after; null where it is gone.
+    /// The tenant after the change; null if it is gone.
     pub to: Option<TenantSnapshot>,
 }
 
--- a/crates/tenancy/src/registry/command.rs
+++ b/crates/tenancy/src/registry/command.rs
@@ -75,7 +75,7 @@
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
 #[cfg_attr(
     feature = "openapi",
-    schema(description = "What kind of change was made.")
+    schema(description = "The kind of a committed change.")
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Action {
--- a/crates/tenancy/src/registry/tenant.rs
+++ b/crates/tenancy/src/registry/tenant.rs
@@ -10,7 +10,10 @@
 /// A tenant's state in its life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(description = "Where a tenant stands."))]
+#[cfg_attr(
+    feature = "openapi",
+    schema(description = "A tenant's state in its life cycle.")
+)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// Its messages are accepted and sent.
--- a/crates/tenancy/src/spec.rs
+++ b/crates/tenancy/src/spec.rs
@@ -29,14 +29,14 @@
 #[cfg_attr(
     feature = "openapi",
     schema(
-        description = "How much a tenant may hand in; more is refused, and its client told when there is room again."
+        description = "A tenant's rate limit. A message beyond it is rejected with the time after which the client may retry."
     )
 )]
 #[serde(deny_unknown_fields)]
 pub struct RateSpec {
     /// Messages a second in the long run, above 0 and up to 1,000,000.
     pub per_second: f64,
-    /// Messages that may come at once, from 1 to 1,000,000.
+    /// Burst size: messages that may arrive at once, from 1 to 1,000,000.
     #[cfg_attr(feature = "openapi", schema(minimum = 1, maximum = 1_000_000))]
     pub burst: u32,
 }
@@ -47,7 +47,7 @@
 #[cfg_attr(
     feature = "openapi",
     schema(
-        description = "What becomes of a tenant's messages when it is removed. Calls that are out come to their end either way."
+        description = "How a tenant's queued messages are handled when it is removed. Calls in flight are completed in either case."
     )
 )]
 #[serde(rename_all = "lowercase")]
@@ -125,34 +125,34 @@
 /// A tenant's specification, which administrators set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(as = Spec, description = "What an administrator sets of a tenant."))]
+#[cfg_attr(feature = "openapi", schema(as = Spec, description = "A tenant's specification, which administrators set."))]
 #[serde(deny_unknown_fields, default)]
 #[serde(expecting = "struct Spec")]
 pub struct TenantSpec {
-    /// Its part of the hold, of the slots and of each destination's calls, against those of the other tenants
-    /// that use them, from 1 to 10,000. What a tenant leaves unused is lent to the others.
+    /// Relative share of the queue, of the slots and of each destination's calls among the tenants that use them,
+    /// from 1 to 10,000. Capacity that a tenant does not use is available to the others.
     #[cfg_attr(feature = "openapi", schema(minimum = 1, maximum = 10_000))]
     pub weight: u32,
-    /// How much it may hand in; any amount if absent.
+    /// Rate limit for submitted messages; unlimited if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate: Option<RateSpec>,
-    /// Messages held at most; more are refused. As many as the relay holds if absent.
+    /// Maximum messages held; more are rejected. Only the relay's own limit applies if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[cfg_attr(feature = "openapi", schema(minimum = 1))]
     pub max_held: Option<u32>,
-    /// Messages out in calls at most; more wait. As many as the relay has slots if absent.
+    /// Maximum messages in flight; more wait. Only the relay's number of slots applies if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[cfg_attr(feature = "openapi", schema(minimum = 1))]
     pub max_in_flight: Option<u32>,
-    /// Classes that it may hand in; all if absent.
+    /// Classes that the tenant may submit; all if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[cfg_attr(feature = "openapi", schema(max_items = 256))]
     pub classes: Option<BTreeSet<String>>,
-    /// Destinations that its messages may go to; all if absent.
+    /// Destinations that the tenant may send to; all if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[cfg_attr(feature = "openapi", schema(max_items = 256, value_type = Option<Vec<String>>, example = json!(["7", "10-19"])))]
     pub destinations: Option<Vec<Destinations>>,
-    /// What becomes of its messages when it is removed.
+    /// How the tenant's queued messages are handled when it is removed.
     pub on_removal: OnRemoval,
 }
 
