--- a/crates/tenancy/src/audit.rs
+++ b/crates/tenancy/src/audit.rs
@@ -1,7 +1,7 @@
-//! Entries of the audit log: who changed which tenant, from which state to which.
+//! Entries of the audit log: who changed which tenant, and its state before and after.
 //!
-//! The doc comments of the fields are the descriptions in the administration API's document, which stays as it is;
-//! those of the types are given to the document by `schema(description)`.
+//! The doc comments of the fields are the descriptions in the OpenAPI document of the administration API. The
+//! descriptions of the types are set by `schema(description)`.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -13,15 +13,15 @@
 /// A tenant before or after a change, without the digests of its secrets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(as = Image, description = "A tenant as it was before or after a change. Of its secrets only the names are told."))]
+#[cfg_attr(feature = "openapi", schema(as = Image, description = "A tenant before or after a change. Only the names of its secrets are included."))]
 pub struct TenantSnapshot {
-    /// Its generation and revision.
+    /// The tenant's generation and revision.
     pub version: String,
-    /// Where it stood.
+    /// The tenant's state.
     pub state: State,
-    /// What was set.
+    /// The tenant's specification.
     pub spec: TenantSpec,
-    /// Names of its secrets.
+    /// Names of the tenant's secrets.
     pub secrets: Vec<String>,
 }
 
@@ -43,30 +43,33 @@
 /// An entry of the audit log: one committed change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(description = "A change that was made."))]
+#[cfg_attr(
+    feature = "openapi",
+    schema(description = "An entry of the audit log: one committed change.")
+)]
 pub struct Entry {
-    /// Counts all changes, from 1 and without a gap.
+    /// Sequence number among all changes, from 1 without gaps.
     pub seq: u64,
-    /// When, as RFC 3339 has it.
+    /// When the change was made, as an RFC 3339 timestamp.
     pub at: String,
-    /// Name of the token that was used, or `relay` for what the relay did by itself.
+    /// Name of the token that was used, or `relay` for automatic changes by the relay.
     pub actor: String,
-    /// Its role.
+    /// The role of the token.
     pub role: String,
-    /// The request's name.
+    /// The request's identifier.
     pub request: String,
-    /// What was done.
+    /// The kind of change.
     pub action: Action,
     /// The tenant's name.
     pub tenant: String,
-    /// The tenant before; null where it was made.
+    /// The tenant before the change; null if the change created it.
     pub from: Option<TenantSnapshot>,
-    /// The tenant after; null where it is gone.
+    /// The tenant after the change; null if it is gone.
     pub to: Option<TenantSnapshot>,
 }
 
 impl Entry {
-    /// The entry of a committed change.
+    /// Creates the entry of a committed change.
     pub fn of(record: &ChangeRecord) -> Self {
         let tenant = record.to.as_ref().or(record.from.as_ref());
         Entry {
@@ -82,7 +85,7 @@
         }
     }
 
-    /// The entry as a line of JSON, with its line feed.
+    /// Encodes the entry as a line of JSON with its line feed.
     #[must_use]
     pub fn line(&self) -> Vec<u8> {
         // Serialization fails for none of this crate's types.
@@ -92,10 +95,10 @@
     }
 }
 
-/// A time in milliseconds since the Unix epoch as an RFC 3339 timestamp in UTC.
+/// Formats a time in milliseconds since the Unix epoch as an RFC 3339 timestamp in UTC.
 #[must_use]
 pub fn rfc3339(at_ms: u64) -> String {
-    /// The last time that has a year of four digits; a later one is written as this.
+    /// The last time whose year has four digits. Later times are formatted as this one.
     const LAST_RFC3339_MS: u64 = 253_402_300_799_999;
     humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(at_ms.min(LAST_RFC3339_MS)))
         .to_string()
--- a/crates/tenancy/src/spec.rs
+++ b/crates/tenancy/src/spec.rs
@@ -1,7 +1,7 @@
 //! A tenant's specification, and the bounds of its values.
 //!
-//! The doc comments of the fields are the descriptions in the administration API's document, which stays as it is;
-//! those of the types are given to the document by `schema(description)`.
+//! The doc comments of the fields are the descriptions in the OpenAPI document of the administration API. The
+//! descriptions of the types are set by `schema(description)`.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,56 +10,56 @@
 use policy::types::{DestinationId, RateLimit, TenantState, TenantTerms};
 use serde::{Deserialize, Serialize};
 
-/// The longest name of a tenant, in characters.
+/// Maximum length of a tenant's name, in characters.
 pub const MAX_NAME_CHARS: usize = 64;
-/// The largest weight.
+/// Maximum weight of a tenant.
 pub const MAX_WEIGHT: u32 = 10_000;
-/// The weight of a tenant whose specification names none.
+/// Weight of a tenant whose specification does not set one.
 pub const DEFAULT_WEIGHT: u32 = 100;
-/// The highest rate, in messages a second.
+/// Maximum rate, in messages per second.
 pub const MAX_RATE_PER_SECOND: f64 = 1e6;
-/// The largest burst, in messages.
+/// Maximum burst, in messages.
 pub const MAX_BURST: u32 = 1_000_000;
-/// Classes in a specification at most, and ranges of destinations.
+/// Maximum classes, and maximum ranges of destinations, in a specification.
 pub const MAX_LISTED_ITEMS: usize = 256;
 
-/// A tenant's rate limit, a token bucket. A message beyond it is rejected with a Retry-After.
+/// A tenant's rate limit, which is a token bucket. A message beyond it is rejected with a Retry-After.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
 #[cfg_attr(
     feature = "openapi",
     schema(
-        description = "How much a tenant may hand in; more is refused, and its client told when there is room again."
+        description = "A tenant's rate limit. A message beyond it is rejected with the time after which the client may retry."
     )
 )]
 #[serde(deny_unknown_fields)]
 pub struct RateSpec {
     /// Messages a second in the long run, above 0 and up to 1,000,000.
     pub per_second: f64,
-    /// Messages that may come at once, from 1 to 1,000,000.
+    /// Burst size: messages that may arrive at once, from 1 to 1,000,000.
     #[cfg_attr(feature = "openapi", schema(minimum = 1, maximum = 1_000_000))]
     pub burst: u32,
 }
 
-/// What becomes of a removed tenant's queued messages. Calls in flight are completed either way.
+/// How a removed tenant's queued messages are handled. Calls in flight are completed in either case.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
 #[cfg_attr(
     feature = "openapi",
     schema(
-        description = "What becomes of a tenant's messages when it is removed. Calls that are out come to their end either way."
+        description = "How a tenant's queued messages are handled when it is removed. Calls in flight are completed in either case."
     )
 )]
 #[serde(rename_all = "lowercase")]
 pub enum OnRemoval {
-    /// They are delivered as before.
+    /// The messages are delivered as before.
     #[default]
     Finish,
-    /// They are rejected at once.
+    /// The messages are rejected immediately.
     Refuse,
 }
 
-/// A range of destinations, both ends included; its text is `7` or `10-19`.
+/// An inclusive range of destinations, written as `7` or `10-19`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Destinations {
@@ -125,34 +125,34 @@
 /// A tenant's specification, which administrators set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[cfg_attr(feature = "openapi", derive(utoipa::ToSchema))]
-#[cfg_attr(feature = "openapi", schema(as = Spec, description = "What an administrator sets of a tenant."))]
+#[cfg_attr(feature = "openapi", schema(as = Spec, description = "A tenant's specification, which administrators set."))]
 #[serde(deny_unknown_fields, default)]
 #[serde(expecting = "struct Spec")]
 pub struct TenantSpec {
-    /// Its part of the hold, of the slots and of each destination's calls, against those of the other tenants
-    /// that use them, from 1 to 10,000. What a tenant leaves unused is lent to the others.
+    /// Relative share of the queue, of the slots and of each destination's calls among the tenants that use them,
+    /// from 1 to 10,000. Capacity that a tenant does not use is available to the others.
     #[cfg_attr(feature = "openapi", schema(minimum = 1, maximum = 10_000))]
     pub weight: u32,
-    /// How much it may hand in; any amount if absent.
+    /// Rate limit for submitted messages; unlimited if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub rate: Option<RateSpec>,
-    /// Messages held at most; more are refused. As many as the relay holds if absent.
+    /// Maximum messages held; more are rejected. Only the relay's own limit applies if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[cfg_attr(feature = "openapi", schema(minimum = 1))]
     pub max_held: Option<u32>,
-    /// Messages out in calls at most; more wait. As many as the relay has slots if absent.
+    /// Maximum messages in flight; more wait. Only the relay's number of slots applies if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[cfg_attr(feature = "openapi", schema(minimum = 1))]
     pub max_in_flight: Option<u32>,
-    /// Classes that it may hand in; all if absent.
+    /// Classes that the tenant may submit; all if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[cfg_attr(feature = "openapi", schema(max_items = 256))]
     pub classes: Option<BTreeSet<String>>,
-    /// Destinations that its messages may go to; all if absent.
+    /// Destinations that the tenant may send to; all if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[cfg_attr(feature = "openapi", schema(max_items = 256, value_type = Option<Vec<String>>, example = json!(["7", "10-19"])))]
     pub destinations: Option<Vec<Destinations>>,
-    /// What becomes of its messages when it is removed.
+    /// How the tenant's queued messages are handled when it is removed.
     pub on_removal: OnRemoval,
 }
 
@@ -170,13 +170,13 @@
     }
 }
 
-/// A value that is out of bounds or malformed. The text reaches the administrator.
+/// A value that is out of bounds or malformed. The text goes to the administrator.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {reason}")]
 pub struct SpecError {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
-    /// Why its value is not accepted.
+    /// Why the field's value is rejected.
     pub reason: String,
 }
 
@@ -211,7 +211,7 @@
     ///
     /// # Errors
     ///
-    /// [`SpecError`] names the first value that is out of bounds.
+    /// [`SpecError`] for the first value that is out of bounds.
     pub fn check(&self, known_classes: &[String]) -> Result<(), SpecError> {
         self.check_weight()?;
         self.check_rate()?;
@@ -302,7 +302,7 @@
         Ok(())
     }
 
-    /// The terms by which the decision module treats a tenant in this state.
+    /// The terms of a tenant in this state, for the decision module.
     #[must_use]
     pub fn terms(&self, state: TenantState) -> TenantTerms {
         let limit = |limit: Option<u32>| limit.map_or(usize::MAX, |limit| limit as usize);
@@ -333,7 +333,7 @@
 ///
 /// # Errors
 ///
-/// [`SpecError`] says what is wrong with the name.
+/// [`SpecError`] if the name is invalid.
 pub fn check_name(name: &str) -> Result<(), SpecError> {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     let starts_well = name
