--- a/crates/simulator/src/commands/cost.rs
+++ b/crates/simulator/src/commands/cost.rs
@@ -19,7 +19,7 @@
     Submission, TestBed, MEASURED_CLIENTS, MEASURED_PARTNERS, READY_TIMEOUT, TENANT,
 };
 use super::CommandOutcome;
-use crate::peers::connection::until_ready;
+use crate::peers::connection::wait_until_ready;
 
 /// Time between an answer and the same client's next message.
 const CLIENT_PAUSE: Duration = Duration::from_millis(8);
@@ -162,7 +162,7 @@
     test_bed
         .context
         .runtime
-        .timeout(READY_TIMEOUT, until_ready(&test_bed.context, listen))
+        .timeout(READY_TIMEOUT, wait_until_ready(&test_bed.context, listen))
         .await
         .map_err(|_| CostError::NotReady(case.program.clone()))?;
     let ticks_before = cpu_ticks(process.id())?;
--- a/crates/simulator/src/commands/demo.rs
+++ b/crates/simulator/src/commands/demo.rs
@@ -21,7 +21,7 @@
 use super::CommandOutcome;
 use crate::history::{Idempotency, Observation};
 use crate::peers::clients::{Client, ClientBehavior, PlannedMessage};
-use crate::peers::connection::until_ready;
+use crate::peers::connection::wait_until_ready;
 use crate::peers::discovery::{Discovery, HostEntry};
 use crate::peers::host_behavior::HostBehavior;
 use crate::peers::hosts::Host;
@@ -121,7 +121,7 @@
         "the relay is ready at {}; {ARRIVALS_PER_SECOND} messages a second come in",
         demo.relay_address
     ));
-    let start = demo.context.at();
+    let start = demo.context.elapsed();
     demo.start_clients(start);
     for second in 1..=ARRIVAL_SECONDS + MAX_DRAIN_SECONDS {
         let at = demo.context.instant(start + Duration::from_secs(second));
@@ -215,7 +215,7 @@
             variables: &[],
         })?);
         self.context.observe(&Observation::ProcessStarted(number));
-        let ready = until_ready(&self.context, self.relay_address);
+        let ready = wait_until_ready(&self.context, self.relay_address);
         let ready = self.context.runtime.timeout(READY_TIMEOUT, ready).await;
         ready.map_err(|_| not_ready)?;
         self.context.observe(&Observation::ProcessReady);
@@ -300,7 +300,7 @@
 
     /// Prints a line with the time since the demo began.
     fn say(&self, line: fmt::Arguments<'_>) {
-        println!("{:5.1} s  {line}", self.context.at().as_secs_f64());
+        println!("{:5.1} s  {line}", self.context.elapsed().as_secs_f64());
     }
 
     /// Prints where the messages stand. Returns how many accepted ones have no end yet.
@@ -359,7 +359,7 @@
         host: host.name.borrow().clone(),
         address: host.address,
         zone: "a".into(),
-        destination: host.block,
+        destination: host.destination,
         health: "up",
         calls_per_second: PARTNER_CAPACITY.into(),
     }
--- a/crates/simulator/src/commands/upgrades/mod.rs
+++ b/crates/simulator/src/commands/upgrades/mod.rs
@@ -20,7 +20,7 @@
     block_on, free_address, LoopbackError, RelayCommand, RelayProcess, TestBed, READY_TIMEOUT,
 };
 use super::CommandOutcome;
-use crate::peers::connection::until_takes_clients;
+use crate::peers::connection::wait_until_accepting_clients;
 use load::Load;
 use report::{report, Upgrade};
 
@@ -145,7 +145,7 @@
     }
 
     async fn is_ready_in_time(&self, version: &RunningVersion) -> bool {
-        let ready = until_takes_clients(&self.test_bed.context, version.control_address);
+        let ready = wait_until_accepting_clients(&self.test_bed.context, version.control_address);
         OsRuntime.timeout(READY_TIMEOUT, ready).await.is_ok()
     }
 
--- a/crates/simulator/src/history/mod.rs
+++ b/crates/simulator/src/history/mod.rs
@@ -1,8 +1,8 @@
-//! What the peers of the relays have observed so far: the record that all invariants share. It judges nothing.
+//! The record of what the relays' peers have observed so far. All invariants share it; it performs no checks itself.
 //!
-//! The peers report an [`Observation`] of each request, call, reply, notice and discovery line as it passes. The
-//! invariants look at it first, then [`History::record`] adds it to the record. All moments are spans since the
-//! simulation began.
+//! The peers report an [`Observation`] of each request, call, reply, notice and discovery entry as it occurs. The
+//! invariants check it first, then [`History::record`] adds it to the record. All times are durations since the start
+//! of the simulation.
 
 mod limits;
 mod message;
--- a/crates/simulator/src/history/observation.rs
+++ b/crates/simulator/src/history/observation.rs
@@ -1,36 +1,36 @@
-//! What the peers of a relay can observe.
+//! Observations that a relay's peers report.
 
 use std::time::Duration;
 
 use super::message::{CallId, CallOutcome, ReceivedCall, SubmittedRequest};
 use super::tenant::{TenantChange, TenantSnapshot};
 
-/// Something that passes round a relay, at the moment at which it is reported.
+/// An event at or around a relay, reported when it occurs.
 pub enum Observation<'a> {
     /// A process of the relay starts.
     ProcessStarted(u32),
     /// The relay replies to `PING` for the first time since its start.
     ProcessReady,
-    /// The relay gets SIGTERM.
+    /// The relay receives SIGTERM.
     TerminationRequested,
-    /// The relay's process is gone, by a kill or by itself.
+    /// The relay's process has ended, whether killed or by itself.
     ProcessTerminated,
-    /// The relay's process has ended by itself, with this result.
+    /// The relay's process has exited by itself, with this result.
     ProcessExited(&'a Result<(), String>),
     /// Size of the state directory, in bytes.
     DiskUsage(u64),
-    /// Writes to the disk fail from now on, or succeed again.
+    /// From now on writes to the disk fail (true) or succeed again (false).
     DiskFull(bool),
-    /// The simulation needs more steps than it may.
+    /// The simulation exceeded its limit of steps.
     StepLimitExceeded,
-    /// The platform's endpoint for notices is down for a while.
+    /// The platform's endpoint for notices is unavailable for a period.
     NoticeEndpointDown {
-        /// From then on.
+        /// Start of the outage.
         from: Duration,
-        /// Until then.
+        /// End of the outage.
         until: Duration,
     },
-    /// The last byte of a request is sent.
+    /// The last byte of a request was sent.
     RequestSent(&'a SubmittedRequest),
     /// A client reads the reply to its request.
     ReplyReceived {
@@ -39,72 +39,72 @@
         /// The reply's line.
         reply: &'a str,
     },
-    /// A client stops waiting for the reply to its request of this id.
+    /// A client stops waiting for the reply to its request; holds the message's id.
     RequestAbandoned(&'a str),
-    /// What a client sent that cannot be parsed has had its error line or a close by now, or has not.
+    /// Result of waiting for the relay to reject malformed input with an error line or a close.
     MalformedInputChecked {
-        /// When it was sent.
+        /// When the input was sent.
         sent_at: Duration,
-        /// Whether it had an error line or a close.
+        /// Whether the relay sent an error line or closed the connection in time.
         was_rejected: bool,
     },
-    /// A call's last byte has come to a host.
+    /// A host received the last byte of a call.
     CallReceived {
         /// The call.
         call: &'a ReceivedCall,
-        /// Whether the relay still holds the connection of a number.
+        /// Returns whether the relay still holds the connection with the given number.
         is_connection_open: &'a dyn Fn(u64) -> bool,
     },
     /// A host writes the status line of its response.
     ResponseStarted {
         /// The call.
         call: &'a CallId,
-        /// What the status line says.
+        /// The outcome that the status line reports.
         outcome: CallOutcome,
     },
     /// The relay has read the response to a call.
     ResponseRead(&'a CallId),
-    /// A host sees a call's connection end.
+    /// A host detects the end of a call's connection.
     CallConnectionClosed(&'a CallId),
-    /// The platform takes a notice.
+    /// The platform receives a notice.
     NoticeReceived {
         /// The message's id.
         id: &'a str,
-        /// How it ended.
+        /// Final status of the message, as the notice's text.
         status: &'a str,
     },
     /// Discovery is polled for the list or for its changes.
     DiscoveryPolled,
-    /// A host has accepted a connection; the number of those that it holds now.
+    /// A host has accepted a connection; holds the number of connections it has open now.
     HostConnectionAccepted(usize),
-    /// Discovery has written a host's line to the relay.
+    /// Discovery has sent the entry of a host to the relay.
     HostStatusSent {
         /// The host's id.
         host: &'a str,
         /// Whether it is up.
         is_up: bool,
     },
-    /// A host's line in the list has changed.
+    /// The entry of a host in discovery's list has changed.
     HostStatusListed {
         /// The host's id.
         host: &'a str,
         /// Whether it is up.
         is_up: bool,
-        /// When the relay counts as notified, unless the line is sent to it before.
+        /// When the relay counts as notified, unless the entry is sent to it earlier.
         notified_at: Duration,
     },
-    /// A poll of discovery begins to wait for its response, or has had it or was given up.
+    /// A discovery poll starts to wait for its response (true), or was answered or abandoned (false).
     DiscoveryPollPending(bool),
-    /// The relay's discovery agent sends nothing from now on, or does again.
+    /// From now on the relay's discovery agent sends nothing (true) or sends again (false).
     DiscoverySilent(bool),
-    /// All hosts of a destination are at fault from now on, or are back.
+    /// All hosts of a destination become unavailable, or available again.
     DestinationOutage {
         /// The destination.
         destination: u16,
-        /// Whether they are at fault.
+        /// Whether the hosts are unavailable.
         is_down: bool,
     },
-    /// An administrator sends a change of a tenant for the first time.
+    /// An administrator sends a change of a tenant, for the first time if the request is repeated.
     TenantChangeRequested {
         /// Identifies the change.
         change_id: u64,
@@ -113,7 +113,7 @@
         /// The change.
         change: TenantChange,
     },
-    /// A response to a change of a tenant.
+    /// An administrator received the response to a change of a tenant.
     TenantChangeResponse {
         /// Identifies the change.
         change_id: u64,
@@ -126,7 +126,7 @@
         /// Whether the response is the stored one of an earlier request with the same idempotency key.
         is_replayed: bool,
     },
-    /// A change of a tenant has no response and is not requested again.
+    /// A change of a tenant got no response and will not be requested again.
     TenantChangeTimedOut {
         /// Identifies the change.
         change_id: u64,
@@ -139,41 +139,41 @@
         tenant: &'a str,
         /// When the request was sent.
         requested_at: Duration,
-        /// The tenant, if there is one.
+        /// The tenant as the response shows it, if it exists.
         snapshot: Option<&'a TenantSnapshot>,
     },
     /// A message took effect at its destination.
     EffectApplied {
         /// The message's id.
         id: &'a str,
-        /// How often it has taken effect by now.
+        /// How many times it has taken effect so far.
         times: u32,
     },
-    /// A record of an undeliverable message was read.
+    /// An operator read the record of an undeliverable message.
     UndeliverableRecordRead {
         /// The message's id.
         id: &'a str,
         /// The record's state.
         state: &'a str,
     },
-    /// All records of undeliverable messages were read.
+    /// An operator has read all records of undeliverable messages.
     AllUndeliverableRecordsRead,
-    /// The relay has confirmed to an operator that it drains, or that it takes clients again.
+    /// The relay has confirmed to an operator that it is draining (true) or accepts clients again (false).
     DrainingConfirmed(bool),
-    /// An operator asks the relay to take clients again, and has no response yet.
+    /// An operator requests that the relay accept clients again and has no response yet.
     ResumeRequested,
-    /// The load balancer has probed whether the relay takes clients, and it said yes or no.
+    /// The load balancer's readiness probe was answered; holds whether the relay accepts clients.
     ReadinessProbed(bool),
-    /// Number of clients' connections that the relay holds, without those that are just being opened.
+    /// Number of client connections that the relay holds, not counting those still being opened.
     ClientConnectionsHeld(usize),
-    /// SIGHUP with a configuration file that is valid, or is not.
+    /// The relay receives SIGHUP to reload its configuration file.
     ReloadRequested {
         /// Whether the file is valid.
         is_valid: bool,
     },
-    /// Number of attempts that messages may have which are submitted from now on.
+    /// New maximum number of attempts for messages submitted from now on.
     MaxAttemptsChanged(usize),
-    /// These processes, the old and the new, take part in an upgrade.
+    /// An upgrade starts; holds the old and the new process.
     UpgradeStarted([u32; 2]),
     /// A process has reported its metrics.
     MetricsReported {
@@ -184,8 +184,8 @@
         /// The report.
         text: &'a str,
     },
-    /// A call to the control socket got no response in time.
+    /// A call to the control socket timed out.
     ControlCallTimedOut,
-    /// It is time to look at what must have happened by now.
+    /// Periodic trigger for invariants to check what is overdue.
     Tick,
 }
--- a/crates/simulator/src/history/record.rs
+++ b/crates/simulator/src/history/record.rs
@@ -1,4 +1,4 @@
-//! The record itself, and its queries.
+//! The recorded history and its queries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,45 +6,45 @@
 use super::limits::Limits;
 use super::message::{Call, CallId, Message};
 
-/// A span of the simulation's time.
+/// A half-open interval of simulated time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeSpan {
-    /// Its first moment.
+    /// Inclusive start.
     pub from: Duration,
-    /// The first moment after it; [`Duration::MAX`] while its end is not known.
+    /// Exclusive end; [`Duration::MAX`] while the end is not known.
     pub until: Duration,
 }
 
-/// What has passed round one relay.
+/// Everything that was observed around one relay.
 pub struct History {
-    /// What the relay is held to.
+    /// Limits that the relay must keep.
     pub limits: Limits,
-    /// The moment of the current observation.
+    /// Time of the current observation.
     pub now: Duration,
     /// All messages by their ids.
     pub messages: BTreeMap<String, Message>,
-    /// Ids of messages that were accepted and have no end yet.
+    /// Ids of messages that were accepted and are not finished.
     pub open: BTreeSet<String>,
-    /// The process that serves, or served last.
+    /// The process that serves, or that served last.
     pub process: u32,
     /// When that process started.
     pub process_started_at: Duration,
-    /// Writes to the disk failed at some moment of the process' lifetime.
+    /// Whether writes to the disk failed at any time during the process's lifetime.
     pub disk_was_full: bool,
-    /// Writes to the disk fail now.
+    /// Whether writes to the disk fail at present.
     pub disk_is_full: bool,
-    /// When the process was asked to terminate.
+    /// When the process was signalled to terminate.
     pub termination_requested_at: Option<Duration>,
-    /// Restarts, each from its signal or kill until a while after the relay was ready again.
+    /// Restarts, each from its signal or kill until `RESTART_SETTLE_TIME` after the relay was ready again.
     pub restarts: Vec<TimeSpan>,
-    /// Times at which the platform takes no notices.
+    /// Periods in which the platform accepts no notices.
     pub notice_outages: Vec<TimeSpan>,
-    /// Attempts that a message may have which is submitted now.
+    /// Maximum number of attempts for a message that is submitted now.
     pub max_attempts: usize,
 }
 
 impl History {
-    /// A history in which nothing has passed yet.
+    /// Creates an empty history.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         History {
@@ -63,15 +63,15 @@
         }
     }
 
-    /// A call and its message.
+    /// Returns a call and its message.
     #[must_use]
     pub fn call(&self, id: &CallId) -> Option<(&Message, &Call)> {
         let message = self.messages.get(&id.message_id)?;
         Some((message, message.calls.get(id.index)?))
     }
 
-    /// The moment from which something that was due `tolerance` after `since` counts as overdue: restarts and times
-    /// without notices put it off, each that begins before it is overdue.
+    /// Returns the start, in place of `since`, of the tolerance for something that was due `tolerance` after `since`.
+    /// Each restart and notice outage that begins before the due time moves the start to its end.
     #[must_use]
     pub fn excused_until(&self, since: Duration, tolerance: Duration) -> Duration {
         let excuses = self.restarts.iter().chain(&self.notice_outages);
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Whether something that was due `tolerance` after `since` is overdue by now.
+    /// Whether something that was due `tolerance` after `since` is overdue now, with restarts and notice outages excused.
     #[must_use]
     pub fn is_past_due(&self, since: Duration, tolerance: Duration) -> bool {
         let due_at = self
--- a/crates/simulator/src/history/recording.rs
+++ b/crates/simulator/src/history/recording.rs
@@ -1,4 +1,4 @@
-//! How each kind of observation is recorded.
+//! Recording of each kind of observation.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use super::observation::Observation;
 use super::record::{History, TimeSpan};
 
-/// Time after the relay is ready again for which a restart still excuses what is late.
+/// Time after the relay is ready again during which its restart still excuses delays.
 const RESTART_SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 impl History {
-    /// Records an observation, once all invariants have looked at it.
+    /// Records an observation; called after all invariants have checked it.
     pub fn record(&mut self, observation: &Observation<'_>) {
         match observation {
             Observation::ProcessStarted(process) => self.record_process_start(*process),
@@ -90,7 +90,7 @@
         self.record_restart();
     }
 
-    /// A restart begins, unless one goes on already.
+    /// Records the start of a restart, unless one is in progress already.
     fn record_restart(&mut self) {
         let last = self.restarts.last();
         if last.is_none_or(|restart| restart.until != Duration::MAX) {
@@ -106,7 +106,7 @@
         self.disk_is_full = is_full;
     }
 
-    /// A request that is sent once more on a new connection is the same message.
+    /// Records a request. A request that is repeated on a new connection belongs to the same message.
     fn record_request(&mut self, request: &SubmittedRequest) {
         let new = Message {
             request: request.clone(),
--- a/crates/simulator/src/history/tenant.rs
+++ b/crates/simulator/src/history/tenant.rs
@@ -1,42 +1,42 @@
-//! Tenants as the administration API shows them.
+//! Tenants as the administration API returns them.
 
 use std::fmt;
 
-/// What an administrator requests for a tenant.
+/// A change that an administrator requests for a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TenantChange {
-    /// To create it.
+    /// Creates the tenant.
     Create,
-    /// Another specification, or other secrets.
+    /// Changes its specification or its secrets.
     Update,
-    /// To pause it.
+    /// Pauses it.
     Pause,
-    /// To resume it.
+    /// Resumes it.
     Resume,
-    /// To remove it.
+    /// Removes it.
     Remove {
-        /// Reject its queued messages at once instead of finishing them.
+        /// Whether its queued messages are rejected at once instead of being finished.
         reject_queued: bool,
     },
 }
 
-/// A tenant's version: later generations of a name come after all revisions of earlier ones.
+/// A tenant's version. A later generation of a name orders after all revisions of earlier generations.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantVersion {
-    /// Counts the tenants of a name.
+    /// Counts the tenants that were created under the same name.
     pub generation: u64,
-    /// Counts the changes of one tenant.
+    /// Counts the changes of this tenant.
     pub revision: u64,
 }
 
-/// Reads `(generation, revision)`, as violations and traces print it.
+/// Prints `(generation, revision)`, the form that violations and traces use.
 impl fmt::Debug for TenantVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         (self.generation, self.revision).fmt(f)
     }
 }
 
-/// A tenant as a response of the administration API shows it.
+/// A tenant as a response of the administration API represents it.
 #[derive(Clone, PartialEq, Eq)]
 pub struct TenantSnapshot {
     /// Its version.
@@ -45,13 +45,13 @@
     pub state: String,
     /// Its weight.
     pub weight: u64,
-    /// Whether it has a rate or bounds of its own.
+    /// Whether it has a rate or limits of its own.
     pub has_caps: bool,
-    /// All of its specification.
+    /// Its complete specification, as JSON text.
     pub spec: String,
 }
 
-/// The text is a part of the trace, and so of the run's digest; it stays as it is.
+/// The text is part of the trace and therefore of the run's digest, so it must not change.
 impl fmt::Debug for TenantSnapshot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Standing")
--- a/crates/simulator/src/machine/connection.rs
+++ b/crates/simulator/src/machine/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection: two directions with a delay, a window, and the ways in which they end.
+//! A simulated TCP connection: two directions, each with a delay, a window and an end (close or reset).
 
 use std::collections::VecDeque;
 use std::task::Waker;
@@ -9,7 +9,7 @@
 
 use super::process::ProcessId;
 
-/// Number of a connection, which no other has.
+/// Unique number of a connection.
 pub(super) type ConnectionId = u64;
 
 /// Bytes in flight in one direction before a writer waits.
@@ -18,9 +18,9 @@
 /// A side of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Side {
-    /// The one that opened it.
+    /// The side that opened the connection.
     Initiator,
-    /// The one that listens.
+    /// The side that accepted it.
     Acceptor,
 }
 
@@ -40,27 +40,27 @@
     Reset,
 }
 
-/// The end of a direction, as its reader will see it.
+/// The end of a direction, and when its reader will see it.
 #[derive(Clone, Copy, Debug)]
 struct ScheduledEnd {
     at: Duration,
     end: StreamEnd,
 }
 
-/// Bytes on their way.
+/// Bytes in flight.
 struct Segment {
     arrives_at: Duration,
     bytes: Bytes,
 }
 
-/// Something arrives at a side of a connection: bytes, or the end of its input.
+/// The arrival of bytes, or of the end of the input, at a side of a connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Arrival {
     pub at: Duration,
     pub side: Side,
 }
 
-/// What a reader finds.
+/// The result of polling a direction for input.
 pub(super) enum Input {
     /// Nothing has arrived yet.
     Empty,
@@ -68,28 +68,28 @@
     End(StreamEnd),
 }
 
-/// What became of a write.
+/// The result of a write.
 pub(super) enum WriteOutcome {
-    /// The writer sees this many bytes as written.
+    /// Number of bytes reported to the writer as written.
     Written(usize),
-    /// The window is full; the writer waits.
+    /// The window is full; the writer has to wait.
     WindowFull,
     Reset,
 }
 
-/// When a connection is to be reset by the network.
+/// A reset of a connection by the network, planned when the connection is opened.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PlannedReset {
     /// The side whose input is cut off.
     pub side: Side,
-    /// Bytes of that input that still get through.
+    /// Bytes of that input that are delivered before the reset.
     pub after_bytes: u64,
 }
 
-/// What a pipe has taken of a write.
+/// The result of sending bytes into a pipe.
 struct Sent {
     arrives_at: Duration,
-    /// The planned reset strikes within this write.
+    /// Whether the planned reset occurs within this write.
     is_cut: bool,
 }
 
@@ -99,18 +99,18 @@
     segments: VecDeque<Segment>,
     bytes_in_flight: usize,
     end: Option<ScheduledEnd>,
-    /// When the last segment arrives; nothing overtakes it.
+    /// When the last segment arrives; later segments never arrive earlier.
     last_arrival: Duration,
     pub reader: Option<Waker>,
     pub writer: Option<Waker>,
     /// Bytes written in this direction so far.
     bytes_written: u64,
-    /// The connection is reset once this many bytes were written.
+    /// Number of written bytes after which the connection is reset, if a reset is planned.
     reset_after_bytes: Option<u64>,
 }
 
 impl Pipe {
-    /// What has arrived by now.
+    /// Returns the input that has arrived by `now`.
     pub fn input(&self, now: Duration) -> Input {
         match self.segments.front() {
             Some(segment) if segment.arrives_at <= now => Input::Bytes(segment.bytes.clone()),
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes bytes that were read out of the first segment.
+    /// Removes bytes that were read from the first segment.
     pub fn consume(&mut self, count: usize) {
         if let Some(segment) = self.segments.front_mut() {
             segment.bytes.advance(count);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Ends the direction behind what is in flight, unless it ends sooner already.
+    /// Ends the direction after the data in flight, unless an earlier end is already scheduled.
     fn finish(&mut self, at: Duration, end: StreamEnd) {
         let at = at.max(self.last_arrival);
         match self.end {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Resets the direction at a moment; what would arrive later is lost.
+    /// Resets the direction at the given time; data that would arrive later is lost.
     fn reset_dropping_later(&mut self, at: Duration) {
         self.segments.retain(|segment| segment.arrives_at <= at);
         self.last_arrival = at;
@@ -162,7 +162,7 @@
             .is_some_and(|end| end.end == StreamEnd::Reset && end.at <= now)
     }
 
-    /// Sends bytes, as many as a planned reset lets through.
+    /// Sends bytes, up to the limit of a planned reset.
     fn send(&mut self, bytes: &[u8], arrives_at: Duration) -> Sent {
         let (mut count, mut is_cut) = (bytes.len(), false);
         if let Some(after) = self.reset_after_bytes {
@@ -184,11 +184,11 @@
     }
 }
 
-/// What one side of a connection has of it.
+/// The state of one side of a connection.
 pub(super) struct Endpoint {
     pub process: ProcessId,
     pub is_open: bool,
-    /// What comes in for it.
+    /// Data sent to this side.
     pub input: Pipe,
 }
 
@@ -204,15 +204,15 @@
 
 /// A connection between two processes.
 pub(super) struct Connection {
-    /// The address that it was opened to.
+    /// The address to which it was opened.
     pub to: Address,
     pub initiator: Endpoint,
     pub acceptor: Endpoint,
-    /// Delay one way.
+    /// One-way delay.
     delay: Duration,
-    /// Nothing gets through from now on.
+    /// Whether all data is lost at present.
     is_silent: bool,
-    /// It was silent at some time, so that something may have been lost on it.
+    /// Whether it was silent at any time, so that data may have been lost on it.
     pub was_silent: bool,
 }
 
@@ -252,12 +252,12 @@
         }
     }
 
-    /// Whether both sides hold it.
+    /// Whether both sides hold it open.
     pub fn is_open(&self) -> bool {
         self.initiator.is_open && self.acceptor.is_open
     }
 
-    /// A side writes. Returns what became of it, and the arrivals to schedule.
+    /// Writes bytes from a side. Returns the result and the arrivals to schedule.
     pub fn write(
         &mut self,
         side: Side,
@@ -274,7 +274,7 @@
         }
         let peer = side.peer();
         if !self.endpoint(peer).is_open {
-            // The peer's system answers what nobody reads with a reset.
+            // The peer's operating system responds with a reset to data for a closed socket.
             let at = now + delay * 2;
             self.endpoint_mut(side).input.finish(at, StreamEnd::Reset);
             let arrivals = vec![Arrival { at, side }];
@@ -291,7 +291,7 @@
         }];
         if sent.is_cut {
             pipe.finish(sent.arrives_at, StreamEnd::Reset);
-            // What was in flight to the writer is lost with the connection.
+            // Data in flight to the writer is lost with the connection.
             let at = now + delay;
             self.endpoint_mut(side).input.reset_dropping_later(at);
             arrivals.push(Arrival { at, side });
@@ -299,7 +299,7 @@
         (WriteOutcome::Written(bytes.len()), arrivals)
     }
 
-    /// A side ends its sending.
+    /// Shuts down the sending direction of a side.
     pub fn shut_down(&mut self, side: Side, now: Duration) -> Option<Arrival> {
         if self.is_silent {
             return None;
@@ -314,7 +314,8 @@
         Some(arrival)
     }
 
-    /// A side has closed the connection, which the other one still holds.
+    /// Notifies the peer, which still holds the connection, that a side has closed it. The peer sees a reset if the
+    /// closing side had unread input.
     pub fn notify_peer_of_close(&mut self, side: Side, now: Duration) -> Option<Arrival> {
         if self.is_silent {
             return None;
@@ -333,7 +334,7 @@
         Some(Arrival { at, side: peer })
     }
 
-    /// Nothing gets through from now on, and what is in flight is lost.
+    /// Drops all data in flight and all data sent from now on.
     pub fn silence(&mut self) {
         (self.is_silent, self.was_silent) = (true, true);
         self.initiator.input.segments.clear();
--- a/crates/simulator/src/machine/context.rs
+++ b/crates/simulator/src/machine/context.rs
@@ -1,4 +1,4 @@
-//! The machine as one process has it: what its runtime, sockets and files share.
+//! A process's access to the machine, shared by its runtime, sockets and files.
 
 use std::io;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use super::sleep::Sleep;
 use super::state::SharedState;
 
-/// The machine, and the process that acts on it.
+/// The machine's state and the process that acts on it.
 #[derive(Clone)]
 pub(super) struct ProcessContext {
     pub state: SharedState,
@@ -17,7 +17,7 @@
 }
 
 impl ProcessContext {
-    /// What the process's monotonic clock shows.
+    /// Returns the current time of the process's monotonic clock.
     pub fn now(&self) -> Instant {
         let state = self.state.borrow();
         state.clock_origin + state.local_time(self.process)
@@ -29,7 +29,7 @@
             self.process,
             at.saturating_duration_since(state.clock_origin),
         );
-        // tokio's timers have a resolution of a millisecond, and are never early.
+        // Like tokio's timers: a resolution of one millisecond, and never early.
         let at = Duration::from_millis(at.as_micros().div_ceil(1000) as u64);
         Sleep::new(self.state.clone(), at)
     }
@@ -42,7 +42,7 @@
         self.state.borrow().planted_fault(self.process)
     }
 
-    /// Counts an effect.
+    /// Counts an effect of the process.
     ///
     /// # Errors
     ///
--- a/crates/simulator/src/machine/dial.rs
+++ b/crates/simulator/src/machine/dial.rs
@@ -11,18 +11,18 @@
 use super::stream::SimulatedStream;
 use crate::rng::SimulationRng;
 
-/// Least delay of a connection one way.
+/// Minimum one-way delay of a connection.
 const MIN_DELAY_MICROS: u64 = 50;
-/// A connection's delay one way is shorter than this.
+/// Exclusive upper bound of a connection's one-way delay.
 const MAX_DELAY_MICROS: u64 = 1500;
-/// Percentage of planned resets that strike early, within the head of a request or an answer.
+/// Percentage of planned resets that occur early, within the head of a request or response.
 const EARLY_RESET_PERCENT: u64 = 50;
-/// An early reset strikes within this many bytes.
+/// An early reset occurs within this many bytes.
 const EARLY_RESET_WITHIN_BYTES: u64 = 60;
-/// Any other planned reset strikes within this many bytes.
+/// Any other planned reset occurs within this many bytes.
 const RESET_WITHIN_BYTES: u64 = 1200;
 
-/// Opens a connection. Never returns if nothing gets through to the address.
+/// Opens a connection. Never completes if the address is silent or partitioned from the process's node.
 pub(super) async fn connect(context: &ProcessContext, to: Address) -> io::Result<SimulatedStream> {
     let to = match context.planted_fault() {
         Some(PlantedFault::MisrouteConnections) => context.state.borrow().network.neighbour(to),
@@ -33,7 +33,7 @@
     if is_unreachable(context, &to) {
         return std::future::pending().await;
     }
-    // Dropped while the initiator waits for the answer, it closes the connection.
+    // If this future is dropped while it waits for the response, the stream closes the connection.
     let stream = open(context, &to, delay);
     context.sleep(delay).await;
     stream.ok_or_else(|| io::ErrorKind::ConnectionRefused.into())
@@ -41,8 +41,8 @@
 
 fn draw_delay(context: &ProcessContext) -> Duration {
     let mut state = context.state.borrow_mut();
-    let beyond_least = state.rng.below(MAX_DELAY_MICROS - MIN_DELAY_MICROS);
-    Duration::from_micros(MIN_DELAY_MICROS + beyond_least)
+    let above_min = state.rng.below(MAX_DELAY_MICROS - MIN_DELAY_MICROS);
+    Duration::from_micros(MIN_DELAY_MICROS + above_min)
 }
 
 fn is_unreachable(context: &ProcessContext, to: &Address) -> bool {
@@ -50,7 +50,7 @@
     state.network.fault(to).silent || state.is_partitioned(context.process, to)
 }
 
-/// The initiator's side of a new connection; none if it is refused.
+/// Opens a connection and returns the initiator's side; none if it is refused.
 fn open(context: &ProcessContext, to: &Address, delay: Duration) -> Option<SimulatedStream> {
     let mut state = context.state.borrow_mut();
     let reset_percent = state.network.fault(to).reset_percent;
@@ -61,7 +61,7 @@
     Some(SimulatedStream::new(context.clone(), id, Side::Initiator))
 }
 
-/// Whether, and when, a new connection is reset.
+/// Draws whether a new connection is reset by the network, and when.
 fn draw_reset(rng: &mut SimulationRng, reset_percent: u64) -> Option<PlannedReset> {
     if !rng.percent(reset_percent) {
         return None;
--- a/crates/simulator/src/machine/disk.rs
+++ b/crates/simulator/src/machine/disk.rs
@@ -1,4 +1,4 @@
-//! Files that outlast processes, on a disk that can be full, write short, or be cut off by a kill.
+//! Files that outlive processes, on a disk that can be full, perform short writes, or have a write cut off by a kill.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,28 +11,28 @@
 /// The bytes of a file, shared with the processes that have it open.
 pub(super) type Inode = Rc<RefCell<Vec<u8>>>;
 
-/// Bytes of a disk's block: the unit in which [`Disk::allocated_bytes`] counts.
+/// Size of a disk block in bytes: the unit in which [`Disk::allocated_bytes`] counts.
 const BLOCK_BYTES: u64 = 512;
 
-/// All files of a node by their path.
+/// All files of a node, by path.
 #[derive(Default)]
 pub struct Disk {
     files: BTreeMap<PathBuf, Inode>,
     page_files: BTreeMap<PathBuf, PageFile>,
-    /// Bytes by which all files together may still grow; none for no bound. Page files are not counted.
+    /// Free space in bytes that all files share; none if unlimited. Page files are not counted.
     pub free_bytes: Option<u64>,
     /// Percentage of writes that are short.
     pub short_write_percent: u64,
 }
 
 impl Disk {
-    /// Puts a file there, whatever faults the disk has.
+    /// Stores a file, ignoring any faults of the disk.
     pub fn put(&mut self, path: impl Into<PathBuf>, contents: Vec<u8>) {
         self.files
             .insert(path.into(), Rc::new(RefCell::new(contents)));
     }
 
-    /// Sum of the sizes of the files below a folder, each in whole blocks, in bytes.
+    /// Returns the total size in bytes of the files below a folder, each rounded up to whole blocks.
     #[must_use]
     pub fn allocated_bytes(&self, folder: &Path) -> u64 {
         let below = self
@@ -44,13 +44,13 @@
             .sum()
     }
 
-    /// A file's bytes; none if there is no such file.
+    /// Returns a file's bytes; none if the file does not exist.
     #[must_use]
     pub fn contents(&self, path: &Path) -> Option<Vec<u8>> {
         self.files.get(path).map(|inode| inode.borrow().clone())
     }
 
-    /// Flips a bit of a file that has one, at an offset modulo its length.
+    /// Flips a bit at an offset modulo the file's length. Does nothing if the file is missing or empty.
     pub fn flip_bit(&mut self, path: &Path, offset: u64) {
         let Some(inode) = self.files.get(path) else {
             return;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Cuts a file off at an offset modulo its length.
+    /// Truncates a file at an offset modulo its length.
     pub fn truncate(&mut self, path: &Path, offset: u64) {
         let Some(inode) = self.files.get(path).cloned() else {
             return;
@@ -70,31 +70,31 @@
         self.resize(&inode, offset.checked_rem(length).unwrap_or(0) as usize);
     }
 
-    /// Whether page files may not grow from now on.
+    /// Sets whether the existing page files are prevented from growing.
     pub fn set_page_files_full(&mut self, full: bool) {
         self.page_files
             .values()
             .for_each(|file| file.set_full(full));
     }
 
-    /// Flips a bit of a page file, at an offset modulo its length.
+    /// Flips a bit of a page file at an offset modulo its length.
     pub fn flip_page_file_bit(&mut self, path: &Path, offset: u64) {
         if let Some(file) = self.page_files.get(path) {
             file.flip_bit(offset);
         }
     }
 
-    /// A page file, which is made if it is not there.
+    /// Opens a page file; creates it if it does not exist.
     pub(super) fn open_page_file(&mut self, path: &Path) -> PageFile {
         self.page_files.entry(path.into()).or_default().clone()
     }
 
-    /// A file, which is made if it is not there.
+    /// Opens a file; creates it if it does not exist.
     pub(super) fn open(&mut self, path: &Path) -> Inode {
         self.files.entry(path.into()).or_default().clone()
     }
 
-    /// A file, which is empty from now on.
+    /// Opens a file and truncates it to zero length; creates it if it does not exist.
     pub(super) fn create(&mut self, path: &Path) -> Inode {
         let inode = self.open(path);
         self.resize(&inode, 0);
@@ -118,25 +118,25 @@
         Ok(())
     }
 
-    /// Cuts a file off, or fills it up with zeros.
+    /// Truncates a file, or extends it with zeros.
     pub(super) fn resize(&mut self, inode: &Inode, length: usize) {
         let before = inode.borrow().len();
         self.release(before.saturating_sub(length));
         inode.borrow_mut().resize(length, 0);
     }
 
-    /// Bytes of a file are free again.
+    /// Returns bytes of a file to the free space.
     fn release(&mut self, bytes: usize) {
         if let Some(free) = &mut self.free_bytes {
             *free += bytes as u64;
         }
     }
 
-    /// Writes `bytes` at an offset, up to `max_bytes` and as far as there is space. Returns how many were written.
+    /// Writes at most `max_bytes` of `bytes` at an offset, limited by the free space. Returns the number written.
     ///
     /// # Errors
     ///
-    /// `StorageFull` if there is no space for the first byte.
+    /// Returns `StorageFull` if there is no space for the first byte.
     pub(super) fn write(
         &mut self,
         inode: &Inode,
--- a/crates/simulator/src/machine/file.rs
+++ b/crates/simulator/src/machine/file.rs
@@ -1,4 +1,4 @@
-//! Files as a process has them open.
+//! Files that a process has open.
 
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::Path;
@@ -8,7 +8,7 @@
 use super::context::ProcessContext;
 use super::disk::Inode;
 
-/// Part of the path of the files that hold the registry of tenants.
+/// Substring of the paths of the tenant registry's files.
 const TENANT_REGISTRY: &str = "/tenants.";
 
 /// An open file.
@@ -17,7 +17,7 @@
     inode: Inode,
     /// Offset of the next read or write.
     position: u64,
-    /// It holds the registry of tenants, for [`super::PlantedFault::DropTenantChanges`].
+    /// Whether the file belongs to the tenant registry, for [`super::PlantedFault::DropTenantChanges`].
     is_tenant_registry: bool,
 }
 
--- a/crates/simulator/src/machine/handle.rs
+++ b/crates/simulator/src/machine/handle.rs
@@ -1,11 +1,11 @@
-//! What those that watch the machine hold beside it.
+//! A handle to the machine for code outside its tasks.
 
 use std::fmt;
 
 use super::process::ProcessId;
 use super::state::SharedState;
 
-/// Reaches the machine from outside its tasks, while another part of the program steps it.
+/// Gives access to the machine from outside its tasks while its owner steps it.
 #[derive(Clone)]
 pub struct MachineHandle {
     state: SharedState,
@@ -16,14 +16,14 @@
         MachineHandle { state }
     }
 
-    /// Whether the side that opened a connection still holds it.
+    /// Whether the side that opened a connection still holds it open.
     #[must_use]
     pub fn is_held_by_initiator(&self, connection: u64) -> bool {
         self.state.borrow().network.is_held_by_initiator(connection)
     }
 
-    /// Whether the side that opened a connection still holds it, and everything that was sent on it arrives: a reset
-    /// after a silence does not bring back what the silence has swallowed.
+    /// Whether the side that opened a connection still holds it open and receives everything sent on it. False if the
+    /// connection was ever silent: the reset that ends a silence does not recover the data lost during it.
     #[must_use]
     pub fn delivers_to_initiator(&self, connection: u64) -> bool {
         let state = self.state.borrow();
@@ -35,7 +35,7 @@
         was_never_silent && state.network.is_held_by_initiator(connection)
     }
 
-    /// Schedules a SIGKILL within the process's effect that comes after this many more.
+    /// Schedules a SIGKILL during the process's next effect after `effects` further ones.
     pub fn kill_after(&self, process: ProcessId, effects: u64) {
         self.state.borrow_mut().kill_after(process, effects);
     }
--- a/crates/simulator/src/machine/listener.rs
+++ b/crates/simulator/src/machine/listener.rs
@@ -1,4 +1,4 @@
-//! Listening ports as a process has them open.
+//! Listening ports that a process has open.
 
 use std::future::poll_fn;
 use std::io;
@@ -11,11 +11,11 @@
 use super::network::Port;
 use super::stream::SimulatedStream;
 
-/// A port that takes connections.
+/// A port that accepts connections.
 pub struct SimulatedListener {
     context: ProcessContext,
     address: Address,
-    /// The process was started with it, and the port stays when this is dropped.
+    /// Whether the process inherited the port, which then stays open when this is dropped.
     is_inherited: bool,
 }
 
@@ -35,7 +35,7 @@
         })
     }
 
-    /// The port that the process was started with, which other processes have too.
+    /// Opens the port that the process inherited and may share with other processes.
     pub(super) fn inherited(context: &ProcessContext) -> io::Result<Self> {
         let state = context.state.borrow();
         let address = state
--- a/crates/simulator/src/machine/lock.rs
+++ b/crates/simulator/src/machine/lock.rs
@@ -12,12 +12,12 @@
 pub struct SimulatedLock {
     state: SharedState,
     key: LockKey,
-    /// Number of the grant.
+    /// Number of the grant, from the lock table.
     number: u64,
 }
 
 impl SimulatedLock {
-    /// Takes a lock; none if a process that is alive holds it.
+    /// Acquires a lock; none if a live process holds it.
     pub(super) fn acquire(context: &ProcessContext, path: &Path) -> io::Result<Option<Self>> {
         context.file_effect("lock", path)?;
         let mut state = context.state.borrow_mut();
@@ -31,7 +31,7 @@
         if is_held && !shares {
             return Ok(None);
         }
-        // A lock is on a file, which is there from then on.
+        // Locking creates the file if it does not exist.
         state.disk_of(context.process).open(path);
         let number = state.locks.grant(key.clone(), context.process);
         drop(state);
--- a/crates/simulator/src/machine/lock_table.rs
+++ b/crates/simulator/src/machine/lock_table.rs
@@ -1,4 +1,4 @@
-//! Which process holds which file lock.
+//! The table of file locks and their holders.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -12,13 +12,13 @@
     pub path: PathBuf,
 }
 
-/// One granting of a lock.
+/// A grant of a lock to a process.
 struct Grant {
     holder: ProcessId,
     number: u64,
 }
 
-/// All locks that are held, also those of processes that were killed.
+/// All locks that are held, including those of processes that were killed.
 #[derive(Default)]
 pub(super) struct LockTable {
     grants: BTreeMap<LockKey, Grant>,
@@ -26,12 +26,12 @@
 }
 
 impl LockTable {
-    /// The process that was last granted a lock and has not released it.
+    /// Returns the process that was last granted a lock and has not released it.
     pub fn holder(&self, key: &LockKey) -> Option<ProcessId> {
         self.grants.get(key).map(|grant| grant.holder)
     }
 
-    /// Grants a lock, whoever holds it, and returns the grant's number.
+    /// Grants a lock even if another process holds it, and returns the grant's number.
     pub fn grant(&mut self, key: LockKey, holder: ProcessId) -> u64 {
         self.last_number += 1;
         let number = self.last_number;
@@ -39,7 +39,7 @@
         number
     }
 
-    /// Releases a grant, unless the lock was granted to another process since.
+    /// Releases a grant, unless the lock has been granted again since.
     pub fn release(&mut self, key: &LockKey, number: u64) {
         if self
             .grants
--- a/crates/simulator/src/machine/mod.rs
+++ b/crates/simulator/src/machine/mod.rs
@@ -1,8 +1,8 @@
-//! A machine that is all virtual: clock, tasks, network, disks, signals. Processes run on it through
-//! [`runtime::Runtime`], and everything that happens on it follows from one seed.
+//! A virtual machine with its own clock, tasks, network, disks and signals. Processes run on it through
+//! [`runtime::Runtime`], and its whole execution is determined by one seed.
 //!
-//! It consists of nodes, each with a disk and a wall clock of its own, joined by one network. It knows nothing of the
-//! programs that run on it, nor of their peers.
+//! It consists of nodes, each with its own disk and wall clock, connected by one network. It does not depend on the
+//! programs that run on it or on their peers.
 
 mod connection;
 mod context;
@@ -55,17 +55,18 @@
 pub use stream::SimulatedStream;
 pub use task::SimulatedTask;
 
-/// Descriptor of the listening socket that a process is started with.
+/// File descriptor of the listening socket that a process inherits.
 const INHERITED_DESCRIPTOR: &str = "4";
 
-/// The machine, as the one who plays a scenario on it sees it.
+/// The machine, as the code that runs a scenario on it controls it.
 pub struct Machine {
     state: SharedState,
     last_process: ProcessId,
 }
 
 impl Machine {
-    /// A machine on which nothing runs yet. `keeps_trace` keeps the notes as text for [`Machine::take_trace`].
+    /// Creates a machine without processes. If `keeps_trace` is set, notes are kept as text for
+    /// [`Machine::take_trace`].
     #[must_use]
     pub fn new(seed: u64, keeps_trace: bool) -> Self {
         Machine {
@@ -74,13 +75,13 @@
         }
     }
 
-    /// The system as the world's own tasks see it.
+    /// Returns the runtime of the [`WORLD`] process, on which the relays' peers run.
     #[must_use]
     pub fn world_runtime(&self) -> SimulatedRuntime {
         SimulatedRuntime::new(self.state.clone(), WORLD)
     }
 
-    /// What those that watch the machine may hold beside it.
+    /// Returns a handle for code that accesses the machine while it is stepped.
     #[must_use]
     pub fn handle(&self) -> MachineHandle {
         MachineHandle::new(self.state.clone())
@@ -89,7 +90,7 @@
 
 /// Processes.
 impl Machine {
-    /// Starts a process on a node, which runs `main` until that ends or the process is killed.
+    /// Starts a process on a node. It runs `main` until that completes or the process is killed.
     pub fn start_process<F, E>(
         &mut self,
         node: NodeIndex,
@@ -115,7 +116,7 @@
         let (state, main) = (self.state.clone(), main(runtime.clone()));
         runtime.spawn(async move {
             let exit = main.await.map_err(|error| ProcessError::new(&error));
-            // A process that was killed goes on to the end of its poll, and nothing that it does there counts.
+            // A killed process still runs to the end of its current poll; its actions there are ignored.
             if let Some(process) = state
                 .borrow_mut()
                 .processes
@@ -129,7 +130,7 @@
         id
     }
 
-    /// Starts a process that has not run yet with a shared listening port, and a control socket of its own.
+    /// Gives a process that has not run yet a shared listening port to inherit and its own control socket.
     pub fn set_inherited_port(
         &self,
         process: ProcessId,
@@ -147,13 +148,13 @@
         }
     }
 
-    /// Whether a process runs.
+    /// Whether a process is running.
     #[must_use]
     pub fn is_alive(&self, process: ProcessId) -> bool {
         self.state.borrow().is_alive(process)
     }
 
-    /// How a process ended by itself, if it did.
+    /// Returns the result with which a process exited by itself, if it did.
     #[must_use]
     pub fn exit(&self, process: ProcessId) -> Option<Result<(), ProcessError>> {
         let state = self.state.borrow();
@@ -173,19 +174,19 @@
         }
     }
 
-    /// Schedules a SIGKILL within the process's effect that comes after this many more.
+    /// Schedules a SIGKILL during the process's next effect after `effects` further ones.
     pub fn kill_after(&self, process: ProcessId, effects: u64) {
         self.state.borrow_mut().kill_after(process, effects);
     }
 
-    /// Schedules a SIGKILL this many effects after the process next creates a file whose path ends with `suffix`.
+    /// Schedules a SIGKILL `effects` effects after the process next creates a file whose path ends with `suffix`.
     pub fn kill_after_create(&self, process: ProcessId, suffix: &'static str, effects: u64) {
         if let Some(process) = self.state.borrow_mut().processes.get_mut(&process) {
             process.kill_on_create = Some(process::KillOnCreate { suffix, effects });
         }
     }
 
-    /// Whether a scheduled kill has not struck yet.
+    /// Whether a scheduled kill has not taken place yet.
     #[must_use]
     pub fn is_kill_pending(&self, process: ProcessId) -> bool {
         let state = self.state.borrow();
@@ -194,7 +195,7 @@
         })
     }
 
-    /// SIGKILL now. The tasks of a process that is dead already are dropped as well.
+    /// Kills a process at once (SIGKILL) and drops its tasks, also if it is already dead.
     pub fn kill(&self, process: ProcessId) {
         let tasks = {
             let mut state = self.state.borrow_mut();
@@ -203,36 +204,36 @@
             }
             state.scheduler.take_all(process)
         };
-        // Dropped, they close the connections that they hold, which takes the state.
+        // Dropping the tasks closes their connections, which borrows the state.
         drop(tasks);
     }
 }
 
 /// Nodes and the network between them.
 impl Machine {
-    /// Reads or changes the disk of a node.
+    /// Calls `access` with the disk of a node.
     pub fn disk<T>(&self, node: NodeIndex, access: impl FnOnce(&mut Disk) -> T) -> T {
         access(self.state.borrow_mut().disk(node))
     }
 
-    /// Sets how far the wall clocks of the nodes are ahead, by their numbers.
+    /// Sets how far each node's wall clock is ahead, indexed by node.
     pub fn set_clock_offsets(&self, offsets: Vec<Duration>) {
         self.state.borrow_mut().clock_offsets = offsets;
     }
 
-    /// Opens a port that stays, whichever processes come and go.
+    /// Opens a port that stays open independent of any process.
     pub fn open_shared_port(&self, address: impl Into<Address>) {
         let mut state = self.state.borrow_mut();
         state.network.ports.insert(address.into(), Port::new(WORLD));
     }
 
-    /// Connections to a port that a process has accepted and not closed.
+    /// Returns the connections to a port that a process has accepted and not closed.
     pub fn accepted_connections(&self, port: impl Into<Address>) -> Vec<u64> {
         self.state.borrow().network.accepted(&port.into())
     }
 
-    /// Sets whether nothing gets through from a node to an address. The connections that are open then fall silent,
-    /// and are reset when the partition ends.
+    /// Sets whether a node is partitioned from an address. Open connections become silent when the partition begins and
+    /// are reset when it ends.
     pub fn set_partitioned(&self, node: NodeIndex, to: impl Into<Address>, partitioned: bool) {
         let to = to.into();
         let mut state = self.state.borrow_mut();
@@ -251,14 +252,14 @@
         state.set_silent(affected, partitioned);
     }
 
-    /// What is wrong with an address.
+    /// Returns the network fault of an address.
     #[must_use]
     pub fn address_fault(&self, address: impl Into<Address>) -> AddressFault {
         self.state.borrow().network.fault(&address.into())
     }
 
-    /// Sets what is wrong with an address. The connections that are open fall silent with it, and are reset when the
-    /// silence ends.
+    /// Sets the network fault of an address. If the address becomes silent, open connections become silent too, and are
+    /// reset when the silence ends.
     pub fn set_address_fault(&self, address: impl Into<Address>, fault: AddressFault) {
         let address = address.into();
         let mut state = self.state.borrow_mut();
@@ -277,33 +278,33 @@
     }
 }
 
-/// The record of what has happened.
+/// Time, digests and trace.
 impl Machine {
-    /// Virtual time since the world began.
+    /// Returns the virtual time since the machine was created.
     #[must_use]
     pub fn now(&self) -> Duration {
         self.state.borrow().now
     }
 
-    /// Tasks polled so far.
+    /// Returns the number of task polls so far.
     #[must_use]
     pub fn steps(&self) -> u64 {
         self.state.borrow().steps
     }
 
-    /// One number for all that has happened.
+    /// Returns a digest of the whole execution, including notes.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.state.borrow().digest()
     }
 
-    /// One number for moments, the order of tasks, effects and written bytes alone: a changed note does not change it.
+    /// Returns a digest of times, the order of task polls, effects and written bytes. Notes do not affect it.
     #[must_use]
     pub fn effects_digest(&self) -> u64 {
         self.state.borrow().effects_digest()
     }
 
-    /// Takes the notes so far out; none if they are not kept.
+    /// Removes and returns the notes so far; empty if they are not kept.
     #[must_use]
     pub fn take_trace(&self) -> Vec<String> {
         self.state
@@ -320,12 +321,13 @@
     }
 }
 
-/// The course of time.
+/// Execution.
 impl Machine {
-    /// Does the next thing and returns true, if that is not after `until`; else sets the clock to `until`.
+    /// Executes the next step and returns true if it is due no later than `until`; otherwise sets the clock to `until`
+    /// and returns false.
     #[allow(
         clippy::must_use_candidate,
-        reason = "some callers look at the time alone"
+        reason = "some callers only check the time afterwards"
     )]
     pub fn step(&self, until: Duration) -> bool {
         let next = {
@@ -377,7 +379,7 @@
             self.state.borrow_mut().scheduler.finish(id);
         } else {
             let orphaned = self.state.borrow_mut().scheduler.put_back(id, future);
-            // Dropped once the state is free again, which it takes to close what it holds.
+            // Dropped when the state is not borrowed: closing its connections borrows the state.
             drop(orphaned);
         }
         let is_dead = self.state.borrow().is_dead(task.process);
@@ -389,7 +391,7 @@
 
 impl Drop for Machine {
     fn drop(&mut self) {
-        // The tasks hold the state and the state holds the tasks.
+        // Breaks the reference cycle: the tasks hold the state and the state holds the tasks.
         for process in WORLD..=self.last_process {
             let tasks = self.state.borrow_mut().scheduler.take_all(process);
             drop(tasks);
--- a/crates/simulator/src/machine/network.rs
+++ b/crates/simulator/src/machine/network.rs
@@ -1,4 +1,4 @@
-//! The network between the processes of the world: listening ports, connections, and what is wrong with addresses.
+//! The network between the processes: listening ports, connections, and faults of addresses.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::task::Waker;
@@ -9,22 +9,22 @@
 use super::connection::{Arrival, Connection, ConnectionId, PlannedReset, Side, WriteOutcome};
 use super::process::{NodeIndex, ProcessId};
 
-/// The TCP port at which hosts take calls.
+/// The TCP port on which hosts accept calls.
 const HOST_PORT: u16 = 8080;
 
-/// What is wrong with an address.
+/// The network fault of an address; the default is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AddressFault {
-    /// Connections are refused.
+    /// New connections are refused.
     pub refuses: bool,
-    /// Nothing gets through, either way, and neither side learns of it.
+    /// All data is lost in both directions without either side being notified.
     pub silent: bool,
     /// Percentage of new connections that are reset after some bytes.
     pub reset_percent: u64,
 }
 
 impl AddressFault {
-    /// Whether no new connection to the address comes up.
+    /// Whether no new connection to the address can be established.
     #[must_use]
     pub fn is_unreachable(&self) -> bool {
         self.refuses || self.silent
@@ -35,7 +35,7 @@
 pub(super) struct Port {
     /// The process that opened it.
     pub process: ProcessId,
-    /// Connections that nobody has accepted yet.
+    /// Connections that have not been accepted yet.
     pub backlog: VecDeque<ConnectionId>,
     /// Wakers of the processes that wait for a connection; more than one where the port is shared.
     pub acceptors: BTreeMap<ProcessId, Waker>,
@@ -56,28 +56,28 @@
     pub connections: BTreeMap<ConnectionId, Connection>,
     pub ports: BTreeMap<Address, Port>,
     faults: BTreeMap<Address, AddressFault>,
-    /// Nodes and the addresses that nothing from them gets through to.
+    /// Nodes and the addresses that they are partitioned from.
     partitions: BTreeSet<(NodeIndex, Address)>,
     last_id: ConnectionId,
 }
 
 impl Network {
-    /// What is wrong with an address.
+    /// Returns the network fault of an address.
     pub fn fault(&self, address: &Address) -> AddressFault {
         self.faults.get(address).copied().unwrap_or_default()
     }
 
-    /// Sets what is wrong with an address, and returns what was before.
+    /// Sets the network fault of an address and returns the previous one.
     pub fn set_fault(&mut self, address: Address, fault: AddressFault) -> AddressFault {
         self.faults.insert(address, fault).unwrap_or_default()
     }
 
-    /// Whether nothing gets through from a node to an address.
+    /// Whether a node is partitioned from an address.
     pub fn is_partitioned(&self, node: NodeIndex, to: &Address) -> bool {
         self.partitions.contains(&(node, to.clone()))
     }
 
-    /// Sets whether nothing gets through from a node to an address. False if that was so before.
+    /// Sets whether a node is partitioned from an address. Returns false if this was already the case.
     pub fn set_partitioned(&mut self, node: NodeIndex, to: Address, partitioned: bool) -> bool {
         if partitioned {
             self.partitions.insert((node, to))
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Opens a connection to a port, which its process has still to accept. None if the address takes none.
+    /// Opens a connection to a port and queues it for acceptance. None if the address refuses connections or has no
+    /// listener.
     pub fn open(
         &mut self,
         to: &Address,
@@ -109,7 +110,7 @@
         Some(id)
     }
 
-    /// A side writes. Returns what became of it, and the arrivals to schedule.
+    /// Writes bytes from a side. Returns the result and the arrivals to schedule.
     pub fn write(
         &mut self,
         id: ConnectionId,
@@ -124,12 +125,12 @@
         }
     }
 
-    /// A side ends its sending.
+    /// Shuts down the sending direction of a side.
     pub fn shut_down(&mut self, id: ConnectionId, side: Side, now: Duration) -> Option<Arrival> {
         self.connections.get_mut(&id)?.shut_down(side, now)
     }
 
-    /// A side closes a connection, which is gone once both have.
+    /// Closes a side of a connection; the connection is removed once both sides are closed.
     pub fn close(&mut self, id: ConnectionId, side: Side, now: Duration) -> Option<Arrival> {
         let connection = self.connections.get_mut(&id)?;
         connection.endpoint_mut(side).is_open = false;
@@ -140,7 +141,7 @@
         connection.notify_peer_of_close(side, now)
     }
 
-    /// From now on nothing gets through on a connection.
+    /// Silences a connection: all data on it is lost from now on.
     pub fn silence(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.silence();
@@ -154,7 +155,7 @@
             .map_or_else(Vec::new, |connection| connection.reset(now).into())
     }
 
-    /// Connections to a port that were accepted, and are held by both sides.
+    /// Returns the accepted connections to a port that both sides hold open.
     pub fn accepted(&self, port: &Address) -> Vec<ConnectionId> {
         let is_in_backlog = |id: &ConnectionId| {
             self.ports
@@ -170,21 +171,21 @@
             .collect()
     }
 
-    /// Whether the side that opened a connection still holds it.
+    /// Whether the side that opened a connection still holds it open.
     pub fn is_held_by_initiator(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
             .is_some_and(|connection| connection.initiator.is_open)
     }
 
-    /// The process at the other side of a connection.
+    /// Returns the process at the other side of a connection.
     pub fn peer(&self, id: ConnectionId, side: Side) -> Option<ProcessId> {
         self.connections
             .get(&id)
             .map(|connection| connection.endpoint(side.peer()).process)
     }
 
-    /// Another address with the same port number that takes connections; the same address if there is none.
+    /// Returns another listening address with the same port number, or `address` itself if there is none.
     pub fn neighbour(&self, address: Address) -> Address {
         let has_same_port = |other: &&Address| port_number(other) == port_number(&address);
         let next = self
@@ -196,7 +197,7 @@
             .unwrap_or(address)
     }
 
-    /// Whether a connection leads to a host, and so carries calls.
+    /// Whether a connection was opened to a host, and therefore carries calls.
     pub fn leads_to_host(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
--- a/crates/simulator/src/machine/page_file.rs
+++ b/crates/simulator/src/machine/page_file.rs
@@ -1,5 +1,5 @@
-//! Random-access files that outlast processes. What a process writes is there at once, as in a page cache; a kill
-//! within a write leaves a part of it.
+//! Random-access files that outlive processes. Writes are visible at once, as in a page cache; a kill during a write
+//! leaves a part of it.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct PageFile {
     bytes: Arc<Mutex<Vec<u8>>>,
-    /// It may not grow.
+    /// Whether the file is prevented from growing.
     is_full: Arc<AtomicBool>,
 }
 
@@ -39,11 +39,11 @@
     }
 }
 
-/// A random-access file as a process has it open.
+/// A random-access file that a process has open.
 #[derive(Debug)]
 pub struct SimulatedRandomAccessFile {
     file: PageFile,
-    /// None for the world's own process, which is never killed.
+    /// None for the [`super::WORLD`] process, which is never killed.
     lifetime: Option<Arc<ProcessLifetime>>,
 }
 
@@ -52,7 +52,7 @@
         SimulatedRandomAccessFile { file, lifetime }
     }
 
-    /// How many of `length` bytes a write at an offset gets onto the disk; an error if the process is dead.
+    /// Returns how many of `length` bytes a write at an offset stores; an error if the process is dead.
     fn write_limit(&self, length: usize, offset: u64) -> io::Result<usize> {
         let step = self
             .lifetime
@@ -60,8 +60,8 @@
             .map_or(EffectStep::Done, |lifetime| lifetime.step());
         match step {
             EffectStep::Done => Ok(length),
-            // Torn at any length, but always the same one for the same write: other threads write too, so that the
-            // seed's numbers can't be drawn here.
+            // The length of a torn write depends only on the write's offset and length. It cannot be drawn from the
+            // seed, because other threads write too and the order of draws would vary.
             EffectStep::Killed => Ok((offset / 7 + length as u64 / 3) as usize % (length + 1)),
             EffectStep::Dead => Err(io::ErrorKind::Other.into()),
         }
--- a/crates/simulator/src/machine/planted_fault.rs
+++ b/crates/simulator/src/machine/planted_fault.rs
@@ -1,53 +1,54 @@
-//! Faults planted between a relay and its machine, which show that the checker notices a guard that does not work.
+//! Faults planted between a relay and its machine, which verify that the checker detects a safeguard that does not work.
 
-/// A way in which the machine deceives a relay, so that one of its guards has no effect.
+/// A fault by which the machine makes one of a relay's safeguards ineffective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// Journal records of accepted messages do not reach the disk.
+    /// Journal records of accepted messages are not written to disk.
     DropAcceptedRecords,
-    /// Journal records of attempts do not reach the disk.
+    /// Journal records of attempts are not written to disk.
     DropAttemptRecords,
-    /// A connection to a host that the relay closes stays open.
+    /// Connections to hosts stay open when the relay closes them.
     KeepCallsOpen,
-    /// Discovery's news that a host is draining reads as if the host were up.
+    /// Hosts that discovery lists as draining appear as up.
     HideDraining,
-    /// The wait that an answer asks for reads as zero.
+    /// The wait that a response requests reads as zero.
     HideBackoff,
-    /// A host's address leads to another host.
+    /// Connections to a host's address reach another host.
     MisrouteConnections,
-    /// The process's clocks run at four fifths of their speed.
+    /// The process's clocks run at four fifths of normal speed.
     SlowClock,
-    /// Notices are lost, though the relay believes that it has sent them.
+    /// Notices are lost, although their writes succeed.
     DropNotifications,
-    /// Changes of tenants do not reach the disk.
+    /// Changes of tenants are not written to disk.
     DropTenantChanges,
-    /// A lock that another process holds is granted all the same.
+    /// A lock that another process holds is granted again.
     ShareLocks,
-    /// A client's connection that the relay closes stays open.
+    /// Client connections stay open when the relay closes them.
     KeepClientsOpen,
-    /// Counts of deliveries read as zeros at the control socket.
+    /// Delivery counts in the control socket's metrics read as zero.
     ZeroDeliveryMetrics,
-    /// Metrics are lost on their way out of the control socket, and none of its connections is closed.
+    /// Metrics written to the control socket are lost, and none of its connections is closed.
     MuteControlSocket,
-    /// The configuration reads as it did first.
+    /// Reading the configuration always returns its first content.
     StaleConfiguration,
-    /// Clocks of processes that start later than the first are a minute ahead, so that every message has expired.
+    /// Wall and boot clocks of processes that start after the first are one minute ahead, so that every message has
+    /// expired.
     ClockAhead,
 }
 
 /// Request line of a notice to the platform.
 const NOTICE_REQUEST: &[u8] = b"POST /v1/notices";
-/// First line of the control socket's answer with metrics.
-const METRICS_ANSWER: &[u8] = b"ok figures";
+/// First line of the control socket's response with metrics.
+const METRICS_RESPONSE: &[u8] = b"ok figures";
 /// Prefix of the metrics that count deliveries.
 const DELIVERY_METRIC: &[u8] = b"relay.success.";
-/// The header by which a host asks for a wait, in milliseconds.
+/// The header with which a host requests a wait, in milliseconds.
 const BACKOFF_HEADER: &[u8] = b"X-Backoff-Ms: ";
 /// The health of a draining host in discovery's list.
 const HEALTH_DRAINING: &[u8] = b"\"draining\"";
-/// The health of a usable host, filled up to the same length.
+/// The health of a usable host, padded to the same length.
 const HEALTH_UP: &[u8] = b"\"up\"      ";
-/// Where a journal record's kind stands: behind its length and checksum.
+/// Offset of the kind in a journal record, after its length and checksum.
 const RECORD_KIND_OFFSET: usize = 8;
 /// Kind of the journal's record of an accepted message.
 const RECORD_ACCEPTED: u8 = 0;
@@ -55,21 +56,22 @@
 const RECORD_ATTEMPT: u8 = 1;
 
 impl PlantedFault {
-    /// Whether bytes that the deceived process writes to a connection are lost, though the write succeeds.
+    /// Whether bytes that the affected process writes to a connection are lost, although the write succeeds.
     pub(super) fn drops_sent(self, bytes: &[u8]) -> bool {
         match self {
             PlantedFault::DropNotifications => bytes.starts_with(NOTICE_REQUEST),
-            PlantedFault::MuteControlSocket => bytes.starts_with(METRICS_ANSWER),
+            PlantedFault::MuteControlSocket => bytes.starts_with(METRICS_RESPONSE),
             _ => false,
         }
     }
 
-    /// What is sent in place of bytes that the deceived process writes, if it differs; of the same length.
+    /// Returns what is sent in place of bytes that the affected process writes, if replaced; the length is the same.
     pub(super) fn replace_sent(self, bytes: &[u8]) -> Option<Vec<u8>> {
         (self == PlantedFault::ZeroDeliveryMetrics).then(|| zero_delivery_metrics(bytes))
     }
 
-    /// What the deceived process reads in place of bytes that its peer writes, if it differs; of the same length.
+    /// Returns what the affected process reads in place of bytes that its peer writes, if replaced; the length is the
+    /// same.
     pub(super) fn replace_received(self, bytes: &[u8]) -> Option<Vec<u8>> {
         match self {
             PlantedFault::HideDraining => Some(replace_all(bytes, HEALTH_DRAINING, HEALTH_UP)),
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Whether bytes that the deceived process writes to a file are lost, though the write succeeds.
+    /// Whether bytes that the affected process writes to a file are lost, although the write succeeds.
     pub(super) fn drops_written(self, bytes: &[u8], is_tenant_registry: bool) -> bool {
         let kind = bytes.get(RECORD_KIND_OFFSET);
         match self {
@@ -90,7 +92,7 @@
     }
 }
 
-/// The text with zeros for the digits of all metrics that count deliveries.
+/// Returns the text with the digits of all delivery counts replaced by zeros.
 fn zero_delivery_metrics(text: &[u8]) -> Vec<u8> {
     let mut zeroed = text.to_vec();
     for line in zeroed.split_mut(|byte| *byte == b'\n') {
@@ -105,7 +107,7 @@
     zeroed
 }
 
-/// The text with zeros for the digits of the first wait that it asks for.
+/// Returns the text with the digits of the first requested wait replaced by zeros.
 fn zero_backoff(text: &[u8]) -> Vec<u8> {
     let mut zeroed = text.to_vec();
     if let Some(at) = position(text, BACKOFF_HEADER) {
@@ -117,7 +119,7 @@
     zeroed
 }
 
-/// The text with each `from` replaced by `to`, which is as long.
+/// Returns the text with each `from` replaced by `to`, which must have the same length.
 fn replace_all(text: &[u8], from: &[u8], to: &[u8]) -> Vec<u8> {
     let mut replaced = text.to_vec();
     let mut at = 0;
--- a/crates/simulator/src/machine/process.rs
+++ b/crates/simulator/src/machine/process.rs
@@ -1,4 +1,4 @@
-//! Processes: what the machine knows of each, and how one ends.
+//! The machine's state of each process, and the types that describe its end.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use super::planted_fault::PlantedFault;
 use super::process_lifetime::ProcessLifetime;
 
-/// Number of a process. [`WORLD`] is the one that is never killed.
+/// Number of a process. [`WORLD`] is never killed.
 pub type ProcessId = u32;
 
-/// Number of a node: one computer with a disk and a wall clock of its own.
+/// Number of a node: one computer with its own disk and wall clock.
 pub type NodeIndex = usize;
 
-/// The process of everything around the relays: clients, hosts, discovery.
+/// The process in which everything around the relays runs: clients, hosts, discovery.
 pub const WORLD: ProcessId = 0;
 
-/// The error with which a process ended by itself.
+/// The error with which a process exited by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{message}")]
 pub struct ProcessError {
@@ -28,7 +28,7 @@
 }
 
 impl ProcessError {
-    /// The error of a program's main function, as its text.
+    /// Keeps the text of the error that a program's main function returned.
     pub(super) fn new(error: &impl std::error::Error) -> Self {
         ProcessError {
             message: error.to_string(),
@@ -36,24 +36,24 @@
     }
 }
 
-/// What becomes of an effect of a process on the world.
+/// The outcome of an effect: an action of a process that is visible outside it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EffectOutcome {
     /// It is carried out.
     Done,
-    /// The process is killed within it, before or after it was carried out.
+    /// The process is killed during it, before or after it is carried out.
     Killed {
-        /// It was carried out.
+        /// Whether it is carried out.
         done: bool,
     },
-    /// The process was dead before.
+    /// The process was already dead.
     Dead,
 }
 
-/// A kill that is scheduled once a file is created.
+/// A kill to schedule when a certain file is created.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KillOnCreate {
-    /// End of the file's path.
+    /// Suffix of the file's path.
     pub suffix: &'static str,
     /// Effects after the creation that are still carried out.
     pub effects: u64,
@@ -71,16 +71,16 @@
     pub planted_fault: Option<PlantedFault>,
     /// Virtual time at which it was started.
     pub started_at: Duration,
-    /// How it ended by itself, if it did.
+    /// The result with which it exited by itself, if it did.
     pub exit: Option<Result<(), ProcessError>>,
-    /// The listening port that it was started with.
+    /// The listening port that it inherits, if any.
     pub inherited_port: Option<Address>,
-    /// The configuration as it was first read, for [`PlantedFault::StaleConfiguration`].
+    /// The configuration's first content, for [`PlantedFault::StaleConfiguration`].
     pub first_configuration: Option<Vec<u8>>,
 }
 
 impl Process {
-    /// Schedules the kill that waits for the creation of this file, if one does.
+    /// Schedules the kill that is pending on the creation of this file, if there is one.
     pub fn schedule_kill_on_create(&mut self, path: &str) {
         let kill = self
             .kill_on_create
--- a/crates/simulator/src/machine/process_lifetime.rs
+++ b/crates/simulator/src/machine/process_lifetime.rs
@@ -1,30 +1,30 @@
-//! Whether a process is alive, and the effect within which a scheduled kill strikes.
+//! Whether a process is alive, and the effect during which a scheduled kill takes place.
 //!
-//! Page files are written from other threads than the scheduler's too, so the state is atomic.
+//! The state is atomic because page files are also written from threads other than the scheduler's.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// The effect number of a kill that is not scheduled.
+/// Value of `kill_at_effect` while no kill is scheduled.
 const NO_KILL_SCHEDULED: u64 = u64::MAX;
 
-/// What becomes of one effect of a process.
+/// The outcome of counting one effect of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EffectStep {
     /// It is carried out.
     Done,
-    /// The kill strikes within it.
+    /// The process is killed during it.
     Killed,
-    /// The process was dead before.
+    /// The process was already dead.
     Dead,
 }
 
-/// The life of one process.
+/// The lifetime of one process.
 #[derive(Debug)]
 pub(super) struct ProcessLifetime {
     is_dead: AtomicBool,
-    /// Effects on the world so far: writes, connections, file operations.
+    /// Number of effects so far: writes, connections, file operations.
     effects: AtomicU64,
-    /// Number of the effect within which the kill strikes.
+    /// Number of the effect during which the process is killed.
     kill_at_effect: AtomicU64,
 }
 
@@ -47,12 +47,12 @@
         self.is_dead.store(true, Ordering::SeqCst);
     }
 
-    /// Whether a kill was scheduled at any time; it may have struck already.
+    /// Whether a kill was scheduled at any time; it may already have taken place.
     pub fn is_kill_scheduled(&self) -> bool {
         self.kill_at_effect.load(Ordering::SeqCst) != NO_KILL_SCHEDULED
     }
 
-    /// Schedules the kill within the effect that comes after this many more.
+    /// Schedules the kill during the next effect after `effects` further ones.
     pub fn kill_after(&self, effects: u64) {
         self.kill_at_effect.store(
             self.effects.load(Ordering::SeqCst) + 1 + effects,
@@ -60,7 +60,7 @@
         );
     }
 
-    /// Counts an effect, and ends the process if the kill is due within it.
+    /// Counts an effect, and ends the process if the kill is due during it.
     pub fn step(&self) -> EffectStep {
         if !self.is_alive() {
             return EffectStep::Dead;
--- a/crates/simulator/src/machine/scheduler.rs
+++ b/crates/simulator/src/machine/scheduler.rs
@@ -1,7 +1,7 @@
 //! Tasks and timers on the virtual clock.
 //!
-//! One task is polled at a time. Which of the ready tasks and of the timers that are due at the same instant comes
-//! next is drawn from the seed. Time passes only when nothing is ready.
+//! One task is polled at a time. The next step is drawn from the seed among the ready tasks and the timers that are
+//! due. Time advances only when nothing is ready.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -17,7 +17,7 @@
 pub(super) type TaskId = u64;
 type TaskFuture = Pin<Box<dyn Future<Output = ()>>>;
 
-/// The tasks that were woken since the last step; their order is of no importance.
+/// The tasks that were woken since the last step, in no particular order.
 type WokenTasks = Arc<Mutex<Vec<TaskId>>>;
 
 struct TaskWaker {
@@ -47,7 +47,7 @@
     future: Option<TaskFuture>,
     is_aborted: bool,
     waker: Arc<TaskWaker>,
-    /// Wakers of those that wait for its end.
+    /// Wakers of the tasks that wait for it to end.
     join_wakers: Vec<Waker>,
 }
 
@@ -66,28 +66,28 @@
     Arrival(ConnectionId, Side),
 }
 
-/// A timer's place in the order of timers.
+/// Key by which timers are ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TimerKey {
     due_at: Duration,
-    /// Number of the timer, which no other timer or task has.
+    /// Number of the timer, unique among timers and tasks.
     number: u64,
 }
 
-/// What happens next.
+/// The next step of the machine.
 pub(super) enum NextStep {
     Poll(TaskId),
     FireTimer(TimerAction),
-    /// Time passes until then.
+    /// Nothing is ready; the clock advances to this time.
     AdvanceClock(Duration),
-    /// Nothing will ever happen again.
+    /// There are no ready tasks and no timers.
     Idle,
 }
 
 #[derive(Default)]
 pub(super) struct Scheduler {
     tasks: BTreeMap<TaskId, ScheduledTask>,
-    /// The last number that a task or timer was given.
+    /// The last number assigned to a task or timer.
     last_number: u64,
     woken: WokenTasks,
     ready: Vec<TaskId>,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Takes a timer out, to be dropped by the caller.
+    /// Removes a timer and returns its action, which the caller drops.
     pub fn cancel_timer(&mut self, key: TimerKey) -> Option<TimerAction> {
         self.timers.remove(&key)
     }
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whether a task has ended; if not, the waker is woken when it does.
+    /// Returns whether a task has ended; if not, `waker` is woken when it ends.
     pub fn has_ended(&mut self, id: TaskId, waker: &Waker) -> bool {
         match self.tasks.get_mut(&id) {
             Some(task) => {
@@ -161,8 +161,8 @@
         }
     }
 
-    /// Chooses what happens next. `draw_below` returns a random number below its argument; it is not called where
-    /// there is only one choice.
+    /// Chooses the next step. `draw_below` returns a random number below its argument; it is not called if there is only
+    /// one choice.
     pub fn next_step(&mut self, now: Duration, mut draw_below: impl FnMut(u64) -> u64) -> NextStep {
         self.collect_woken();
         let last_due = TimerKey {
@@ -192,17 +192,17 @@
             .map_or(NextStep::Idle, NextStep::FireTimer)
     }
 
-    /// Adds the tasks that were woken since the last step to those that are ready.
+    /// Moves the tasks that were woken since the last step to the ready tasks.
     fn collect_woken(&mut self) {
         if let Ok(mut woken) = self.woken.lock() {
-            // Tasks that are woken together may come in any order: tokio's `watch` draws it from random numbers that
-            // are not the seed's.
+            // Sorted for reproducibility: tokio's `watch` wakes its waiters in an order that it draws from its own
+            // random numbers, not from the seed.
             woken.sort_unstable();
             self.ready.append(&mut woken);
         }
     }
 
-    /// Takes a task out to be polled; none if it has ended.
+    /// Takes a task to be polled; none if it has ended.
     pub fn take(&mut self, id: TaskId) -> Option<TaskToPoll> {
         let task = self.tasks.get_mut(&id)?;
         task.waker.is_queued.store(false, Ordering::Relaxed);
@@ -215,8 +215,7 @@
         })
     }
 
-    /// Puts a task back after a poll. Returns its future, to be dropped by the caller, if its process was killed
-    /// meanwhile.
+    /// Puts a task back after a poll. If its process was killed meanwhile, returns the future, which the caller drops.
     pub fn put_back(&mut self, id: TaskId, future: TaskFuture) -> Option<TaskFuture> {
         match self.tasks.get_mut(&id) {
             Some(task) => {
@@ -227,14 +226,14 @@
         }
     }
 
-    /// Removes a task that has ended, and wakes those that wait for it.
+    /// Removes a task that has ended, and wakes the tasks that wait for it.
     pub fn finish(&mut self, id: TaskId) {
         if let Some(task) = self.tasks.remove(&id) {
             task.join_wakers.into_iter().for_each(Waker::wake);
         }
     }
 
-    /// Takes out all tasks of a process, to be dropped by the caller.
+    /// Removes all tasks of a process and returns them, for the caller to drop.
     pub fn take_all(&mut self, process: ProcessId) -> Vec<ScheduledTask> {
         let ids: Vec<TaskId> = self
             .tasks
--- a/crates/simulator/src/machine/signals.rs
+++ b/crates/simulator/src/machine/signals.rs
@@ -7,7 +7,7 @@
 
 use super::context::ProcessContext;
 
-/// The signals of a process, in the order in which they were sent.
+/// Receives the signals of a process in the order in which they were sent.
 pub struct SimulatedSignals {
     context: ProcessContext,
 }
--- a/crates/simulator/src/machine/simulated_runtime.rs
+++ b/crates/simulator/src/machine/simulated_runtime.rs
@@ -1,4 +1,4 @@
-//! The operating system as one process sees it.
+//! The runtime of a simulated process.
 
 use std::fmt;
 use std::future::Future;
@@ -21,14 +21,14 @@
 use super::stream::SimulatedStream;
 use super::task::SimulatedTask;
 
-/// Unix time at which every world begins.
+/// Unix time at which every simulation begins.
 const UNIX_TIME_AT_START: Duration = Duration::from_secs(1_790_000_000);
-/// Identity of the one boot of every node.
+/// Boot id of every node; nodes never reboot.
 const BOOT_ID: &str = "simulated";
-/// Where a process finds its configuration.
+/// Path of a process's configuration file.
 pub const CONFIG_PATH: &str = "/config.json";
 
-/// The system as one process sees it.
+/// The machine's runtime for one process.
 #[derive(Clone)]
 pub struct SimulatedRuntime {
     context: ProcessContext,
--- a/crates/simulator/src/machine/sleep.rs
+++ b/crates/simulator/src/machine/sleep.rs
@@ -1,4 +1,4 @@
-//! A timer of a task.
+//! A future that waits for a timer.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -8,11 +8,11 @@
 use super::scheduler::{TimerAction, TimerKey};
 use super::state::SharedState;
 
-/// Waits until a moment of virtual time.
+/// Waits until a point in virtual time.
 pub(super) struct Sleep {
     state: SharedState,
     at: Duration,
-    /// The timer, once the first poll has set it.
+    /// The timer, set by the first poll.
     timer: Option<TimerKey>,
 }
 
@@ -32,7 +32,8 @@
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
         let this = &mut *self;
         let mut state = this.state.borrow_mut();
-        // Only a timer that the scheduler has fired is over, not one that is due: its order is the seed's.
+        // Ready only once the scheduler has fired the timer, not when it is due: the order of timers that are due is
+        // drawn from the seed.
         match this.timer {
             Some(timer) if state.scheduler.replace_timer_waker(timer, context.waker()) => {
                 Poll::Pending
@@ -53,7 +54,7 @@
         let cancelled = self
             .timer
             .and_then(|timer| self.state.borrow_mut().scheduler.cancel_timer(timer));
-        // Its waker is dropped once the state is free again.
+        // The waker is dropped when the state is not borrowed.
         drop(cancelled);
     }
 }
--- a/crates/simulator/src/machine/state.rs
+++ b/crates/simulator/src/machine/state.rs
@@ -1,5 +1,4 @@
-//! Everything that the machine consists of: the clock, the scheduler, the network, the disks, the processes, and the
-//! digests of what has happened.
+//! The machine's state: clock, scheduler, network, disks, processes, and the digests of the execution.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,38 +19,38 @@
 use super::scheduler::{Scheduler, TaskId, TimerAction};
 use crate::rng::SimulationRng;
 
-/// Stream of the seed's random numbers that the machine draws from.
+/// The stream of the seed's random numbers from which the machine draws.
 const RNG_STREAM: u64 = 1;
 /// How far clocks are ahead under [`PlantedFault::ClockAhead`].
 const CLOCK_AHEAD_OFFSET: Duration = Duration::from_secs(60);
 /// Processes that start later than this are not the first, for [`PlantedFault::ClockAhead`].
 const FIRST_START_WITHIN: Duration = Duration::from_secs(1);
 
-/// The machine's state, shared by the machine, its processes and what they have open.
+/// The machine's state, shared by the machine, its processes and their open files and sockets.
 pub(super) type SharedState = Rc<RefCell<MachineState>>;
 
 /// The state of the machine.
 pub(super) struct MachineState {
-    /// What the monotonic clock shows at virtual time zero.
+    /// Reading of the monotonic clock at virtual time zero.
     pub clock_origin: Instant,
     /// Virtual time.
     pub now: Duration,
-    /// Tasks polled so far.
+    /// Number of task polls so far.
     pub steps: u64,
     pub scheduler: Scheduler,
     pub network: Network,
-    /// By node.
+    /// Disks, indexed by node.
     disks: Vec<Disk>,
-    /// By node: how far its wall clock is ahead.
+    /// How far each node's wall clock is ahead, indexed by node.
     pub clock_offsets: Vec<Duration>,
     pub processes: BTreeMap<ProcessId, Process>,
     pub locks: LockTable,
     pub rng: SimulationRng,
-    /// Of moments, the order of tasks, and notes.
+    /// Digest of times, the order of task polls, and notes.
     digest: DefaultHasher,
-    /// Of moments, the order of tasks, effects and the bytes that are written; no notes.
+    /// Digest of times, the order of task polls, effects and written bytes, without notes.
     effects_digest: DefaultHasher,
-    /// The notes as text, if a reader wants them.
+    /// The notes as text, if a trace is kept.
     pub trace: Option<Vec<String>>,
 }
 
@@ -77,14 +76,14 @@
 
 /// Processes and their effects.
 impl MachineState {
-    /// Whether a process was started and is alive; false for the world's own.
+    /// Whether a process was started and is alive; false for the world process.
     pub fn is_alive(&self, process: ProcessId) -> bool {
         self.processes
             .get(&process)
             .is_some_and(|process| process.lifetime.is_alive())
     }
 
-    /// Whether a process was started and is dead; false for the world's own.
+    /// Whether a process was started and is dead; false for the world process.
     pub fn is_dead(&self, process: ProcessId) -> bool {
         self.processes
             .get(&process)
@@ -97,7 +96,7 @@
             .and_then(|process| process.planted_fault)
     }
 
-    /// Counts an effect of a process, within which a scheduled kill may strike.
+    /// Counts an effect of a process, during which a scheduled kill may take place.
     pub fn count_effect(&mut self, process: ProcessId) -> EffectOutcome {
         let Some(process) = self.processes.get(&process) else {
             return EffectOutcome::Done;
@@ -111,8 +110,8 @@
         }
     }
 
-    /// Counts a write of a process as an effect, and returns how many of `length` bytes it may get out: any part if
-    /// the kill strikes within it. None if the process was dead before.
+    /// Counts a write of a process as an effect, and returns how many of `length` bytes it may write: any part if the
+    /// process is killed during it. None if the process was already dead.
     pub fn count_write(
         &mut self,
         process: ProcessId,
@@ -126,7 +125,7 @@
         }
     }
 
-    /// How many of `length` bytes a transfer moves, of which a percentage is short.
+    /// Draws how many of `length` bytes a transfer moves; `short_percent` percent of transfers are short.
     pub fn draw_length(&mut self, length: usize, short_percent: u64) -> usize {
         if length > 1 && self.rng.percent(short_percent) {
             1 + self.rng.below(length as u64 - 1) as usize
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Schedules a kill within the process's effect that comes after this many more.
+    /// Schedules a kill during the process's next effect after `effects` further ones.
     pub fn kill_after(&mut self, process: ProcessId, effects: u64) {
         if let Some(process) = self.processes.get(&process) {
             process.lifetime.kill_after(effects);
@@ -145,19 +144,19 @@
 
 /// Nodes: their disks and clocks.
 impl MachineState {
-    /// The node that a process runs on; 0 for the world's own.
+    /// Returns the node on which a process runs; 0 for the world process.
     pub fn node(&self, process: ProcessId) -> NodeIndex {
         self.processes
             .get(&process)
             .map_or(0, |process| process.node)
     }
 
-    /// The disk of a process's node.
+    /// Returns the disk of a process's node.
     pub fn disk_of(&mut self, process: ProcessId) -> &mut Disk {
         self.disk(self.node(process))
     }
 
-    /// The disk of a node.
+    /// Returns the disk of a node, which is created on first use.
     pub fn disk(&mut self, node: NodeIndex) -> &mut Disk {
         if self.disks.len() <= node {
             self.disks.resize_with(node + 1, Disk::default);
@@ -165,7 +164,7 @@
         &mut self.disks[node]
     }
 
-    /// How far the wall clock of a process's node is ahead.
+    /// Returns how far the wall clock of a process's node is ahead.
     pub fn clock_offset(&self, process: ProcessId) -> Duration {
         self.clock_offsets
             .get(self.node(process))
@@ -173,7 +172,7 @@
             .unwrap_or_default()
     }
 
-    /// How far a planted fault puts a process's wall and boot clocks ahead.
+    /// Returns how far a planted fault moves a process's wall and boot clocks ahead.
     pub fn planted_clock_offset(&self, process: ProcessId) -> Duration {
         let is_ahead = self.processes.get(&process).is_some_and(|process| {
             process.planted_fault == Some(PlantedFault::ClockAhead)
@@ -186,7 +185,7 @@
         }
     }
 
-    /// When a process was started whose clocks run at four fifths of their speed; none if they do not.
+    /// Returns when a process was started if its clocks run at four fifths of normal speed; none otherwise.
     fn slowed_since(&self, process: ProcessId) -> Option<Duration> {
         self.processes
             .get(&process)
@@ -194,7 +193,7 @@
             .map(|process| process.started_at)
     }
 
-    /// What a process's clock shows now, in time since the world began.
+    /// Returns the current time of a process's clock, since the start of the simulation.
     pub fn local_time(&self, process: ProcessId) -> Duration {
         match self.slowed_since(process) {
             Some(started_at) => started_at + (self.now - started_at) * 4 / 5,
@@ -202,7 +201,7 @@
         }
     }
 
-    /// The virtual time at which a process's clock shows `local`.
+    /// Returns the virtual time at which a process's clock shows `local`.
     pub fn global_time(&self, process: ProcessId, local: Duration) -> Duration {
         match self.slowed_since(process) {
             Some(started_at) => started_at + local.saturating_sub(started_at) * 5 / 4,
@@ -213,12 +212,12 @@
 
 /// Connections.
 impl MachineState {
-    /// Whether nothing gets through from a process's node to an address.
+    /// Whether a process's node is partitioned from an address.
     pub fn is_partitioned(&self, process: ProcessId, to: &Address) -> bool {
         self.network.is_partitioned(self.node(process), to)
     }
 
-    /// Silences connections, or resets those that were silent.
+    /// Silences connections, or resets them when their silence ends.
     pub fn set_silent(&mut self, connections: Vec<ConnectionId>, silent: bool) {
         for id in connections {
             if silent {
@@ -230,7 +229,7 @@
         }
     }
 
-    /// Wakes the readers of a connection when something arrives for them.
+    /// Schedules timers that wake the readers of a connection at each arrival.
     pub fn schedule_arrivals(
         &mut self,
         connection: ConnectionId,
@@ -243,7 +242,7 @@
     }
 }
 
-/// The record of what has happened.
+/// Digests and trace.
 impl MachineState {
     /// Adds the poll of a task to both digests.
     pub fn record_poll(&mut self, task: TaskId) {
--- a/crates/simulator/src/machine/stream.rs
+++ b/crates/simulator/src/machine/stream.rs
@@ -1,4 +1,4 @@
-//! A side of a connection as a process has it open.
+//! A side of a connection that a process has open.
 
 use std::future::poll_fn;
 use std::io;
@@ -16,7 +16,7 @@
 use super::process::EffectOutcome;
 use super::state::MachineState;
 
-/// A write arrives up to this much later than the connection's delay has it.
+/// Exclusive upper bound of the extra delay of a write, beyond the connection's delay.
 const MAX_JITTER_MICROS: u64 = 200;
 /// Percentage of reads and writes that are short.
 const SHORT_TRANSFER_PERCENT: u64 = 4;
@@ -28,11 +28,11 @@
     side: Side,
 }
 
-/// Bytes on their way out of a process, as a planted fault leaves them.
+/// Bytes written by a process, after planted faults have been applied.
 enum Outgoing {
     Unchanged,
     Replaced(Vec<u8>),
-    /// Lost, though the write succeeds.
+    /// The bytes are lost, although the write succeeds.
     Dropped,
 }
 
@@ -41,13 +41,14 @@
         SimulatedStream { context, id, side }
     }
 
-    /// The number of the connection, which no other has.
+    /// Returns the unique number of the connection.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.id
     }
 
-    /// What has arrived. If nothing has, the waker is woken when something does. Nothing arrives at a dead process.
+    /// Returns the input that has arrived. If there is none, `waker` is woken at the next arrival. A dead process receives
+    /// no input.
     fn input(&self, waker: Option<&Waker>) -> Input {
         let mut state = self.context.state.borrow_mut();
         if state.is_dead(self.context.process) {
@@ -65,7 +66,7 @@
         input
     }
 
-    /// How many of the bytes that have arrived one read returns.
+    /// Draws how many of the bytes that have arrived one read returns.
     fn draw_read_length(&self, bytes: &Bytes, max_bytes: usize) -> usize {
         let available = bytes.len().min(max_bytes);
         self.context
@@ -74,7 +75,7 @@
             .draw_length(available, SHORT_TRANSFER_PERCENT)
     }
 
-    /// Takes bytes that were read out of the input.
+    /// Removes bytes that were read from the input.
     fn consume(&self, count: usize) {
         let mut state = self.context.state.borrow_mut();
         if let Some(connection) = state.network.connections.get_mut(&self.id) {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Whether it was accepted at the port that the process was started with, where clients connect.
+    /// Whether the connection was opened to the process's inherited port, to which clients connect.
     fn is_from_client(&self, state: &MachineState) -> bool {
         let inherited_port = state
             .processes
@@ -94,7 +95,7 @@
             .is_some_and(|(port, connection)| connection.to == *port)
     }
 
-    /// What the planted faults of this process and of its peer make of bytes that it writes.
+    /// Applies the planted faults of this process and of its peer to bytes that it writes.
     fn outgoing(&self, state: &MachineState, bytes: &[u8]) -> Outgoing {
         let own_fault = state.planted_fault(self.context.process);
         if own_fault.is_some_and(|fault| fault.drops_sent(bytes)) {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Whether a planted fault keeps this side's sending from being ended.
+    /// Whether a planted fault prevents the shutdown of this side's sending direction.
     fn ignores_shutdown(&self, state: &MachineState) -> bool {
         state.planted_fault(self.context.process) == Some(PlantedFault::MuteControlSocket)
             && self.side == Side::Acceptor
@@ -130,7 +131,7 @@
     }
 }
 
-/// What a read of a connection that has ended returns.
+/// Returns the result of a read from a connection that has ended.
 fn read_end(end: StreamEnd) -> io::Result<()> {
     match end {
         StreamEnd::Closed => Ok(()),
@@ -165,7 +166,7 @@
     ) -> Poll<io::Result<usize>> {
         let process = self.context.process;
         let mut state = self.context.state.borrow_mut();
-        // Nothing that a dead process does ends any more.
+        // Operations of a dead process never complete.
         let Some(max_bytes) = state.count_write(process, text.len(), SHORT_TRANSFER_PERCENT) else {
             return Poll::Pending;
         };
--- a/crates/simulator/src/machine/task.rs
+++ b/crates/simulator/src/machine/task.rs
@@ -1,4 +1,4 @@
-//! Handle of a task.
+//! The handle of a spawned task.
 
 use std::future::poll_fn;
 use std::task::Poll;
@@ -8,7 +8,7 @@
 use super::scheduler::TaskId;
 use super::state::SharedState;
 
-/// A task on the machine, which goes on when this is dropped.
+/// Handle of a task on the machine. The task continues if the handle is dropped.
 pub struct SimulatedTask {
     state: SharedState,
     id: TaskId,
--- a/crates/simulator/src/peers/admin_api.rs
+++ b/crates/simulator/src/peers/admin_api.rs
@@ -1,4 +1,4 @@
-//! A client of the administration API: one request a connection.
+//! A client of the administration API, with one request per connection.
 
 use std::io;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use super::PeerContext;
 use crate::hosted::ADMIN;
 
-/// A response comes within this.
+/// Timeout for connecting, sending a request and receiving its response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Bytes of a response at most.
+/// Maximum size of a response in bytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 /// The body of a request.
@@ -23,24 +23,24 @@
     pub text: String,
 }
 
-/// A request.
+/// A request to the administration API.
 pub(super) struct ApiRequest<'a> {
     /// The bearer token.
     pub token: &'a str,
     pub method: &'a str,
     pub path: &'a str,
-    /// Further header lines, each with its end.
+    /// Additional header lines, each terminated by CRLF.
     pub headers: &'a str,
     pub body: Option<&'a Body>,
 }
 
-/// A response.
+/// A response of the administration API.
 pub(super) struct ApiResponse {
     pub status: u16,
     pub etag: Option<String>,
     /// Whether it is the stored one of an earlier request with the same idempotency key.
     pub is_replayed: bool,
-    /// The body, null if it is no JSON.
+    /// The body; null if it is not valid JSON.
     pub body: Value,
 }
 
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// The connection's error, the parser's, or a timeout.
+    /// Returns the error of the connection or of the parser, or a timeout.
     pub async fn send<R: Runtime>(&self, context: &PeerContext<R>) -> io::Result<ApiResponse> {
         let text = self.text();
         let exchange = async {
@@ -69,7 +69,7 @@
         context.runtime.timeout(RESPONSE_TIMEOUT, exchange).await?
     }
 
-    /// The request as it is sent.
+    /// Returns the request as sent on the wire.
     fn text(&self) -> String {
         let ApiRequest {
             token,
@@ -92,7 +92,7 @@
     }
 }
 
-/// The response, once it is complete.
+/// Parses a response; none if it is not complete yet.
 fn parse(text: &[u8]) -> io::Result<Option<ApiResponse>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut parsed = httparse::Response::new(&mut headers);
--- a/crates/simulator/src/peers/admins.rs
+++ b/crates/simulator/src/peers/admins.rs
@@ -1,4 +1,4 @@
-//! Administrators: they read tenants and change them, two at once, and some of what they send is malformed.
+//! Administrators, who read and change tenants, two of them concurrently, and send some malformed requests.
 
 use std::io;
 use std::rc::Rc;
@@ -12,39 +12,39 @@
 use crate::history::{Observation, TenantChange, TenantSnapshot, TenantVersion};
 use crate::hosted::{AdminAction, AdminTask, TenantPlan, ADMIN};
 
-/// A request that insists on its response is sent this often at most ...
+/// Maximum number of attempts of a request that is repeated until it has a response.
 const MAX_ATTEMPTS: u32 = 6;
-/// ... with this pause between.
+/// Pause between these attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// A malformed request's connection stays open for this time.
+/// Time for which the connection of a malformed request stays open.
 const MALFORMED_REQUEST_TIME: Duration = Duration::from_millis(300);
-/// The response of a relay that could not save a change, which may be requested again.
+/// Status of a relay that could not save a change; the change may be requested again.
 const SERVICE_UNAVAILABLE: u16 = 503;
 const JSON: &str = "application/json";
 const MERGE_PATCH: &str = "application/merge-patch+json";
 
-/// A way in which an administrator deceives the checker, so that an invariant is violated.
+/// Misbehaviour of an administrator or operator that must make the checker report a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MisbehavingAdmin {
-    /// Reports other weights than it sets.
+    /// Reports different weights from those that it sets.
     ReportsOtherWeights,
-    /// Resumes at once what it pauses, and does not report it.
+    /// Resumes each tenant directly after pausing it, without reporting the resumption.
     ResumesSecretly,
-    /// Lets the messages of a tenant finish that it reports as rejected.
+    /// Removes tenants with their queued messages finished, but reports them as rejected.
     FinishesSecretly,
-    /// Attests that nothing took effect, whatever did.
+    /// Attests that messages did not take effect, even if they did.
     AttestsFalsely,
-    /// Leaves a record out where it reports all.
+    /// Omits one record when reporting all records.
     OmitsRecord,
 }
 
-/// A change of a tenant, as it is requested.
+/// The request for a change of a tenant.
 struct ChangeRequest {
     method: &'static str,
     path: String,
     headers: String,
     body: Option<Body>,
-    /// What it reports to the checker.
+    /// The change that is reported to the checker.
     change: TenantChange,
 }
 
@@ -55,16 +55,16 @@
     tenants: Vec<TenantPlan>,
     tasks: Vec<AdminTask>,
     misbehavior: Option<MisbehavingAdmin>,
-    /// Changes that were requested so far.
+    /// Number of changes requested so far.
     changes: u64,
-    /// The entity tag that was read last, by tenant.
+    /// The entity tag that was last read, by tenant.
     last_tags: Vec<Option<String>>,
-    /// Called just before a change is sent, so that a fault may strike within it.
+    /// Called just before a change is sent, so that a fault can be injected during it.
     before_change: Rc<dyn Fn()>,
 }
 
 impl<R: Runtime> Admin<R> {
-    /// An administrator of a number, which is a part of its idempotency keys.
+    /// Creates an administrator. `number` is part of its idempotency keys.
     pub fn new(
         context: PeerContext<R>,
         number: u64,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Performs all tasks, each at its time.
+    /// Performs all tasks, each at its time, then reads all tenants.
     pub async fn run(mut self) {
         for task in std::mem::take(&mut self.tasks) {
             self.context
@@ -95,7 +95,7 @@
                 .await;
             self.perform(&task).await;
         }
-        // What became of all changes.
+        // Reports the final state of all tenants to the checker.
         for tenant in 0..self.tenants.len() {
             self.read(tenant).await;
         }
@@ -130,7 +130,8 @@
         }
     }
 
-    /// The request for a change of a tenant that exists, at a version; none for a task that changes nothing.
+    /// Returns the request for a change of an existing tenant, conditional on the entity tag `tag`; none if the task
+    /// changes no existing tenant.
     fn change_request(&self, task: &AdminTask, tag: &str) -> Option<ChangeRequest> {
         let path = format!("/v1/tenants/{}", self.tenants[task.tenant].name);
         let (method, path, body, change) = match &task.action {
@@ -179,7 +180,7 @@
     async fn create(&mut self, task: &AdminTask, weight: u32) {
         let tenant = &self.tenants[task.tenant];
         let name = tenant.name.clone();
-        // The clients' secret is another tenant's now, and has to be given to the new one.
+        // The new generation of the tenant does not have the clients' secret; add it.
         let digest = tenancy::secret::Digest::of(tenant.secret.as_bytes());
         let create = ChangeRequest {
             method: "POST",
@@ -206,7 +207,8 @@
         }
     }
 
-    /// Requests a change, again where no response came if the task insists; whether it was successful.
+    /// Requests a change and returns whether it succeeded. If the task insists, repeats the request until it has a
+    /// response other than 503.
     async fn change(&mut self, task: &AdminTask, request: &ChangeRequest) -> bool {
         let name = self.tenants[task.tenant].name.clone();
         let ChangeRequest {
@@ -258,10 +260,10 @@
         false
     }
 
-    /// Reads a tenant and reports it; its entity tag, if there is one.
+    /// Reads a tenant, reports it, and returns its entity tag if the tenant exists.
     async fn read(&mut self, tenant: usize) -> Option<String> {
         let name = self.tenants[tenant].name.clone();
-        let requested_at = self.context.at();
+        let requested_at = self.context.elapsed();
         let path = format!("/v1/tenants/{name}");
         let response = self.send("GET", &path, "", None).await.ok()?;
         let snapshot = snapshot(&response, self.misbehavior);
@@ -296,7 +298,7 @@
         request.send(&self.context).await
     }
 
-    /// Sends something malformed, or a part of a request.
+    /// Sends a malformed or incomplete request.
     async fn send_malformed(&self, kind: u64) -> io::Result<()> {
         let mut stream = self.context.runtime.connect(ADMIN).await?;
         let text: &[u8] = match kind {
@@ -314,7 +316,7 @@
     }
 }
 
-/// A tenant as a response shows it, or as a misbehaving administrator reports it.
+/// Parses the tenant in a response, altered if the administrator reports other weights.
 fn snapshot(
     response: &ApiResponse,
     misbehavior: Option<MisbehavingAdmin>,
--- a/crates/simulator/src/peers/clients.rs
+++ b/crates/simulator/src/peers/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they submit messages, submit them again after a rejection, and some of them misbehave.
+//! Clients, which submit messages and submit them again after a rejection. Some of them misbehave.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -14,114 +14,114 @@
 use super::PeerContext;
 use crate::history::{Idempotency, Observation, SubmittedRequest};
 
-/// A message is submitted this often at most.
+/// Maximum number of submissions of a message.
 const MAX_SUBMISSIONS: u32 = 4;
-/// A client submits a message again so soon after a connection failed in its use.
+/// Delay of the next submission after a connection failed while in use.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A client submits a message again so soon after it could not connect.
+/// Delay of the next submission after a failure to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// The wait of a client after a `-BUSY` without one, in milliseconds.
+/// Delay of the next submission after a `-BUSY` that states no wait, in milliseconds.
 const DEFAULT_BUSY_DELAY_MS: u64 = 200;
-/// A message with less time than this until its deadline is not submitted any more.
+/// A message with less time than this until its deadline is not submitted.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(20);
-/// What is malformed gets an error and a close within this.
+/// Time within which the relay must respond to malformed input with an error and a close.
 const MALFORMED_INPUT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A client that stalls keeps its connection for this time ...
+/// Time for which a client that stalls keeps its connection open.
 const STALL_TIME: Duration = Duration::from_millis(700);
-/// ... and gives up within this.
+/// Timeout for the whole stalled exchange, including connecting.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a client does besides submitting its message.
+/// A client's behaviour besides submitting its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientBehavior {
-    /// Nothing.
+    /// Only submits the message.
     Regular,
     /// Sends the same request on another connection at once.
     Duplicates,
     /// Closes the connection once it has sent the request.
     Disconnects,
-    /// Sends half a request and stalls; then sends it on a new connection.
+    /// Sends half of the request and stalls; then sends the whole request on a new connection.
     Stalls,
-    /// Sends something malformed first, and expects an error and a close.
+    /// Sends malformed input first, and expects an error and a close.
     SendsMalformed,
-    /// Submits for another tenant than the one that it authenticates as.
+    /// Submits for a tenant other than the one that it authenticates as.
     Impersonates,
 }
 
 /// A message that a client is to submit.
 #[derive(Clone, Debug)]
 pub struct PlannedMessage {
-    /// When it is submitted first.
+    /// When it is first submitted.
     pub at: Duration,
-    /// Its name; each submission adds its number.
+    /// Its name; the id of each submission is the name and the submission's number.
     pub name: String,
     /// Its tenant.
     pub tenant: String,
     /// Name of its class.
     pub class: &'static str,
-    /// Whether its class may be executed more than once.
+    /// Whether messages of its class may be executed more than once.
     pub idempotency: Idempotency,
     /// Its ordering key, 0 for none.
     pub ordering_key: u64,
-    /// Its class is ordered.
+    /// Whether its class is ordered.
     pub is_ordered: bool,
-    /// From then on its class must not be executed twice.
+    /// Time from which messages of its class must not be executed twice, if any.
     pub non_idempotent_from: Option<Duration>,
     /// Its destination.
     pub destination: u16,
     /// Milliseconds from its first submission to its deadline.
     pub time_to_live_ms: u64,
-    /// Size of its body.
+    /// Minimum size of its body; the body always contains the name.
     pub body_bytes: usize,
-    /// What else its client does.
+    /// How its client behaves.
     pub behavior: ClientBehavior,
 }
 
-/// A message that is to be submitted, for the first time or again.
+/// A pending submission of a message, the first or a repeated one.
 struct Submission {
     message: PlannedMessage,
-    /// Its number, from 0.
+    /// Number of the submission, from 0.
     number: u32,
     deadline: Duration,
 }
 
 impl Submission {
-    /// The message's id: each submission has its own.
+    /// Returns the message's id, which differs for each submission.
     fn id(&self) -> String {
         format!("{}.{}", self.message.name, self.number)
     }
 }
 
-/// How sending a request ended.
+/// The outcome of sending a request.
 enum Outcome {
-    /// It needs no further submission.
+    /// The message needs no further submission.
     Done,
-    /// It is to be submitted again after this time.
+    /// The message is to be submitted again after this time.
     RetryAfter(Duration),
-    /// The connection was closed before the request was read.
+    /// A reused connection failed before the request had a reply; the request is sent again on a new connection.
     StaleConnection,
 }
 
 /// A client with its own connection and its own messages.
 pub struct Client<R: Runtime> {
     context: PeerContext<R>,
-    /// The relays that it knows.
+    /// Addresses of the relays that it can use.
     relays: Vec<SocketAddr>,
-    /// Index of the relay that it uses now.
+    /// Index of the relay in use.
     current: usize,
     connection: Option<Connection<R::Stream>>,
-    /// What is to be submitted, by its time and the number of its entry.
+    /// Pending submissions, ordered by time and entry number.
     submissions: BTreeMap<(Duration, u64), Submission>,
     next_entry: u64,
-    /// The tenant and the secret that it authenticates with, if it has to.
+    /// The tenant and secret with which it authenticates, if required.
     credentials: Option<(String, String)>,
-    /// The load balancer has seen that a relay takes no clients: no new connection is opened.
-    is_closed: Rc<Cell<bool>>,
+    /// Set while the load balancer has the relay out of rotation: no new connection is opened.
+    is_out_of_rotation: Rc<Cell<bool>>,
 }
 
 impl<R: Runtime> Client<R> {
-    /// A client of the relays at some addresses, which begins with the one of a number. Where that does not reply
-    /// it goes on with the next.
+    /// Creates a client of the relays at `relays`. It starts with the one at index `first` and fails over to the next
+    /// if a relay does not reply.
     pub fn new(
         context: PeerContext<R>,
         relays: Vec<SocketAddr>,
@@ -141,7 +141,7 @@
             submissions: BTreeMap::new(),
             next_entry: 0,
             credentials,
-            is_closed: Rc::default(),
+            is_out_of_rotation: Rc::default(),
         };
         for message in messages {
             let submission = Submission {
@@ -154,16 +154,19 @@
         client
     }
 
-    /// The same behind a load balancer, which sets what is given while no new connection is to be opened.
-    pub fn behind(self, is_closed: Rc<Cell<bool>>) -> Self {
-        Client { is_closed, ..self }
+    /// Puts the client behind a load balancer, which sets `is_out_of_rotation` while no new connection may be opened.
+    pub fn behind_load_balancer(self, is_out_of_rotation: Rc<Cell<bool>>) -> Self {
+        Client {
+            is_out_of_rotation,
+            ..self
+        }
     }
 
     fn relay(&self) -> SocketAddr {
         self.relays[self.current]
     }
 
-    /// The relay has not replied: the next one is used from now on.
+    /// Switches to the next relay.
     fn fail_over(&mut self) {
         self.connection = None;
         self.current = (self.current + 1) % self.relays.len();
@@ -183,7 +186,7 @@
                 .sleep_until(self.context.instant(at))
                 .await;
             self.wait_until_open(&submission.message).await;
-            if self.context.at() + MIN_REMAINING_TIME > submission.deadline {
+            if self.context.elapsed() + MIN_REMAINING_TIME > submission.deadline {
                 continue;
             }
             let delay = self.submit(&submission).await;
@@ -192,14 +195,14 @@
                     number: submission.number + 1,
                     ..submission
                 };
-                self.schedule(self.context.at() + delay, next);
+                self.schedule(self.context.elapsed() + delay, next);
             }
         }
     }
 
-    /// Only a request on a connection that is open goes past a load balancer that opens none.
+    /// Waits while the relay is out of rotation, unless the message needs only the connection that is already open.
     async fn wait_until_open(&mut self, message: &PlannedMessage) {
-        while self.is_closed.get()
+        while self.is_out_of_rotation.get()
             && (self.connection.is_none() || message.behavior != ClientBehavior::Regular)
         {
             self.connection = None;
@@ -226,7 +229,7 @@
                 .runtime
                 .timeout(RESPONSE_TIMEOUT, connection.line())
                 .await??;
-            // One that is wrong now may be right on another connection.
+            // The credentials may be accepted on a later connection.
             if reply.as_deref() != Some("+OK") {
                 return Err(io::ErrorKind::PermissionDenied.into());
             }
@@ -235,7 +238,7 @@
         Ok(())
     }
 
-    /// Submits a message; gives the time after which it is to be submitted again, if it is.
+    /// Submits a message. Returns the delay after which it is to be submitted again, if it is.
     async fn submit(&mut self, submission: &Submission) -> Option<Duration> {
         let behavior = submission.message.behavior;
         match behavior {
@@ -248,7 +251,7 @@
             }
             _ => {}
         }
-        // On a kept connection that was closed meanwhile the request was not read; it goes once more.
+        // If a kept connection was closed in the meantime, the request was not read and is sent once more.
         for _ in 0..2 {
             match self.send(submission).await {
                 Outcome::Done => return None,
@@ -263,7 +266,7 @@
 
     /// Sends a request, on a new connection if there is none, and waits for the reply.
     async fn send(&mut self, submission: &Submission) -> Outcome {
-        if self.connection.is_none() && self.is_closed.get() {
+        if self.connection.is_none() && self.is_out_of_rotation.get() {
             return Outcome::RetryAfter(RETRY_DELAY);
         }
         if self.connect().await.is_err() {
@@ -339,7 +342,7 @@
 
     fn request(&self, submission: &Submission) -> Vec<u8> {
         let message = &submission.message;
-        let remaining = submission.deadline.saturating_sub(self.context.at());
+        let remaining = submission.deadline.saturating_sub(self.context.elapsed());
         let key = idempotency_key(message).map_or(String::new(), |key| format!("k={key},"));
         let again = if submission.number > 0 { "r=1," } else { "" };
         let fields = format!(
@@ -359,12 +362,12 @@
         ])
     }
 
-    /// Reports a request whose last byte is sent.
+    /// Reports a request whose last byte was sent.
     fn report_sent(&self, submission: &Submission, id: &str) {
         let message = &submission.message;
         let is_non_idempotent = message
             .non_idempotent_from
-            .is_some_and(|from| self.context.at() >= from);
+            .is_some_and(|from| self.context.elapsed() >= from);
         let request = SubmittedRequest {
             id: id.into(),
             class: message.class.into(),
@@ -384,7 +387,7 @@
         self.context.observe(&Observation::RequestSent(&request));
     }
 
-    /// Sends something malformed and waits for an error and a close.
+    /// Sends malformed input, waits for an error and a close, and reports whether they arrived in time.
     async fn send_malformed(&mut self) {
         let exchange = async {
             let mut connection = Connection::open(&self.context, self.relay()).await?;
@@ -395,7 +398,7 @@
             let reply = connection.line().await?;
             Ok::<_, io::Error>((reply, connection.line().await?))
         };
-        let sent_at = self.context.at();
+        let sent_at = self.context.elapsed();
         let received = self
             .context
             .runtime
@@ -413,7 +416,7 @@
         });
     }
 
-    /// Sends half a request and nothing more.
+    /// Sends part of a request and then nothing, keeping the connection open.
     async fn stall(&mut self, half: &[u8]) {
         let stalled = async {
             let mut stream = self.context.runtime.connect(self.relay()).await?;
@@ -425,7 +428,7 @@
     }
 }
 
-/// Sends a request once more, on a connection of its own.
+/// Sends a request again on a separate connection, and reports the reply.
 async fn send_duplicate<R: Runtime>(
     context: PeerContext<R>,
     relay: SocketAddr,
@@ -451,7 +454,7 @@
     Ok(())
 }
 
-/// The tenant that a message is submitted for.
+/// Returns the tenant for which a message is submitted.
 fn submitted_tenant(message: &PlannedMessage) -> String {
     match message.behavior {
         ClientBehavior::Impersonates => {
@@ -466,7 +469,7 @@
     has_key.then(|| format!("k-{}", message.name))
 }
 
-/// A message's body, which names it.
+/// Returns a message's body: its name, filled up to the planned size.
 fn body(message: &PlannedMessage) -> Vec<u8> {
     let mut body = message.name.clone().into_bytes();
     let filler = message
--- a/crates/simulator/src/peers/connection.rs
+++ b/crates/simulator/src/peers/connection.rs
@@ -1,4 +1,4 @@
-//! A client's side of a connection to the relay, and probes of whether a relay is ready.
+//! A client connection to the relay, and waits for a relay to become ready.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 
 use super::PeerContext;
 
-/// A client waits for a response within this.
+/// Timeout of a client for connecting and for each reply.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Readiness is probed at this interval.
+/// Interval of readiness probes with `PING`.
 const READY_PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// Whether a process takes clients is probed at this interval.
-const TAKES_CLIENTS_PROBE_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval of probes whether a process accepts clients.
+const ACCEPTING_PROBE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A RESP2 array of bulk strings.
+/// Encodes a RESP2 array of bulk strings.
 #[must_use]
 pub fn frame(parts: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", parts.len()).into_bytes();
@@ -29,16 +29,16 @@
     out
 }
 
-/// A connection to the relay, of whose text lines are read.
+/// A connection to the relay from which lines of text are read.
 pub(super) struct Connection<T> {
     pub stream: T,
     text: BytesMut,
-    /// Whether a request was sent on it before.
+    /// Whether a request has been sent on it.
     pub used: bool,
 }
 
 impl<T: Stream> Connection<T> {
-    /// A new connection.
+    /// Opens a connection to an address.
     pub async fn open<R: Runtime<Stream = T>>(
         context: &PeerContext<R>,
         address: SocketAddr,
@@ -46,7 +46,7 @@
         Ok(Connection::new(context.runtime.connect(address).await?))
     }
 
-    /// A connection over a stream that is open.
+    /// Creates a connection over an open stream.
     pub fn new(stream: T) -> Self {
         Connection {
             stream,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Reads a line; none at the connection's end.
+    /// Reads a line; none at the end of the connection.
     pub async fn line(&mut self) -> io::Result<Option<String>> {
         loop {
             if let Some(end) = self.text.iter().position(|byte| *byte == b'\n') {
@@ -71,8 +71,8 @@
     }
 }
 
-/// Returns once the relay replies to `PING`.
-pub async fn until_ready<R: Runtime>(context: &PeerContext<R>, relay: SocketAddr) {
+/// Waits until the relay replies to `PING`.
+pub async fn wait_until_ready<R: Runtime>(context: &PeerContext<R>, relay: SocketAddr) {
     loop {
         let probe = async {
             let mut open = Connection::open(context, relay).await?;
@@ -87,8 +87,11 @@
     }
 }
 
-/// Returns once a process' control socket says that it takes clients.
-pub async fn until_takes_clients<R: Runtime>(context: &PeerContext<R>, control: SocketAddr) {
+/// Waits until a process's control socket reports that the process accepts clients.
+pub async fn wait_until_accepting_clients<R: Runtime>(
+    context: &PeerContext<R>,
+    control: SocketAddr,
+) {
     loop {
         let probe = async {
             let mut open = Connection::open(context, control).await?;
@@ -103,6 +106,6 @@
         ) {
             return;
         }
-        context.runtime.sleep(TAKES_CLIENTS_PROBE_INTERVAL).await;
+        context.runtime.sleep(ACCEPTING_PROBE_INTERVAL).await;
     }
 }
--- a/crates/simulator/src/peers/control_clients.rs
+++ b/crates/simulator/src/peers/control_clients.rs
@@ -1,5 +1,4 @@
-//! Those who watch over a relay: the load balancer, operators with their scripts at the control socket, and clients
-//! that only hold connections.
+//! The load balancer's probes, users of the control socket, and clients that only hold connections.
 
 use std::cell::Cell;
 use std::io;
@@ -15,25 +14,25 @@
 use crate::history::Observation;
 use crate::machine::ProcessId;
 
-/// A call to the control socket gets a response within this.
+/// Timeout for a call to the control socket.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The load balancer probes a relay at this interval ...
+/// Interval of the load balancer's probes of a relay.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// ... and waits for the reply for this time.
+/// Timeout of such a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The load balancer opens no connection from this time after a negative reply on.
+/// Time after the first negative reply from which the load balancer opens no connections.
 const CLOSE_DELAY: Duration = Duration::from_millis(200);
-/// Metrics are requested at this interval.
+/// Interval at which metrics are requested.
 const METRICS_INTERVAL: Duration = Duration::from_millis(200);
-/// Operators repeat a command that failed at this interval ...
+/// Interval at which operators repeat a failed command.
 const COMMAND_INTERVAL: Duration = Duration::from_millis(100);
-/// ... for this time, if it is to resume.
+/// Time for which operators repeat a failed resume command; a failed drain command is not repeated.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(8);
-/// A connection that was closed is opened again after this.
+/// Delay after which a closed connection is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
-/// Callers that connect to the control socket and send nothing.
+/// Number of callers that connect to the control socket and send nothing.
 pub const SILENT_CALLERS: usize = 20;
-/// Clients that hold an idle connection.
+/// Number of clients that hold an idle connection.
 pub const IDLE_CLIENTS: usize = 3;
 
 /// A control socket.
@@ -41,27 +40,27 @@
 pub struct ControlSocket {
     /// The process that serves it.
     pub process: ProcessId,
-    /// Where it accepts calls.
+    /// Address at which it accepts calls.
     pub address: SocketAddr,
 }
 
-/// The control socket of the relay's process that serves now.
+/// The control socket of the relay process that currently serves.
 pub type ControlEndpoint = Rc<Cell<ControlSocket>>;
 
-/// A command of an operator.
+/// An operator's command to drain or resume a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainCommand {
-    /// The relay is to take no clients.
+    /// The relay stops accepting clients.
     Drain,
-    /// The relay is to take clients again.
+    /// The relay accepts clients again.
     Resume,
 }
 
-/// Probes a relay with `PING` for good, and sets whether its clients are to open no connections.
+/// Probes a relay with `PING` indefinitely, and sets `is_out_of_rotation` while its clients must not open connections.
 pub async fn probe_readiness<R: Runtime>(
     context: PeerContext<R>,
     relay: SocketAddr,
-    is_closed: Rc<Cell<bool>>,
+    is_out_of_rotation: Rc<Cell<bool>>,
 ) {
     let mut not_ready_since: Option<Duration> = None;
     loop {
@@ -70,22 +69,23 @@
             connection.stream.write_all(&frame(&[b"PING"])).await?;
             connection.line().await
         };
-        // One that does not reply may have died, which the load balancer detects only much later.
+        // No reply changes nothing: the relay may have died, which the load balancer detects only much later.
         if let Ok(Ok(Some(reply))) = context.runtime.timeout(PROBE_TIMEOUT, probe).await {
             let is_ready = reply == "+PONG";
             context.observe(&Observation::ReadinessProbed(is_ready));
-            not_ready_since = (!is_ready).then(|| not_ready_since.unwrap_or(context.at()));
+            not_ready_since = (!is_ready).then(|| not_ready_since.unwrap_or(context.elapsed()));
         }
-        is_closed.set(not_ready_since.is_some_and(|since| context.at() >= since + CLOSE_DELAY));
+        is_out_of_rotation
+            .set(not_ready_since.is_some_and(|since| context.elapsed() >= since + CLOSE_DELAY));
         context.runtime.sleep(PROBE_INTERVAL).await;
     }
 }
 
-/// Holds a client's connection for as long as the relay lets it, and uses it once.
+/// Holds a client connection until the relay closes it, after one `PING`; then opens a new one.
 pub async fn keep_idle_connection<R: Runtime>(
     context: PeerContext<R>,
     relay: SocketAddr,
-    is_closed: Rc<Cell<bool>>,
+    is_out_of_rotation: Rc<Cell<bool>>,
 ) {
     loop {
         let connection = async {
@@ -94,15 +94,15 @@
             while connection.line().await?.is_some() {}
             io::Result::Ok(())
         };
-        if !is_closed.get() {
-            // It is opened again, whether it was closed or not accepted.
+        if !is_out_of_rotation.get() {
+            // The connection is opened again whether it was closed or could not be established.
             drop(connection.await);
         }
         context.runtime.sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// One call to a control socket: the whole response, none if the process ended it.
+/// Calls a control socket once and returns the whole response, which is empty if the process closed the connection.
 async fn call<R: Runtime>(
     context: &PeerContext<R>,
     control: SocketAddr,
@@ -121,11 +121,11 @@
     Ok(text)
 }
 
-/// Requests metrics for good.
+/// Requests and reports metrics indefinitely.
 pub async fn poll_metrics<R: Runtime>(context: PeerContext<R>, control: ControlEndpoint) {
     loop {
         let ControlSocket { process, address } = control.get();
-        let requested_at = context.at();
+        let requested_at = context.elapsed();
         let response = context
             .runtime
             .timeout(CONTROL_TIMEOUT, call(&context, address, "show-stat"))
@@ -148,7 +148,7 @@
     }
 }
 
-/// Connects to the control socket for good, and sends nothing.
+/// Holds a connection to the control socket without sending anything, and reopens it when it is closed.
 pub async fn keep_silent_connection<R: Runtime>(context: PeerContext<R>, control: ControlEndpoint) {
     loop {
         if let Ok(mut connection) = Connection::open(&context, control.get().address).await {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Drains a relay once, or resumes it: repeats the command until it works, or gives up.
+/// Drains or resumes a relay. A resume command is repeated until it succeeds or `RESUME_TIMEOUT` has passed.
 pub async fn set_draining<R: Runtime>(
     context: PeerContext<R>,
     control: ControlEndpoint,
@@ -168,7 +168,7 @@
         DrainCommand::Drain => ("drain", Duration::ZERO),
         DrainCommand::Resume => ("resume", RESUME_TIMEOUT),
     };
-    let until = context.at() + timeout;
+    let until = context.elapsed() + timeout;
     loop {
         if command == DrainCommand::Resume {
             context.observe(&Observation::ResumeRequested);
@@ -179,14 +179,14 @@
             .timeout(CONTROL_TIMEOUT, call(&context, address, text))
             .await;
         if matches!(&response, Ok(Ok(text)) if text.starts_with("ok")) {
-            // One that was killed with its response on its way has not handed the drain to the next one.
+            // If the process was killed while its drain response was in flight, the next process is not draining.
             if command == DrainCommand::Resume || control.get().process == process {
                 let is_draining = command == DrainCommand::Drain;
                 context.observe(&Observation::DrainingConfirmed(is_draining));
             }
             return;
         }
-        if context.at() >= until {
+        if context.elapsed() >= until {
             return;
         }
         context.runtime.sleep(COMMAND_INTERVAL).await;
--- a/crates/simulator/src/peers/discovery.rs
+++ b/crates/simulator/src/peers/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: each relay's agent with its list of hosts, its polls and watches, and the endpoint for notices.
+//! Discovery: an agent that serves the host list to polls and watches, and the platform's endpoint for notices.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,22 +13,22 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::Notify;
 
-use super::{read_request, until_closed, PeerContext};
+use super::{discard_until_closed, read_request, PeerContext};
 use crate::history::Observation;
 
-/// A watch without changes gets an empty line after this.
+/// Time after which a watch without changes receives an empty line.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// A poll that would wait longer is rejected.
+/// Maximum wait of a poll for its response; a poll that would wait longer is rejected.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(2);
-/// Discovery that moves away ends its open connections after this.
+/// Time after which a discovery server that has been stopped closes its open connections.
 const CLOSE_DELAY: Duration = Duration::from_millis(1500);
 
-/// An entry of the list.
+/// An entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HostEntry {
     /// The host's id.
     pub host: String,
-    /// Where it takes connections.
+    /// Address at which it accepts connections.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -36,12 +36,12 @@
     pub destination: u16,
     /// `up`, `draining` or `removed`.
     pub health: &'static str,
-    /// Calls a second that its route takes.
+    /// Calls per second that the host can serve.
     pub calls_per_second: u32,
 }
 
 impl HostEntry {
-    /// The entry as discovery writes it.
+    /// Returns the entry as discovery sends it.
     #[must_use]
     pub fn json(&self) -> Value {
         json!({"host": self.host, "dial": self.address, "site": self.zone, "class": "partner",
@@ -49,15 +49,15 @@
     }
 }
 
-/// A queue that the agents of all relays share: discovery responds to one poll after the other.
+/// A queue that the agents of all relays share: discovery answers one poll at a time.
 pub struct PollQueue {
-    /// What each poll takes.
+    /// Time that each poll takes.
     time_per_poll: Duration,
     busy_until: Cell<Duration>,
 }
 
 impl PollQueue {
-    /// A queue in which each poll takes this time.
+    /// Creates a queue in which each poll takes `time_per_poll`.
     #[must_use]
     pub fn new(time_per_poll: Duration) -> Rc<Self> {
         Rc::new(PollQueue {
@@ -66,7 +66,7 @@
         })
     }
 
-    /// How long a poll that comes now waits for its response; none if that would be too long.
+    /// Returns how long a poll that arrives at `at` waits for its response; none if longer than [`MAX_POLL_WAIT`].
     fn admit(&self, at: Duration) -> Option<Duration> {
         let done = self.busy_until.get().max(at) + self.time_per_poll;
         if done > at + MAX_POLL_WAIT {
@@ -77,58 +77,58 @@
     }
 }
 
-/// A change of the list.
+/// A change of the host list.
 #[derive(Clone)]
 struct Change {
     version: u64,
-    /// When it may be sent.
+    /// Time from which it may be sent.
     published_at: Duration,
     entry: HostEntry,
 }
 
-/// Discovery.
+/// A discovery agent.
 #[derive(Default)]
 pub struct Discovery {
-    /// The list as it is.
+    /// The current list, by host id.
     entries: RefCell<BTreeMap<String, HostEntry>>,
-    /// What changed, in the order of the versions.
+    /// All changes, ordered by version.
     changes: RefCell<Vec<Change>>,
     version: Cell<u64>,
-    /// Sends nothing of the list while set; connections stay open.
+    /// While set, nothing of the list is sent; connections stay open.
     pub silent: Cell<bool>,
-    /// Changes are sent later by this.
+    /// Delay with which changes are sent.
     pub publication_delay: Cell<Duration>,
-    /// The queue that it shares with the other relays' agents, if it does.
+    /// The queue shared with the other relays' agents, if any.
     pub poll_queue: RefCell<Option<Rc<PollQueue>>>,
     changed: Notify,
 }
 
 impl Discovery {
-    /// Discovery with a first list.
+    /// Creates an agent with an initial list.
     #[must_use]
-    pub fn new(lines: Vec<HostEntry>) -> Rc<Self> {
+    pub fn new(entries: Vec<HostEntry>) -> Rc<Self> {
         let discovery = Discovery::default();
         discovery.version.set(1);
         discovery
             .entries
             .borrow_mut()
-            .extend(lines.into_iter().map(|line| (line.host.clone(), line)));
+            .extend(entries.into_iter().map(|entry| (entry.host.clone(), entry)));
         Rc::new(discovery)
     }
 
-    /// Changes an entry; the version grows by `jump`. Gives the moment from which on the change is sent.
-    pub fn update(&self, at: Duration, line: HostEntry, jump: u64) -> Duration {
+    /// Changes an entry and increases the version by `jump`, at least 1. Returns the time from which the change is sent.
+    pub fn update(&self, at: Duration, entry: HostEntry, jump: u64) -> Duration {
         self.version.set(self.version.get() + jump.max(1));
-        match line.health {
-            "removed" => drop(self.entries.borrow_mut().remove(&line.host)),
+        match entry.health {
+            "removed" => drop(self.entries.borrow_mut().remove(&entry.host)),
             _ => drop(
                 self.entries
                     .borrow_mut()
-                    .insert(line.host.clone(), line.clone()),
+                    .insert(entry.host.clone(), entry.clone()),
             ),
         }
         let mut changes = self.changes.borrow_mut();
-        // In the order of their versions, whatever the lag is now.
+        // Changes are published in the order of their versions, even if the delay has been shortened.
         let earlier = changes
             .last()
             .map_or(Duration::ZERO, |change| change.published_at);
@@ -136,7 +136,7 @@
         changes.push(Change {
             version: self.version.get(),
             published_at,
-            entry: line,
+            entry,
         });
         drop(changes);
         self.changed.notify_waiters();
@@ -148,7 +148,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The full list, in discovery's form.
+    /// Returns the full list in discovery's format.
     pub fn full_snapshot(&self) -> Value {
         let hosts: Vec<Value> = self
             .entries
@@ -159,11 +159,11 @@
         json!({"seq": self.version.get(), "whole": true, "hosts": hosts})
     }
 
-    /// Serves at an address until `end` is set; it then accepts no new connection and closes the open ones.
+    /// Serves at an address until `end` is set; then accepts no new connections and closes the open ones.
     ///
     /// # Errors
     ///
-    /// The listener's error if the address cannot be bound.
+    /// Returns the listener's error if the address cannot be bound.
     pub async fn serve<R: Runtime>(
         self: Rc<Self>,
         context: PeerContext<R>,
@@ -178,12 +178,12 @@
                 _ = ends.wait_for(|end| *end) => return Ok(()),
                 stream = listener.accept() => stream?,
             };
-            let (own, place, mut end) = (self.clone(), context.clone(), end.clone());
+            let (discovery, peer_context, mut end) = (self.clone(), context.clone(), end.clone());
             context.runtime.spawn(async move {
                 tokio::select! {
                     biased;
-                    _ = end.wait_for(|end| *end) => place.runtime.sleep(CLOSE_DELAY).await,
-                    _ = own.connection(&place, stream) => {}
+                    _ = end.wait_for(|end| *end) => peer_context.runtime.sleep(CLOSE_DELAY).await,
+                    _ = discovery.connection(&peer_context, stream) => {}
                 }
             });
         }
@@ -198,8 +198,8 @@
         let mut text = BytesMut::new();
         while let Some(request) = read_request(context, &mut stream, &mut text).await? {
             if request.line == "POST /v1/notices" {
-                let good = self.receive_notices(context, &request.body);
-                let line = if good {
+                let is_valid = self.receive_notices(context, &request.body);
+                let line = if is_valid {
                     "204 No Content"
                 } else {
                     "400 Bad Request"
@@ -211,14 +211,14 @@
             }
             if self.silent.get() {
                 context.observe(&Observation::DiscoveryPollPending(true));
-                until_closed(&mut stream).await;
+                discard_until_closed(&mut stream).await;
                 context.observe(&Observation::DiscoveryPollPending(false));
                 return Ok(());
             }
             context.observe(&Observation::DiscoveryPolled);
             let queue = self.poll_queue.borrow().clone();
             if let Some(queue) = queue {
-                let Some(wait) = queue.admit(context.at()) else {
+                let Some(wait) = queue.admit(context.elapsed()) else {
                     let text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                     stream.write_all(text.as_bytes()).await?;
                     continue;
@@ -260,10 +260,10 @@
         true
     }
 
-    fn report_sent<R: Runtime>(&self, context: &PeerContext<R>, line: &HostEntry) {
+    fn report_sent<R: Runtime>(&self, context: &PeerContext<R>, entry: &HostEntry) {
         context.observe(&Observation::HostStatusSent {
-            host: &line.host,
-            is_up: line.health == "up",
+            host: &entry.host,
+            is_up: entry.health == "up",
         });
     }
 
@@ -272,7 +272,7 @@
         entries
             .iter()
             .for_each(|entry| self.report_sent(context, entry));
-        // The absence of a host says that it is gone.
+        // A host that is absent from the full list is removed.
         let changes = self.changes.borrow();
         let gone = changes
             .iter()
@@ -294,15 +294,15 @@
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
-        let mut keepalive_at = context.at() + KEEPALIVE_INTERVAL;
+        let mut keepalive_at = context.elapsed() + KEEPALIVE_INTERVAL;
         loop {
             if self.silent.get() {
-                // A watch that fell silent stays so: only a new one gets more.
-                until_closed(stream).await;
+                // A watch that became silent stays silent; only a new watch receives changes again.
+                discard_until_closed(stream).await;
                 return Ok(());
             }
             let changed = self.changed.notified();
-            let now = context.at();
+            let now = context.elapsed();
             let changes = self.changes_after(since);
             let due: Vec<&Change> = changes
                 .iter()
@@ -334,12 +334,12 @@
                 biased;
                 () = changed => {}
                 () = context.runtime.sleep_until(context.instant(next)) => {}
-                () = until_closed(stream) => return Ok(()),
+                () = discard_until_closed(stream) => return Ok(()),
             }
         }
     }
 
-    /// Changes to versions after one, in order.
+    /// Returns the changes to versions after `since`, in order.
     fn changes_after(&self, since: u64) -> Vec<Change> {
         let changes = self.changes.borrow();
         let after = changes.iter().filter(|change| change.version > since);
@@ -347,7 +347,7 @@
     }
 }
 
-/// The line of a watch with changes up to a version.
+/// Returns the line that a watch receives for changes up to a version.
 fn changes_line(version: u64, changes: &[&Change]) -> String {
     let hosts: Vec<Value> = changes.iter().map(|change| change.entry.json()).collect();
     let line = json!({"seq": version, "whole": false, "hosts": hosts});
--- a/crates/simulator/src/peers/effect_log.rs
+++ b/crates/simulator/src/peers/effect_log.rs
@@ -1,4 +1,4 @@
-//! What took effect at the partners, which only the simulation knows, and the status pages that say so.
+//! The effects of messages at the partners, which only the simulation knows, and the status pages that report them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,34 +15,34 @@
 use crate::history::{Idempotency, Observation, ReceivedCall};
 use crate::rng::SimulationRng;
 
-/// Percentage of the calls without a success for a response that take effect.
+/// Percentage of calls that take effect among those without a successful response.
 const SILENT_EFFECT_PERCENT: u64 = 50;
-/// A status page that is late takes this long.
+/// Delay of a late status page.
 const LATE_RESPONSE_TIME: Duration = Duration::from_secs(3);
 
-/// An idempotency key that a destination remembers, or one of its zones.
+/// An idempotency key that a destination, or one of its zones, remembers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RememberedKey {
     destination: u16,
-    /// Empty if all zones share the memory.
+    /// Empty if all zones share the remembered keys.
     zone: String,
     key: String,
 }
 
 struct Effects {
     rng: SimulationRng,
-    /// How often each message took effect.
+    /// How many times each message took effect.
     times: BTreeMap<String, u32>,
-    /// When each key was first seen.
+    /// When each key was first seen; a key that has expired starts anew.
     keys: BTreeMap<RememberedKey, Duration>,
 }
 
-/// What took effect at all partners.
+/// The effects of messages at all partners.
 #[derive(Clone)]
 pub struct EffectLog(Rc<RefCell<Effects>>);
 
 impl EffectLog {
-    /// A log in which nothing has taken effect yet.
+    /// Creates an empty log.
     #[must_use]
     pub fn new(rng: SimulationRng) -> Self {
         EffectLog(Rc::new(RefCell::new(Effects {
@@ -52,7 +52,8 @@
         })))
     }
 
-    /// A call has come that was not rejected. One with a success for a response takes effect, another may.
+    /// Records a call that was not rejected. A call with a successful response takes effect; any other call may, with a
+    /// probability of `SILENT_EFFECT_PERCENT`. Calls with a remembered idempotency key take no effect.
     pub fn record_call<R: Runtime>(
         &self,
         context: &PeerContext<R>,
@@ -67,7 +68,7 @@
         if !is_success && !effects.rng.percent(SILENT_EFFECT_PERCENT) {
             return;
         }
-        if effects.is_repeated(call, idempotency, context.at()) {
+        if effects.is_repeated(call, idempotency, context.elapsed()) {
             return;
         }
         let times = effects.times.entry(id.clone()).or_default();
@@ -84,11 +85,11 @@
         self.0.borrow().times.contains_key(id)
     }
 
-    /// Serves status queries at an address for good: at times late, or with a page that says nothing.
+    /// Serves status queries at an address indefinitely. Some responses are late, and some give no usable status.
     ///
     /// # Errors
     ///
-    /// The listener's error if the address cannot be bound.
+    /// Returns the listener's error if the address cannot be bound.
     pub async fn serve<R: Runtime>(
         self,
         context: PeerContext<R>,
@@ -108,7 +109,7 @@
                 if kind == 0 {
                     own.runtime.sleep(LATE_RESPONSE_TIME).await;
                 }
-                // What is true at the moment of the response.
+                // The status at the time of the response, not of the query.
                 let status = if log.has_effect(&id) {
                     "done"
                 } else {
@@ -124,7 +125,7 @@
                     "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}",
                     body.len()
                 );
-                // Who does not read it queries again.
+                // A relay that does not receive the response queries again.
                 let _ = stream.write_all(text.as_bytes()).await;
                 own.runtime.sleep(LATE_RESPONSE_TIME).await;
             });
@@ -133,7 +134,7 @@
 }
 
 impl Effects {
-    /// Whether the call's idempotency key is remembered; if not, it is from now on.
+    /// Whether the call's idempotency key is remembered; if not, remembers it.
     fn is_repeated(
         &mut self,
         call: &ReceivedCall,
--- a/crates/simulator/src/peers/host_behavior.rs
+++ b/crates/simulator/src/peers/host_behavior.rs
@@ -1,41 +1,42 @@
-//! How a host treats its calls.
+//! The configurable behaviour of a host.
 
 use std::time::Duration;
 
-/// Percentage of failing calls from which a host counts as down.
+/// Percentage of failing calls at or above which a host counts as unavailable.
 const OUTAGE_ERROR_PERCENT: u64 = 50;
 
-/// How a host treats its calls at present.
+/// How a host currently responds to calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostBehavior {
-    /// Least time that it takes to respond, in milliseconds.
+    /// Minimum response time in milliseconds.
     pub min_response_ms: u64,
-    /// Most time that it takes to respond, in milliseconds.
+    /// Maximum response time in milliseconds.
     pub max_response_ms: u64,
     /// Percentage of the calls that end in a server error.
     pub error_percent: u64,
     /// Percentage of the responses that are corrupted.
     pub corruption_percent: u64,
-    /// How it rejects all calls, if it does.
+    /// How it rejects all calls; none if it does not.
     pub rejection: Option<Rejection>,
-    /// It reads calls and never responds.
+    /// Whether it reads calls without ever responding.
     pub hangs: bool,
-    /// It closes each connection that a call comes on.
+    /// Whether it closes each connection on which a call arrives, without a response.
     pub drops_calls: bool,
-    /// It sends its responses a byte at a time.
+    /// Whether it sends successful responses one byte at a time.
     pub responds_bytewise: bool,
-    /// It closes connections soon after a response, or just when the next call comes.
+    /// Whether it closes some connections shortly after a response, possibly just as the next call arrives.
     pub closes_after_response: bool,
-    /// Calls that it takes a second; the others are rejected with a wait.
+    /// Maximum calls per second; further calls are rejected with a wait.
     pub max_calls_per_second: Option<f64>,
-    /// Rejected calls use the limit up too, half of them without a wait, and responses report what remains of it.
+    /// Whether rejected calls also count against the limit. Then half of the rejections state no wait, and responses
+    /// report the remaining share of the limit.
     pub rejections_use_limit: bool,
-    /// Connections that it holds at most.
+    /// Maximum number of open connections; calls on further connections are rejected.
     pub max_connections: Option<usize>,
 }
 
 impl HostBehavior {
-    /// Whether the host serves no call, or fails most.
+    /// Whether the host serves no calls, or fails at least half of them.
     #[must_use]
     pub fn is_unavailable(&self) -> bool {
         let fails_most = self.error_percent >= OUTAGE_ERROR_PERCENT;
@@ -46,9 +47,9 @@
 /// How a host rejects all calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rejection {
-    /// Without saying for how long.
+    /// Without a wait in the response.
     WithoutWait,
-    /// With the wait until this moment.
+    /// With the wait until this time, measured since the start of the simulation.
     Until(Duration),
 }
 
--- a/crates/simulator/src/peers/hosts.rs
+++ b/crates/simulator/src/peers/hosts.rs
@@ -1,4 +1,4 @@
-//! Partners' hosts: they take calls and respond to them by their [behaviour](HostBehavior).
+//! Partners' hosts, which receive calls and respond to them according to their [behaviour](HostBehavior).
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,66 +13,66 @@
 
 use super::effect_log::EffectLog;
 use super::host_behavior::{HostBehavior, Rejection};
-use super::{read_request, until_closed, Numbered, PeerContext, Request};
+use super::{discard_until_closed, read_request, Numbered, PeerContext, Request};
 use crate::history::{CallId, CallOutcome, HostIdentity, Observation, ReceivedCall};
 use crate::rng::SimulationRng;
 
-/// A host's report on what remains of its limit is as old as this at most.
+/// Age at which a host's measurement of its remaining limit is renewed.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(300);
-/// A host's limit holds over this time ...
+/// Window over which a host's limit applies.
 const LIMIT_WINDOW: Duration = Duration::from_secs(1);
-/// ... and the wait that it asks for is longer by this.
+/// Time that a host adds to the wait that it requests.
 const WAIT_MARGIN: Duration = Duration::from_millis(50);
-/// A host that responds bytewise waits this long before each byte.
+/// Delay before each byte of a host that responds bytewise.
 const BYTE_INTERVAL: Duration = Duration::from_millis(40);
-/// The relay reads a response within this.
+/// Time within which the relay reads a response.
 const READ_TIME: Duration = Duration::from_millis(20);
 
-/// What a host reports of its limit.
+/// A host's measurement of its remaining limit.
 #[derive(Clone, Copy)]
 struct LoadReport {
     /// When it was measured.
     at: Duration,
-    /// What remains, 0 to 1.
+    /// Remaining share of the limit, 0 to 1.
     remaining: f64,
 }
 
-/// Whether a connection can be used after a response.
+/// What happens to a connection after a response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AfterResponse {
     KeepOpen,
     Close,
 }
 
-/// A host.
+/// A host of a partner.
 pub struct Host {
     /// Its id.
     pub name: RefCell<String>,
     /// Its destination.
-    pub block: u16,
+    pub destination: u16,
     /// Its zone.
     pub zone: String,
-    /// Where it takes connections.
+    /// Address at which it accepts connections.
     pub address: SocketAddr,
-    /// How it treats calls.
+    /// Its current behaviour, which faults change.
     pub behavior: RefCell<HostBehavior>,
-    /// Calls a second that it could take, as its responses report.
+    /// Calls per second that it can serve, as its responses report.
     pub capacity: f64,
     rng: RefCell<SimulationRng>,
-    /// When calls came that count against its limit, in order.
+    /// Arrival times of the calls that count against its limit, in order.
     recent_calls: RefCell<VecDeque<Duration>>,
     open_connections: Cell<usize>,
     load_report: Cell<LoadReport>,
-    /// Where it records what took effect, in scenarios that need it.
+    /// Log of the calls that took effect; set in scenarios that need it.
     pub effect_log: RefCell<Option<EffectLog>>,
 }
 
 impl Host {
-    /// A host with the default behaviour.
+    /// Creates a host with the default behaviour.
     #[must_use]
     pub fn new(
         name: &str,
-        block: u16,
+        destination: u16,
         zone: &str,
         address: SocketAddr,
         capacity: f64,
@@ -80,7 +80,7 @@
     ) -> Rc<Self> {
         Rc::new(Host {
             name: RefCell::new(name.into()),
-            block,
+            destination,
             zone: zone.into(),
             address,
             behavior: RefCell::default(),
@@ -96,11 +96,11 @@
         })
     }
 
-    /// Takes connections for good.
+    /// Accepts and serves connections indefinitely.
     ///
     /// # Errors
     ///
-    /// The listener's error if the address cannot be bound.
+    /// Returns the listener's error if the address cannot be bound.
     pub async fn serve<R: Runtime>(self: Rc<Self>, context: PeerContext<R>) -> io::Result<()>
     where
         R::Stream: Numbered,
@@ -108,14 +108,14 @@
         let listener = context.runtime.listen(self.address).await?;
         loop {
             let stream = listener.accept().await?;
-            let (host, own) = (self.clone(), context.clone());
+            let (host, peer_context) = (self.clone(), context.clone());
             context.runtime.spawn(async move {
                 host.open_connections.set(host.open_connections.get() + 1);
-                own.observe(&Observation::HostConnectionAccepted(
+                peer_context.observe(&Observation::HostConnectionAccepted(
                     host.open_connections.get(),
                 ));
-                // A connection that breaks is the relay's to make good.
-                let _ = host.connection(&own, stream).await;
+                // Errors are ignored: the relay has to handle a broken connection.
+                let _ = host.connection(&peer_context, stream).await;
                 host.open_connections.set(host.open_connections.get() - 1);
             });
         }
@@ -138,7 +138,7 @@
             let id = context
                 .checker
                 .borrow_mut()
-                .observe_call(context.at(), &call, &|conn| {
+                .observe_call(context.elapsed(), &call, &|conn| {
                     (context.is_connection_open)(conn)
                 });
             let Some(id) = id else {
@@ -187,14 +187,14 @@
         let id = text("x-trace-id").unwrap_or_default();
         let host = HostIdentity {
             name: self.name.borrow().clone(),
-            destination: self.block,
+            destination: self.destination,
             zone: self.zone.clone(),
         };
         (context.trace)(format_args!("{} gets {id}", host.name));
         ReceivedCall {
             connection,
             host,
-            first_byte_at: request.begun,
+            first_byte_at: request.first_byte_at,
             request_line: request.line.clone(),
             message_id: id,
             idempotency_key: text("idempotency-key"),
@@ -207,7 +207,7 @@
         draw(&mut self.rng.borrow_mut())
     }
 
-    /// How long a call has to wait, if the host is at its limit.
+    /// Counts a call against the limit. Returns the wait to request if the host is at its limit.
     fn wait_at_limit(
         &self,
         max_calls: f64,
@@ -235,7 +235,8 @@
         wait
     }
 
-    /// The load report of a response: what remains of the limit is measured anew every 0.3 s.
+    /// Returns the load report header of a response. The remaining share of the limit is measured again once the
+    /// measurement is `MAX_REPORT_AGE` old; the response that triggers this still reports the old value.
     fn load_report(&self, at: Duration) -> String {
         let behavior = self.behavior.borrow();
         let limit = behavior.max_calls_per_second;
@@ -258,7 +259,7 @@
         )
     }
 
-    /// A call that was not rejected takes effect, or may.
+    /// Records a call that was not rejected in the effect log, if there is one.
     fn record_effect<R: Runtime>(
         &self,
         context: &PeerContext<R>,
@@ -270,7 +271,6 @@
         }
     }
 
-    /// Responds to a call.
     async fn respond<R: Runtime>(
         &self,
         context: &PeerContext<R>,
@@ -284,10 +284,10 @@
         let behavior = self.behavior.borrow().clone();
         if behavior.hangs {
             self.record_effect(context, call, false);
-            until_closed(stream).await;
+            discard_until_closed(stream).await;
             return Ok(AfterResponse::Close);
         }
-        if let Some(wait) = self.rejection_wait(context.at(), &behavior) {
+        if let Some(wait) = self.rejection_wait(context.elapsed(), &behavior) {
             self.reject(context, stream, id, wait, &behavior).await?;
             return Ok(AfterResponse::KeepOpen);
         }
@@ -301,11 +301,11 @@
         if !is_corrupted {
             self.record_effect(context, call, !is_error);
         }
-        // A relay that gives the call up closes its connection meanwhile.
+        // A relay that abandons the call closes its connection during the wait.
         tokio::select! {
             biased;
             () = context.runtime.sleep(Duration::from_millis(response_ms)) => {}
-            () = until_closed(stream) => return Ok(AfterResponse::Close),
+            () = discard_until_closed(stream) => return Ok(AfterResponse::Close),
         }
         if is_corrupted {
             return self.respond_corrupted(context, stream, id, call).await;
@@ -319,7 +319,7 @@
         self.respond_delivered(context, stream, id, &behavior).await
     }
 
-    /// The wait to ask for if a call is rejected now; zero for none.
+    /// Returns the wait to request if the call is rejected, zero for no wait; none if it is not rejected.
     fn rejection_wait(&self, at: Duration, behavior: &HostBehavior) -> Option<Duration> {
         match behavior.rejection {
             Some(Rejection::WithoutWait) => Some(Duration::ZERO),
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Rejects a call.
+    /// Rejects a call with 429 and the wait, or with 503 if the wait is zero or withheld.
     async fn reject<R: Runtime>(
         &self,
         context: &PeerContext<R>,
@@ -351,7 +351,7 @@
             "HTTP/1.1 503 Service Unavailable\r\n".into()
         };
         let report = if behavior.rejections_use_limit {
-            self.load_report(context.at())
+            self.load_report(context.elapsed())
         } else {
             String::new()
         };
@@ -362,7 +362,7 @@
         self.write(context, stream, id, outcome, &text).await
     }
 
-    /// Responds that a message is delivered.
+    /// Responds with status 200.
     async fn respond_delivered<R: Runtime>(
         &self,
         context: &PeerContext<R>,
@@ -373,7 +373,7 @@
     where
         R::Stream: Numbered,
     {
-        let report = self.load_report(context.at());
+        let report = self.load_report(context.elapsed());
         let text = format!("HTTP/1.1 200 OK\r\n{report}Content-Length: 2\r\n\r\nok");
         if behavior.responds_bytewise {
             let status_line_length = text.find('\n').unwrap_or(0) + 1;
@@ -393,14 +393,14 @@
             .await?;
         if behavior.closes_after_response && self.draw(|rng| rng.percent(60)) {
             let delay_ms = self.draw(|rng| rng.below(250));
-            // The close may cross the next call, which is then never read.
+            // The close may coincide with the next call, which is then never read.
             context.runtime.sleep(Duration::from_millis(delay_ms)).await;
             return Ok(AfterResponse::Close);
         }
         Ok(AfterResponse::KeepOpen)
     }
 
-    /// Writes a response, and reports it.
+    /// Writes a response and reports it.
     async fn write<R: Runtime>(
         &self,
         context: &PeerContext<R>,
@@ -418,7 +418,8 @@
         Ok(())
     }
 
-    /// Reports a response as read once the relay surely has read it: it still holds the connection then.
+    /// Reports a response as read after [`READ_TIME`], if the relay still holds the connection then and so has certainly
+    /// read it.
     fn report_read<R: Runtime>(&self, context: &PeerContext<R>, connection: u64, id: &CallId) {
         let (context, id) = (context.clone(), id.clone());
         context.clone().runtime.spawn(async move {
@@ -429,7 +430,7 @@
         });
     }
 
-    /// A corrupted response. What its status line says is still true.
+    /// Sends a corrupted response. Its status line, if valid, is still correct.
     async fn respond_corrupted<R: Runtime>(
         &self,
         context: &PeerContext<R>,
@@ -470,7 +471,7 @@
             self.report_read(context, stream.number(), id);
             return Ok(AfterResponse::KeepOpen);
         }
-        until_closed(stream).await;
+        discard_until_closed(stream).await;
         Ok(AfterResponse::Close)
     }
 }
--- a/crates/simulator/src/peers/mod.rs
+++ b/crates/simulator/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The peers of a relay: clients, hosts, discovery, administrators, operators. The same code runs them on a virtual
-//! machine and, for the demo, on loopback sockets; they report what passes to the checker.
+//! The peers of a relay: clients, hosts, discovery, administrators, operators. The same code runs on the virtual machine
+//! and, for the demo, on loopback sockets. The peers report their observations to the checker.
 
 mod admin_api;
 pub mod admins;
@@ -25,9 +25,9 @@
 use crate::history::Observation;
 use crate::machine::SimulatedStream;
 
-/// A connection whose number no other has.
+/// A connection that has a unique number.
 pub trait Numbered {
-    /// The number.
+    /// Returns the connection's number.
     fn number(&self) -> u64;
 }
 
@@ -40,58 +40,58 @@
 impl Numbered for OsStream {
     fn number(&self) -> u64 {
         match self {
-            // The port of the side that made it; ports come again only much later.
+            // The port of the side that opened it; a port is reused only much later.
             OsStream::Tcp(stream) => stream.peer_addr().map_or(0, |peer| u64::from(peer.port())),
             OsStream::Unix(_) => 0,
         }
     }
 }
 
-/// What all peers share.
+/// The context that all peers share.
 #[derive(Clone)]
 pub struct PeerContext<R> {
     /// The runtime that they run on.
     pub runtime: R,
-    /// The moment from which all spans count.
+    /// The instant from which all reported times are measured.
     pub start: Instant,
-    /// Number of the relay that the peer talks to, where it is only one.
+    /// Number of the relay to which the peer is connected, for peers of a single relay.
     pub relay: usize,
-    /// Where observations are reported.
+    /// Receives the peers' observations.
     pub checker: Rc<RefCell<Checker>>,
-    /// Whether the relay still holds a connection of a number, which it made.
+    /// Returns whether the relay still holds a connection that it opened, by the connection's number.
     pub is_connection_open: Rc<dyn Fn(u64) -> bool>,
-    /// Whether it does, and what is sent to the relay on it arrives.
+    /// Returns whether the relay still holds a connection that it opened and receives everything sent on it.
     pub is_connection_readable: Rc<dyn Fn(u64) -> bool>,
-    /// Called with what the trace of a run is to show.
+    /// Called with each line for the trace of the run.
     pub trace: Rc<dyn Fn(std::fmt::Arguments<'_>)>,
 }
 
 impl<R: Runtime> PeerContext<R> {
-    /// Time since the start.
-    pub fn at(&self) -> Duration {
+    /// Returns the time since the start.
+    pub fn elapsed(&self) -> Duration {
         self.runtime.now() - self.start
     }
 
-    /// Reports what passes to the checker.
+    /// Reports an observation to the checker.
     pub fn observe(&self, observation: &Observation<'_>) {
         self.checker
             .borrow_mut()
-            .observe(self.at(), self.relay, observation);
+            .observe(self.elapsed(), self.relay, observation);
     }
 
-    /// The moment of a span since the start.
+    /// Converts a time since the start to an instant of the runtime's clock.
     pub fn instant(&self, at: Duration) -> Instant {
         self.start + at
     }
 }
 
-/// An HTTP request as it came.
+/// An HTTP request that a peer received.
 pub(crate) struct Request {
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// When its first byte came.
-    pub begun: Duration,
+    /// When its first byte was received.
+    pub first_byte_at: Duration,
 }
 
 impl Request {
@@ -104,19 +104,19 @@
     }
 }
 
-/// Bytes of a request, head and body, that a peer reads at most.
+/// Maximum size of a request, head and body, in bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 20;
 
-/// Reads one request; none at the connection's end.
+/// Reads one request; none at the end of the connection.
 pub(crate) async fn read_request<R: Runtime>(
     context: &PeerContext<R>,
     stream: &mut R::Stream,
     text: &mut BytesMut,
 ) -> io::Result<Option<Request>> {
-    let mut begun = None;
+    let mut first_byte_at = None;
     loop {
         if !text.is_empty() {
-            let begun = *begun.get_or_insert_with(|| context.at());
+            let first_byte_at = *first_byte_at.get_or_insert_with(|| context.elapsed());
             let mut headers = [httparse::EMPTY_HEADER; 32];
             let mut parsed = httparse::Request::new(&mut headers);
             let status = parsed.parse(text).map_err(io::Error::other)?;
@@ -137,7 +137,7 @@
                     line,
                     headers,
                     body: Vec::new(),
-                    begun,
+                    first_byte_at,
                 };
                 let length: usize = request
                     .header("content-length")
@@ -150,7 +150,7 @@
                 }
             }
             if text.len() > MAX_REQUEST_BYTES {
-                return Err(io::Error::other("a request is too long"));
+                return Err(io::Error::other("request exceeds 1 MiB"));
             }
         }
         if stream.read_buf(text).await? == 0 {
@@ -159,10 +159,10 @@
     }
 }
 
-/// Reads and drops what comes until the connection ends.
-pub(crate) async fn until_closed(stream: &mut impl Stream) {
-    let mut waste = BytesMut::with_capacity(4096);
-    while matches!(stream.read_buf(&mut waste).await, Ok(1..)) {
-        waste.clear();
+/// Reads and discards input until the connection ends.
+pub(crate) async fn discard_until_closed(stream: &mut impl Stream) {
+    let mut discarded = BytesMut::with_capacity(4096);
+    while matches!(stream.read_buf(&mut discarded).await, Ok(1..)) {
+        discarded.clear();
     }
 }
--- a/crates/simulator/src/peers/operators.rs
+++ b/crates/simulator/src/peers/operators.rs
@@ -1,5 +1,5 @@
-//! Operators of undeliverable messages: two who know nothing of each other read the records, query partners, attest,
-//! claim and resend, one by one and in batches.
+//! Operators of undeliverable messages. Two of them, working independently, read the records, query partners, attest,
+//! claim and resend, individually and in batches.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,44 +16,44 @@
 use crate::kept;
 use crate::rng::SimulationRng;
 
-/// Records that an operator reads in one request.
+/// Number of records that an operator reads in one request.
 const PAGE_SIZE: usize = 20;
-/// A request without a response is sent again after this.
+/// Delay after which a request without a response is sent again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// A change is requested this often at most.
+/// Maximum number of attempts to request a change.
 const MAX_ATTEMPTS: u32 = 5;
-/// The response of a relay that could not save a change, which may be requested again.
+/// Status of a relay that could not save a change; the change may be requested again.
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 /// An operator.
 pub struct Operator<R> {
-    /// What all peers share.
+    /// The context that all peers share.
     pub context: PeerContext<R>,
-    /// Which of the operators.
+    /// Index of the operator.
     pub number: usize,
-    /// What took effect, which operators find out by other means than the relay.
+    /// The effects at the partners, which operators learn independently of the relay.
     pub effect_log: EffectLog,
-    /// Draws what the operator does.
+    /// Random numbers for the operator's actions.
     pub rng: SimulationRng,
-    /// The operator works until then; the first of them then reads all records.
+    /// When the operator stops working. The first operator then reads all records.
     pub until: Duration,
-    /// How the operator deceives the relay or the checker.
+    /// Misbehaviour towards the relay or the checker, if any.
     pub misbehavior: Option<MisbehavingAdmin>,
-    /// Called just before a change is sent, so that a fault may strike within it.
+    /// Called just before a change is sent, so that a fault can be injected during it.
     pub before_change: Rc<dyn Fn()>,
-    /// Set once all records were read.
+    /// Set when all records have been read.
     pub all_read: Rc<Cell<bool>>,
 }
 
 impl<R: Runtime> Operator<R> {
-    /// Works until the time is over, and then reads all records.
+    /// Works until `until`; the first operator then reads all records.
     pub async fn run(mut self) {
         let pause_ms = self.rng.between(1_000, 3_000);
         self.context
             .runtime
             .sleep(Duration::from_millis(pause_ms))
             .await;
-        while self.context.at() < self.until {
+        while self.context.elapsed() < self.until {
             self.work().await;
             let pause_ms = self.rng.between(100, 900);
             self.context
@@ -90,7 +90,7 @@
         Some((response.status, response.body))
     }
 
-    /// Requests a change, again where no response came.
+    /// Requests a change, and repeats the request if there is no response or status 503.
     async fn change(&self, path: &str, headers: &str, body: Option<String>) {
         (self.before_change)();
         for _ in 0..MAX_ATTEMPTS {
@@ -149,17 +149,17 @@
                 let has_effect = self
                     .effect_log
                     .has_effect(record["message"].as_str().unwrap_or(""));
-                let says =
+                let statement =
                     if has_effect && self.misbehavior != Some(MisbehavingAdmin::AttestsFalsely) {
                         "applied"
                     } else {
                         "not-applied"
                     };
-                // What is attested was found out of the record as it was read.
+                // The attestation applies to the record as it was read, so it is conditional on that version.
                 self.change(
                     &path("attest"),
                     &read_version,
-                    Some(format!("{{\"says\":\"{says}\"}}")),
+                    Some(format!("{{\"says\":\"{statement}\"}}")),
                 )
                 .await;
             }
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Reads every record and reports it. None if not all could be read.
+    /// Reads and reports every record. None if not all records could be read.
     async fn read_all(&mut self) -> Option<()> {
         let (mut all, mut cursor) = (Vec::new(), String::new());
         loop {
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -25,7 +25,7 @@
 use crate::outages::OngoingOutages;
 use crate::peers::admins::{Admin, MisbehavingAdmin};
 use crate::peers::clients::Client;
-use crate::peers::connection::{until_ready, until_takes_clients};
+use crate::peers::connection::{wait_until_accepting_clients, wait_until_ready};
 use crate::peers::control_clients::{self, ControlEndpoint, ControlSocket, DrainCommand};
 use crate::peers::discovery::{Discovery, HostEntry, PollQueue};
 use crate::peers::effect_log::EffectLog;
@@ -319,7 +319,9 @@
                 login,
             );
             let shut = self.seats[number % relays.len()].shut.clone();
-            self.context.runtime.spawn(client.behind(shut).run());
+            self.context
+                .runtime
+                .spawn(client.behind_load_balancer(shut).run());
         }
         self.staff();
         self.administrate();
@@ -590,7 +592,7 @@
         let context = self.of(relay);
         context.observe(&Observation::ProcessStarted(process));
         self.context.runtime.spawn(async move {
-            until_ready(&context, relay_address(relay)).await;
+            wait_until_ready(&context, relay_address(relay)).await;
             context.observe(&Observation::ProcessReady);
         });
     }
@@ -758,7 +760,9 @@
     }
 
     fn of_block(&self, block: u16) -> impl Iterator<Item = &Rc<Host>> {
-        self.hosts.iter().filter(move |host| host.block == block)
+        self.hosts
+            .iter()
+            .filter(move |host| host.destination == block)
     }
 }
 
@@ -785,7 +789,7 @@
 
     fn slow(&self, block: u16, by: u64) {
         for (plan, host) in self.script.hosts.iter().zip(&self.hosts) {
-            if host.block == block {
+            if host.destination == block {
                 let mut behavior = host.behavior.borrow_mut();
                 behavior.min_response_ms = plan.takes.0 + by;
                 behavior.max_response_ms = plan.takes.1 + by;
@@ -915,8 +919,8 @@
         let context = self.of(relay);
         context.observe(&Observation::UpgradeStarted([old, new]));
         self.context.runtime.spawn(async move {
-            until_takes_clients(&context, door_address(new)).await;
-            yes.set(Some(context.at()));
+            wait_until_accepting_clients(&context, door_address(new)).await;
+            yes.set(Some(context.elapsed()));
         });
     }
 
@@ -982,7 +986,7 @@
         host: host.name.borrow().clone(),
         address: host.address,
         zone: host.zone.clone(),
-        destination: host.block,
+        destination: host.destination,
         health,
         calls_per_second: capacity as u32,
     }
