--- a/crates/adapter/src/batch_stream.rs
+++ b/crates/adapter/src/batch_stream.rs
@@ -1,4 +1,4 @@
-//! The stream of batches that the adapter reads, and of replies that it writes.
+//! Reads a stream of batches and writes a stream of replies.
 
 use std::io::{self, Read, Write};
 
@@ -6,7 +6,7 @@
 
 use crate::protocol::{parse_batch_header, Adapter, ProtocolError, BATCH_HEADER_BYTES};
 
-/// Why the adapter stopped before the end of its input.
+/// An error that stops the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub enum BatchStreamError {
     /// The input cannot be read.
@@ -26,15 +26,15 @@
     TruncatedPayload {
         /// Bytes of the payload that were read.
         received: usize,
-        /// Length of the payload by its header.
+        /// Length of the payload according to the header.
         length: usize,
     },
-    /// A batch is not valid.
+    /// The payload of a batch is not valid.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
 }
 
-/// Answers each batch of the input with one reply, until the input ends.
+/// Writes one reply for each batch of the input, until the input ends.
 ///
 /// # Errors
 ///
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// Reads the header of the next batch; none at the end of the input.
+/// Reads the header of the next batch; `None` at the end of the input.
 fn read_header(
     input: &mut impl Read,
 ) -> Result<Option<[u8; BATCH_HEADER_BYTES]>, BatchStreamError> {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Reads a payload into a buffer, in place of what it held.
+/// Reads a payload into a buffer, replacing the buffer's content.
 fn read_payload(
     input: &mut impl Read,
     length: usize,
@@ -85,7 +85,7 @@
     Ok(())
 }
 
-/// Fills the buffer as far as the input goes; gives the number of bytes that were read.
+/// Reads until the buffer is full or the input ends; returns the number of bytes read.
 fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut received = 0;
     while received < buffer.len() {
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,7 +1,7 @@
 //! Runs the delivery policy on the simulator's protocol.
 //!
-//! [`protocol`] decodes batches of events and encodes the policy's actions; [`parse_settings`] reads the platform's
-//! settings, also for the relay; [`batch_stream`] joins them with standard input and output.
+//! [`protocol`] decodes batches of events and encodes the policy's actions; [`parse_settings`] parses the
+//! platform's settings, for the relay as well; [`batch_stream`] connects the adapter to an input and an output stream.
 
 pub mod batch_stream;
 pub mod protocol;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The adapter as a program: batches on standard input, replies on standard output.
+//! The adapter program: reads batches from standard input and writes replies to standard output.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/adapter/src/protocol/decode.rs
+++ b/crates/adapter/src/protocol/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of events.
+//! Decodes the records of a batch.
 
 use policy::types::{
     AttemptEnd, AttemptOutcome, Event, HostEntry, HostState, Message, Micros, Settings,
@@ -8,17 +8,17 @@
 use super::ProtocolError;
 use crate::settings::parse_settings;
 
-/// How many host lists the simulator may store in the adapter.
+/// Maximum number of host lists that the simulator may store in the adapter.
 const MAX_HOST_LISTS: usize = 16;
-/// A message's flag: the expected work is valid.
+/// Message flag: the expected work is valid.
 const FLAG_EXPECTED_WORK_VALID: u8 = 1;
-/// A message's flag: the client has submitted it before.
+/// Message flag: the client has submitted the message before.
 const FLAG_RESUBMITTED: u8 = 2;
-/// What follows the id in a record of a response's start, and is not used.
+/// Length of the unused fields that follow the id in a record of a response's start.
 const RESPONSE_STARTED_UNUSED_BYTES: usize = 9;
 const MICROS_PER_MILLI: Micros = 1000;
 
-/// Codes at the start of each record.
+/// Event codes, the first byte of each record.
 mod event_code {
     pub(super) const START: u8 = 0;
     pub(super) const HOSTS_UPDATED: u8 = 1;
@@ -33,7 +33,7 @@
     pub(super) const HOST_LIST: u8 = 10;
 }
 
-/// Codes of how a relay learns of hosts.
+/// Codes of the kinds of host updates.
 mod host_update_code {
     pub(super) const CACHED: u8 = 0;
     pub(super) const DISCOVERY_FAILED: u8 = 1;
@@ -41,14 +41,14 @@
     pub(super) const PARTIAL: u8 = 3;
 }
 
-/// Codes of a host's state.
+/// Codes of host states.
 mod host_state_code {
     pub(super) const REMOVED: u8 = 0;
     pub(super) const READY: u8 = 1;
     pub(super) const DRAINING: u8 = 2;
 }
 
-/// Codes of how an attempt or a probe ended.
+/// Codes of the outcomes of attempts and probes.
 mod outcome_code {
     pub(super) const DELIVERED: u16 = 0;
     pub(super) const ERROR: u16 = 1;
@@ -62,9 +62,9 @@
 
 /// One record of a batch.
 pub(super) enum Record {
-    /// A host list, which the decoder keeps for later records.
+    /// A host list, which the decoder stores for later records.
     HostList,
-    /// A relay starts, in place of one with the same number.
+    /// A relay starts, and replaces one with the same number.
     Start {
         relay: u16,
         seed: u64,
@@ -72,11 +72,11 @@
     },
     /// A relay stops.
     Stop { relay: u16 },
-    /// Something happens to a relay.
+    /// An event for a relay.
     Event { relay: u16, event: Event },
 }
 
-/// Decodes records, and keeps the host lists that later ones refer to.
+/// Decodes records, and stores the host lists that later records refer to.
 #[derive(Default)]
 pub(super) struct RecordDecoder {
     host_lists: [Option<Vec<HostEntry>>; MAX_HOST_LISTS],
@@ -124,7 +124,7 @@
             return Err(ProtocolError::HostListOutOfRange { number, offset });
         }
         let count = reader.u32()?;
-        // The count is not trusted with an allocation: the entries end with the payload.
+        // Nothing is allocated by the count, which is not trusted: the payload's length limits the number of entries.
         let mut entries = Vec::new();
         for _ in 0..count {
             entries.push(decode_host_entry(reader)?);
@@ -218,7 +218,7 @@
     }))
 }
 
-/// A destination's number, which the protocol carries as a floating-point number.
+/// Converts a destination's number, which the protocol transmits as a floating-point number.
 fn parse_destination(value: f32, offset: usize) -> Result<u16, ProtocolError> {
     if value.fract() != 0.0 || !(0.0..=f32::from(u16::MAX)).contains(&value) {
         return Err(ProtocolError::InvalidDestination { value, offset });
@@ -263,8 +263,8 @@
     })
 }
 
-/// Decodes an outcome. A rejection has no Retry-After yet, which stands later in the record of an attempt, and is missing
-/// in that of a probe.
+/// Decodes an outcome, without the Retry-After of a rejection: an attempt's record has it in a later field, and a
+/// probe's record does not have it.
 fn decode_outcome(reader: &mut ByteReader<'_>) -> Result<AttemptOutcome, ProtocolError> {
     let offset = reader.offset();
     match reader.u16()? {
--- a/crates/adapter/src/protocol/encode.rs
+++ b/crates/adapter/src/protocol/encode.rs
@@ -1,14 +1,14 @@
-//! Encoding of actions.
+//! Encodes actions.
 
 use policy::types::{Action, Micros};
 
-/// Stands for all peers in the place of one peer's number.
+/// Peer number that addresses all peers.
 const ALL_PEERS: u16 = u16::MAX;
-/// The longest duration of the protocol, in microseconds: a larger number would be read as negative, that is, as
-/// expired at once.
+/// The longest duration in the protocol, in microseconds. A larger number would be read as negative, that is, as already
+/// expired.
 const MAX_DURATION: Micros = i32::MAX as Micros;
 
-/// Codes at the start of each record.
+/// Action codes, the first byte of each record.
 mod action_code {
     pub(super) const SET_TIMER: u8 = 0;
     pub(super) const ABORT: u8 = 1;
@@ -24,7 +24,8 @@
     pub(super) const CLOSE_IDLE_CONNECTIONS: u8 = 11;
 }
 
-/// Appends the record of a relay's action to `output`. Durations and texts beyond the protocol's limits are cut.
+/// Appends the record of a relay's action to `output`. Durations and contents beyond the protocol's limits are
+/// capped or truncated.
 pub fn encode_action(relay: u16, action: &Action, output: &mut Vec<u8>) {
     let mut record = RecordWriter { relay, output };
     match action {
@@ -63,7 +64,7 @@
     };
 }
 
-/// Appends one record.
+/// Appends the fields of one record.
 struct RecordWriter<'a> {
     relay: u16,
     output: &'a mut Vec<u8>,
@@ -85,7 +86,7 @@
         self.bytes((duration.min(MAX_DURATION) as u32).to_le_bytes())
     }
 
-    /// Appends a length of 2 bytes and as much of the content.
+    /// Appends the content, preceded by its length in 2 bytes. Content that is too long is truncated.
     fn content(&mut self, content: &[u8]) -> &mut Self {
         let length = content.len().min(usize::from(u16::MAX));
         self.bytes((length as u16).to_le_bytes());
--- a/crates/adapter/src/protocol/error.rs
+++ b/crates/adapter/src/protocol/error.rs
@@ -4,71 +4,71 @@
 
 use crate::settings::SettingsError;
 
-/// Why a batch is not valid. Offsets are in bytes from the start of the payload.
+/// An error in a batch. Offsets are in bytes from the start of the payload.
 #[derive(Debug, Error)]
 pub enum ProtocolError {
     /// A record is longer than the rest of the payload.
-    #[error("record wants {wanted} bytes more than the frame holds at byte {offset} of the frame")]
+    #[error("record is truncated: {wanted} bytes expected at byte {offset} of the frame")]
     TruncatedRecord {
-        /// Length in bytes of the field that is cut off.
+        /// Length in bytes of the truncated field.
         wanted: usize,
-        /// Where the field begins.
+        /// Offset of the field.
         offset: usize,
     },
-    /// There is no such event.
+    /// The event code is unknown.
     #[error("unknown event code {code} at byte {offset} of the frame")]
     UnknownEvent {
-        /// The code.
+        /// The unknown code.
         code: u8,
-        /// Where the record begins.
+        /// Offset of the record.
         offset: usize,
     },
-    /// There is no such outcome of an attempt or a probe.
+    /// The code of an attempt's or a probe's outcome is unknown.
     #[error("unknown outcome {code} at byte {offset} of the frame")]
     UnknownOutcome {
-        /// The code.
+        /// The unknown code.
         code: u16,
-        /// Where the code stands.
+        /// Offset of the code.
         offset: usize,
     },
-    /// There is no such state of a host.
+    /// The code of a host's state is unknown.
     #[error("unknown host state {code} at byte {offset} of the frame")]
     UnknownHostState {
-        /// The code.
+        /// The unknown code.
         code: u8,
-        /// Where the code stands.
+        /// Offset of the code.
         offset: usize,
     },
-    /// There is no such kind of update of the hosts.
-    #[error("unknown list kind {code} at byte {offset} of the frame")]
+    /// The code of a host update's kind is unknown.
+    #[error("unknown host update kind {code} at byte {offset} of the frame")]
     UnknownHostUpdate {
-        /// The code.
+        /// The unknown code.
         code: u8,
-        /// Where the record begins.
+        /// Offset of the record.
         offset: usize,
     },
     /// A host list has a number beyond the limit.
-    #[error("roster number {number} is out of range at byte {offset} of the frame")]
+    #[error("host list number {number} is out of range at byte {offset} of the frame")]
     HostListOutOfRange {
         /// The list's number.
         number: usize,
-        /// Where the record begins.
+        /// Offset of the record.
         offset: usize,
     },
     /// An update refers to a host list that the simulator has not sent.
-    #[error("roster {number} was never sent at byte {offset} of the frame")]
+    #[error("host list {number} was never sent at byte {offset} of the frame")]
     MissingHostList {
         /// The list's number.
         number: usize,
-        /// Where the record begins.
+        /// Offset of the record.
         offset: usize,
     },
-    /// A destination is no whole number of 16 bits.
-    #[error("{value} is no destination at byte {offset} of the frame")]
+    /// A destination is not an integer of 16 bits.
+    #[error("{value} is not a valid destination at byte {offset} of the frame")]
     InvalidDestination {
-        /// The number.
+        /// The value of the destination.
         value: f32,
-        /// Where the record begins.
+        /// Offset of the record.
         offset: usize,
     },
     /// A relay's settings are not valid.
--- a/crates/adapter/src/protocol/mod.rs
+++ b/crates/adapter/src/protocol/mod.rs
@@ -17,9 +17,9 @@
 use decode::{Record, RecordDecoder};
 use reader::ByteReader;
 
-/// Length of a batch's header: the payload's length (4 bytes), then the clock (8 bytes).
+/// Length of a batch's header in bytes: the payload's length (4), then the clock (8).
 pub const BATCH_HEADER_BYTES: usize = 12;
-/// Length of a reply's header: the count of records, then the length of the records, 4 bytes each.
+/// Length of a reply's header in bytes: the number of records (4), then their total length in bytes (4).
 const REPLY_HEADER_BYTES: usize = 8;
 
 /// The header of a batch.
@@ -31,7 +31,7 @@
     pub now: Micros,
 }
 
-/// Parses the header of a batch; any bytes are a valid one.
+/// Parses the header of a batch. Any bytes are a valid header.
 #[must_use]
 pub fn parse_batch_header(bytes: &[u8; BATCH_HEADER_BYTES]) -> BatchHeader {
     let mut reader = ByteReader::new(bytes);
@@ -45,7 +45,7 @@
 
 /// The relays of one simulator process, each with a delivery policy of its own.
 ///
-/// They share nothing but the host lists, which the simulator sends once for all of them.
+/// They share only the host lists, which the simulator sends once for all relays.
 #[derive(Default)]
 pub struct Adapter {
     relays: BTreeMap<u16, DeliveryPolicy>,
@@ -53,14 +53,14 @@
 }
 
 impl Adapter {
-    /// Handles the payload of one batch, and gives the whole reply with its header.
+    /// Handles the payload of one batch, and returns the reply including its header.
     ///
-    /// All records are decoded before the first event is handled. A relay handles its events of the batch together, and
-    /// the relays follow one another by their numbers.
+    /// All records are decoded before the first event is handled. Each relay handles all its events of the batch
+    /// together, in the order of the relays' numbers.
     ///
     /// # Errors
     ///
-    /// The first record that is not valid. Relays that were started or stopped by earlier records remain so.
+    /// The first record that is not valid. Relays that earlier records started or stopped remain started or stopped.
     pub fn handle_batch(&mut self, now: Micros, payload: &[u8]) -> Result<Vec<u8>, ProtocolError> {
         let events_by_relay = self.decode_events(payload)?;
         let mut records = Vec::new();
@@ -82,7 +82,7 @@
         Ok(reply)
     }
 
-    /// Decodes the payload, starts and stops relays, and collects the events of each.
+    /// Decodes the payload, starts and stops relays, and collects the events of each relay.
     fn decode_events(
         &mut self,
         payload: &[u8],
--- a/crates/adapter/src/protocol/reader.rs
+++ b/crates/adapter/src/protocol/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of numbers and byte strings from a payload.
+//! Reads numbers and byte strings from a payload.
 
 use super::ProtocolError;
 
@@ -9,22 +9,22 @@
 }
 
 impl<'a> ByteReader<'a> {
-    /// A reader at the start of the bytes.
+    /// Creates a reader at the start of the bytes.
     pub(super) fn new(bytes: &'a [u8]) -> Self {
         ByteReader { bytes, offset: 0 }
     }
 
-    /// How many bytes were read.
+    /// The number of bytes read.
     pub(super) fn offset(&self) -> usize {
         self.offset
     }
 
-    /// Whether all bytes were read.
+    /// Whether all bytes have been read.
     pub(super) fn is_at_end(&self) -> bool {
         self.offset >= self.bytes.len()
     }
 
-    /// Reads as many bytes; all reads fail with [`ProtocolError::TruncatedRecord`] if fewer remain.
+    /// Reads `length` bytes. Like every read, it fails with [`ProtocolError::TruncatedRecord`] if fewer bytes remain.
     pub(super) fn take(&mut self, length: usize) -> Result<&'a [u8], ProtocolError> {
         let end = self.offset.checked_add(length);
         let taken = end.and_then(|end| self.bytes.get(self.offset..end));
@@ -42,7 +42,7 @@
         Ok(array)
     }
 
-    /// Reads a byte.
+    /// Reads a number of 1 byte.
     pub(super) fn u8(&mut self) -> Result<u8, ProtocolError> {
         self.array().map(u8::from_le_bytes)
     }
--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings: a JSON document, from which the policy's settings are read. Unknown keys are ignored.
+//! Parses the platform's settings, a JSON document, into the policy's settings. Unknown keys are ignored.
 
 use policy::types::{
     Class, DestinationKind, Idempotency, Micros, PlatformRules, ReportField, Settings, Tenant,
@@ -7,13 +7,13 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why settings are not valid. A path is a JSON pointer.
+/// An error in the settings. Paths are JSON pointers.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The text is no JSON.
+    /// The text is not valid JSON.
     #[error("settings are not JSON ({0}) at the settings text")]
     NotJson(#[from] serde_json::Error),
-    /// The document is no JSON object.
+    /// The document is not a JSON object.
     #[error("settings are not an object at the settings text")]
     NotAnObject,
     /// There are no message classes.
@@ -22,31 +22,31 @@
     /// A required number is missing, negative or not finite.
     #[error("settings lack a number at {path}")]
     MissingNumber {
-        /// Where it is missing.
+        /// Path of the number.
         path: String,
     },
-    /// A number is too small.
+    /// A number is less than 1.
     #[error("settings want a number of 1 or more at {path}")]
     NumberBelowOne {
-        /// Where it stands.
+        /// Path of the number.
         path: String,
     },
-    /// A class does not say whether its messages may be repeated.
+    /// A class does not specify whether its messages may be repeated, or has an unknown value for it.
     #[error("settings lack a known effect at {path}")]
     UnknownEffect {
-        /// Where it is missing.
+        /// Path of the class's effect.
         path: String,
     },
-    /// There are no replicas, or the relay's own number is beyond their count.
+    /// The number of replicas is 0, or the relay's own number is not below it.
     #[error("settings count fewer relays than there are at /siblings")]
     TooFewReplicas,
 }
 
-/// Reads the settings from their JSON text.
+/// Parses the settings from their JSON text.
 ///
 /// # Errors
 ///
-/// The first required value that is missing or out of its bounds, classes first.
+/// The first required value that is missing or out of range. Classes are checked first.
 pub fn parse_settings(text: &[u8]) -> Result<Settings, SettingsError> {
     let document: Value = serde_json::from_slice(text)?;
     if !document.is_object() {
@@ -139,7 +139,7 @@
     }
 }
 
-/// The number of replicas, this relay among them.
+/// The number of replicas, including this relay.
 fn parse_replicas(root: &Section<'_>) -> Result<usize, SettingsError> {
     let replicas = root.required_number("/siblings")? as usize;
     let own_number = root.number_or_zero("/ordinal") as usize;
@@ -149,7 +149,7 @@
     Ok(replicas)
 }
 
-/// The kinds of destinations, whose properties stand in two lists that may differ in length.
+/// The kinds of destinations. Their properties are given in two lists, which may differ in length.
 fn parse_destination_kinds(root: &Section<'_>) -> Vec<DestinationKind> {
     let host_routes = root.list("/familyInfo/kindApart");
     let messages_per_call = root.list("/familyInfo/perCall");
@@ -202,10 +202,10 @@
     })
 }
 
-/// A part of the settings, with typed access to the values below it. Pointers begin at the section.
+/// A part of the settings, with typed access to the values below it. Pointers are relative to the section.
 struct Section<'a> {
     value: &'a Value,
-    /// The pointer to the section, for errors.
+    /// The pointer to the section from the root, for error messages.
     path: String,
 }
 
@@ -214,7 +214,7 @@
         format!("{}{pointer}", self.path)
     }
 
-    /// A number that is finite and not negative.
+    /// A number; `None` if it is missing, negative or not finite.
     fn number(&self, pointer: &str) -> Option<f64> {
         number_at(self.value, pointer)
     }
@@ -248,7 +248,7 @@
             .unwrap_or(false)
     }
 
-    /// A text, which is empty if there is none.
+    /// A string; empty if it is missing.
     fn text(&self, pointer: &str) -> &'a str {
         self.value
             .pointer(pointer)
@@ -256,7 +256,7 @@
             .unwrap_or_default()
     }
 
-    /// The elements of a list, which is empty if there is none.
+    /// The elements of a list; empty if it is missing.
     fn list(&self, pointer: &str) -> &'a [Value] {
         self.value
             .pointer(pointer)
--- a/crates/adapter/tests/common/mod.rs
+++ b/crates/adapter/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Settings that several test files use.
+//! Settings shared by several test files.
 
-/// Settings with every key that the parser reads in an unusual way, and one that it does not know.
+/// Settings with every key that the parser treats in an unusual way, and an unknown key.
 pub const SETTINGS: &str = r#"{"services":[{"aim":2000000,"giveUp":24000000,"effect":"dedup","keyScope":"zone",
 "window":6000000,"worth":1.5,"lateWorth":0.5,"fifoByKey":true},{"aim":1,"giveUp":2,"effect":"fragile"}],
 "familyInfo":{"callsOut":8,"kindApart":[false,true],"perCall":[1,4],"late":"halving","toll":[0.5]},
--- a/crates/adapter/tests/hex/mod.rs
+++ b/crates/adapter/tests/hex/mod.rs
@@ -1,6 +1,6 @@
-//! Bytes written as hexadecimal digits.
+//! Conversion of hexadecimal digits into bytes.
 
-/// The bytes of hexadecimal digits; white space between them is ignored.
+/// Decodes hexadecimal digits. White space between them is ignored.
 pub fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(|b| !b.is_ascii_whitespace()).collect();
     let byte = |pair: &[u8]| u8::from_str_radix(&String::from_utf8_lossy(pair), 16);
--- a/crates/adapter/tests/program.rs
+++ b/crates/adapter/tests/program.rs
@@ -1,4 +1,4 @@
-//! The adapter as a program: exit status and error line.
+//! Tests of the adapter program: exit status and error line.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
--- a/crates/adapter/tests/protocol.rs
+++ b/crates/adapter/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol: the bytes that its specification gives as examples, and invalid input.
+//! Tests of the simulator's protocol: the example bytes of its specification, and invalid input.
 
 mod common;
 mod hex;
@@ -162,11 +162,11 @@
         ("0b 0300", "unknown event code 11 at byte 0 of the frame"),
         (
             "06 0300 00",
-            "record wants 8 bytes more than the frame holds at byte 3 of the frame",
+            "record is truncated: 8 bytes expected at byte 3 of the frame",
         ),
         (
             "0a 10000000 00000000",
-            "roster number 16 is out of range at byte 0 of the frame",
+            "host list number 16 is out of range at byte 0 of the frame",
         ),
         (
             "0a 00000000 01000000 0000803f 00 00 03",
@@ -174,15 +174,15 @@
         ),
         (
             "09 0300 01 0300 2900000000000000 05000000 00",
-            "roster 5 was never sent at byte 3 of the frame",
+            "host list 5 was never sent at byte 3 of the frame",
         ),
         (
             "01 0300 2900000000000000 05000000 04",
-            "unknown list kind 4 at byte 0 of the frame",
+            "unknown host update kind 4 at byte 0 of the frame",
         ),
         (
             "02 0300 c4913a5df5c50e00 640ad2557c3bf091 0000 0000003f da05840000000000 e02e0000 0000 01",
-            "0.5 is no destination at byte 0 of the frame",
+            "0.5 is not a valid destination at byte 0 of the frame",
         ),
         (
             "07 0300 074a1203 0800 44480000 00",
--- a/crates/adapter/tests/settings.rs
+++ b/crates/adapter/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Parsing of the platform's settings.
+//! Tests of parsing the platform's settings.
 
 mod common;
 
--- a/crates/adapter/tests/transcript.rs
+++ b/crates/adapter/tests/transcript.rs
@@ -1,5 +1,5 @@
-//! A transcript of the simulator's protocol: 900 batches to two relays, with outages, limits and draining hosts, and the
-//! replies of the version that wrote the golden file. No test rewrites it.
+//! Replays a transcript of the simulator's protocol: 900 batches to two relays, with outages, limits and draining hosts,
+//! and the replies of the version that wrote the golden file. No test rewrites the file.
 
 mod hex;
 
--- a/crates/experiments/src/chart.rs
+++ b/crates/experiments/src/chart.rs
@@ -1,4 +1,4 @@
-//! Line charts as SVG files.
+//! Draws line charts as SVG files.
 
 use std::io;
 use std::path::Path;
@@ -21,22 +21,22 @@
 
 /// One line of a chart.
 pub struct Series {
-    /// The text of its legend.
+    /// The line's label in the legend.
     pub name: &'static str,
-    /// Its points, from left to right.
+    /// The line's points, from left to right.
     pub points: Vec<Point>,
 }
 
 /// A point of a line.
 #[derive(Clone, Copy)]
 pub struct Point {
-    /// A number of 1 or more.
+    /// A value of at least 1, on the logarithmic axis.
     pub x: f64,
-    /// A share from 0 to 1.
+    /// A share, from 0 to 1.
     pub y: f64,
 }
 
-/// Draws shares from 0 to 1 over numbers on a logarithmic scale, and writes the chart to an SVG file.
+/// Draws a chart of shares from 0 to 1 over a logarithmic axis, and writes it to an SVG file.
 ///
 /// # Errors
 ///
--- a/crates/experiments/src/error.rs
+++ b/crates/experiments/src/error.rs
@@ -5,20 +5,20 @@
 
 use plotters::drawing::DrawingAreaErrorKind;
 
-/// Why a command failed.
+/// An error that makes a command fail.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// A file or folder cannot be read.
-    #[error("cannot use {}: {error}", path.display())]
+    #[error("cannot read {}: {error}", path.display())]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         #[source]
         error: io::Error,
     },
-    /// There is nothing to count.
-    #[error("{} holds no log with lines of calls; the operator file's log_calls writes them", folder.display())]
+    /// No log has a line about a destination.
+    #[error("{} has no log with call log lines; enable log_calls in the operator file to write them", folder.display())]
     NoCallLog {
         /// The folder of the logs.
         folder: PathBuf,
@@ -26,15 +26,15 @@
     /// The chart cannot be drawn or written.
     #[error("cannot draw the chart: {0}")]
     Chart(#[from] DrawingAreaErrorKind<io::Error>),
-    /// A number of relays that the simulation cannot play.
-    #[error("{0} relays are not from 1 to 200")]
+    /// The simulation does not support this number of relays.
+    #[error("the number of relays must be from 1 to 200, but is {0}")]
     RelaysOutOfRange(u16),
     /// The store of undeliverable messages cannot be measured.
-    #[error("cannot use a store: {0}")]
+    #[error("cannot measure the store: {0}")]
     Store(#[from] StoreError),
 }
 
-/// Why the store of undeliverable messages cannot be measured.
+/// An error while measuring the store of undeliverable messages.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The store's file or its folder cannot be used.
--- a/crates/experiments/src/fleet/call_log.rs
+++ b/crates/experiments/src/fleet/call_log.rs
@@ -1,5 +1,5 @@
-//! Parsing of a relay's call log, which the operator file's `log_calls` writes: in the form of events that relays write now, and
-//! in the form of earlier versions, whose logs are still counted.
+//! Parses a relay's call log, which `log_calls` in the operator file enables. Relays write it in the form of events; the
+//! form of earlier versions is also supported, so that their logs can be counted.
 
 mod event_form;
 mod legacy_form;
@@ -7,24 +7,24 @@
 /// A line of the call log.
 #[derive(Debug, PartialEq)]
 pub(super) struct LogLine<'a> {
-    /// When it was written, in milliseconds.
+    /// Time at which the line was written, in milliseconds.
     pub(super) time_ms: u64,
     pub(super) event: LogEvent<'a>,
 }
 
-/// What a line is about.
+/// The event that a line reports.
 #[derive(Debug, PartialEq)]
 pub(super) enum LogEvent<'a> {
     /// The relay's process has started.
     ProcessStarted,
-    /// Discovery has listed a host.
+    /// Discovery has listed a host to the relay.
     HostListed(HostListing<'a>),
-    /// Something happened at a destination.
+    /// An event at a destination.
     Traffic {
         destination: u16,
         event: TrafficEvent<'a>,
     },
-    /// Anything else.
+    /// Any other event without a destination.
     Unrecognized,
 }
 
@@ -32,17 +32,17 @@
 #[derive(Debug, PartialEq)]
 pub(super) struct HostListing<'a> {
     pub(super) destination: u16,
-    /// The host's number, which is valid in one process only.
+    /// The host's number, which is valid only within one process.
     pub(super) number: Option<&'a str>,
-    /// The host's name, if it is known.
+    /// The host's name, if the line has it.
     pub(super) name: Option<&'a str>,
-    /// Calls per second that the host takes.
+    /// Calls per second that the host accepts.
     pub(super) weight: Option<f64>,
     /// Whether the host is announced as draining or removed.
     pub(super) is_leaving: bool,
 }
 
-/// What happened at a destination.
+/// An event at a destination.
 #[derive(Debug, PartialEq)]
 pub(super) enum TrafficEvent<'a> {
     MessageArrived,
@@ -54,7 +54,7 @@
     AttemptSent {
         /// The number of the host.
         host: Option<&'a str>,
-        /// Whether a circuit breaker that is not closed let the attempt through.
+        /// Whether a half-open circuit breaker let the attempt through.
         is_probe: bool,
     },
     AttemptEnded {
@@ -62,11 +62,11 @@
         /// The remaining allowance that the host reported.
         allowance: Option<f64>,
     },
-    /// Anything else.
+    /// Any other event.
     Other,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptOutcome {
     Delivered,
@@ -75,18 +75,18 @@
 }
 
 impl<'a> LogLine<'a> {
-    /// Parses a line of either form; none if it is no line of the call log.
+    /// Parses a line of either form; `None` if it is not a line of the call log.
     pub(super) fn parse(line: &'a str) -> Option<Self> {
         event_form::parse(line).or_else(|| legacy_form::parse(line))
     }
 }
 
-/// When a line of the call log was written, also if the rest of the line is missing.
+/// The time of a line of the call log, in milliseconds. The rest of the line may be missing.
 pub(super) fn parse_time_ms(line: &str) -> Option<u64> {
     event_form::parse_time_ms(line).or_else(|| legacy_form::parse_time_ms(line))
 }
 
-/// What follows a prefix in the first field that has it.
+/// The text that follows a prefix in the first field that starts with it.
 fn value_of<'a>(prefix: &str, fields: &[&'a str]) -> Option<&'a str> {
     fields.iter().find_map(|field| field.strip_prefix(prefix))
 }
--- a/crates/experiments/src/fleet/call_log/event_form.rs
+++ b/crates/experiments/src/fleet/call_log/event_form.rs
@@ -1,11 +1,11 @@
-//! The form of events: `call_log: event time_ms=T key=value`, in any order of the keys.
+//! Parses lines in the form of events: `call_log: event time_ms=T key=value`, with the keys in any order.
 
 use super::{value_of, AttemptOutcome, HostListing, LogEvent, LogLine, TrafficEvent};
 
 /// The component that marks a line of the call log.
 const COMPONENT: &str = "call_log:";
 
-/// Parses a line; none if it is not of this form.
+/// Parses a line; `None` if it is not of this form.
 pub(super) fn parse(line: &str) -> Option<LogLine<'_>> {
     let (event, fields) = event_and_fields(line)?;
     let time_ms = number("time_ms=", &fields)?;
@@ -15,7 +15,7 @@
     })
 }
 
-/// When a line was written.
+/// The time of a line, in milliseconds. The rest of the line may be missing.
 pub(super) fn parse_time_ms(line: &str) -> Option<u64> {
     let (_, fields) = event_and_fields(line)?;
     number("time_ms=", &fields)
@@ -84,7 +84,7 @@
     }
 }
 
-/// The first value of the host's load report; none if there was no report.
+/// The first value of the host's load report; `None` if there is no report.
 fn parse_allowance(fields: &[&str]) -> Option<f64> {
     let report = value_of("report=", fields)?;
     report.split(',').next()?.parse().ok()
--- a/crates/experiments/src/fleet/call_log/legacy_form.rs
+++ b/crates/experiments/src/fleet/call_log/legacy_form.rs
@@ -1,8 +1,9 @@
-//! The form of earlier versions: `fleet`, the time in milliseconds, a word, and the values of that word.
+//! Parses lines in the form of earlier versions: `fleet`, the time in milliseconds, a word that names the event, and the
+//! event's values.
 
 use super::{value_of, AttemptOutcome, HostListing, LogEvent, LogLine, TrafficEvent};
 
-/// Parses a line; none if it is not of this form.
+/// Parses a line; `None` if it is not of this form.
 pub(super) fn parse(line: &str) -> Option<LogLine<'_>> {
     let mut words = words(line);
     let time_ms = words.next()?.parse().ok()?;
@@ -13,12 +14,12 @@
     })
 }
 
-/// When a line was written, also if the rest of the line is missing.
+/// The time of a line, in milliseconds. The rest of the line may be missing.
 pub(super) fn parse_time_ms(line: &str) -> Option<u64> {
     words(line).next()?.parse().ok()
 }
 
-/// The words after the mark of a call log's line; none in another line.
+/// The words after the first `fleet` of a line, which marks a line of the call log; none if the line has no such word.
 fn words(line: &str) -> impl Iterator<Item = &str> {
     line.split_ascii_whitespace()
         .skip_while(|word| *word != "fleet")
@@ -72,7 +73,7 @@
     }
 }
 
-/// The outcome follows the message's number.
+/// Parses the outcome, which follows the message's number.
 fn parse_outcome(fields: &[&str]) -> AttemptOutcome {
     match fields.get(1) {
         Some(&"Ok") => AttemptOutcome::Delivered,
@@ -83,7 +84,7 @@
     }
 }
 
-/// The first number of the host's load report, a list that may be empty.
+/// The first number of the host's load report; `None` if the list is empty.
 fn parse_allowance(fields: &[&str]) -> Option<f64> {
     value_of("report=[", fields)?
         .trim_end_matches([',', ']'])
--- a/crates/experiments/src/fleet/counts.rs
+++ b/crates/experiments/src/fleet/counts.rs
@@ -1,4 +1,4 @@
-//! Counts over all relays of a fleet, by destination and interval.
+//! Event counts over all relays of a fleet, by destination and interval.
 
 use std::collections::BTreeMap;
 use std::ops::AddAssign;
@@ -6,7 +6,7 @@
 use super::call_log::{AttemptOutcome, LogEvent, LogLine, TrafficEvent};
 use super::departures::Departures;
 
-/// A destination has recovered when it serves this share of its listed rate.
+/// A destination has recovered when it serves at least this share of its listed rate.
 const RECOVERED_SHARE: f64 = 0.9;
 const MS_PER_SECOND: f64 = 1000.0;
 
@@ -17,7 +17,7 @@
     pub(super) restored: u64,
     pub(super) abandoned: u64,
     pub(super) calls: u64,
-    /// Of the calls, those that a circuit breaker let through which was not closed.
+    /// Of the calls, those that a half-open circuit breaker let through.
     pub(super) probes: u64,
     pub(super) delivered: u64,
     pub(super) rejected: u64,
@@ -25,7 +25,7 @@
     pub(super) with_retry_after: u64,
     pub(super) failed: u64,
     pub(super) connections_opened: u64,
-    /// The remaining allowance that hosts reported.
+    /// Mean of the remaining allowance that hosts reported, from 0 to 1.
     pub(super) allowance: Mean,
 }
 
@@ -42,7 +42,7 @@
         self.count += 1;
     }
 
-    /// The mean; 0 without values.
+    /// The mean, or 0 if there are no values.
     pub(super) fn value(self) -> f64 {
         match self.count {
             0 => 0.0,
@@ -106,20 +106,20 @@
 pub(super) struct FleetCounts {
     /// Length of an interval, in milliseconds.
     pub(super) interval_ms: u64,
-    /// When the first interval begins; the time of the first line that is recorded, if it is not set before.
+    /// Start of the first interval, in milliseconds. Unless set before, it is the time of the first recorded line.
     pub(super) start_ms: Option<u64>,
     /// By destination, then by the number of the interval.
     pub(super) destinations: BTreeMap<u16, BTreeMap<u64, IntervalCounts>>,
-    /// Calls per second that each destination takes, by the first listing of one of its hosts.
+    /// Calls per second that each destination accepts, according to the first listing of one of its hosts.
     pub(super) listed_rates: BTreeMap<u16, f64>,
-    /// Hosts in the lists that relays received.
+    /// Number of hosts in all host lists that relays received.
     pub(super) host_listings: u64,
     pub(super) process_starts: u64,
     pub(super) departures: Departures,
 }
 
 impl FleetCounts {
-    /// No counts, for intervals of `interval_ms` milliseconds.
+    /// Creates empty counts, for intervals of `interval_ms` milliseconds.
     pub(super) fn new(interval_ms: u64) -> Self {
         FleetCounts {
             interval_ms,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Counts a line of a log; one that is not of the call log is ignored.
+    /// Counts a line of a log. Lines that are not part of the call log are ignored.
     pub(super) fn record_line(&mut self, line: &str) {
         let Some(LogLine { time_ms, event }) = LogLine::parse(line) else {
             return;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The intervals of a destination in which anything happened, with their numbers.
+    /// The intervals of a destination that have any events, with their numbers.
     pub(super) fn intervals_of(
         &self,
         destination: u16,
@@ -180,7 +180,7 @@
             .map(|(number, counts)| (*number, counts))
     }
 
-    /// Counts of all destinations and intervals together.
+    /// The counts summed over all destinations and intervals.
     pub(super) fn totals(&self) -> IntervalCounts {
         let mut totals = IntervalCounts::default();
         for counts in self.destinations.values().flat_map(BTreeMap::values) {
@@ -189,8 +189,8 @@
         totals
     }
 
-    /// How long a destination took to recover each time: from the last interval with calls but no delivery to the next
-    /// one that serves nine tenths of the listed rate, in milliseconds.
+    /// The durations of a destination's recoveries, in milliseconds: from the last interval with calls but no delivery to
+    /// the next one that serves [`RECOVERED_SHARE`] of the listed rate.
     pub(super) fn recovery_times_ms(&self, destination: u16) -> Vec<u64> {
         let rate = self.listed_rates.get(&destination).copied().unwrap_or(0.0);
         let calls_per_interval = rate * self.interval_ms as f64 / MS_PER_SECOND;
--- a/crates/experiments/src/fleet/departures.rs
+++ b/crates/experiments/src/fleet/departures.rs
@@ -1,15 +1,15 @@
-//! Hosts that were announced as leaving, and the calls to them.
+//! Hosts announced as leaving, and the calls made to them.
 
 use std::collections::BTreeMap;
 
 use super::call_log::HostListing;
 
-/// Hosts that were announced as leaving, and all calls.
+/// Hosts announced as leaving, and all calls to hosts.
 #[derive(Debug, Default)]
 pub(super) struct Departures {
-    /// When any relay's log first announced a host as leaving, by its name, in milliseconds.
+    /// Time of the first announcement of a host as leaving in any relay's log, in milliseconds, by host name.
     announced_at: BTreeMap<String, u64>,
-    /// Host names by number, of the process whose lines are read.
+    /// Host names by host number, in the process whose lines are being read.
     names: BTreeMap<String, String>,
     calls: Vec<Call>,
 }
@@ -21,12 +21,12 @@
 }
 
 impl Departures {
-    /// Another process' lines follow, whose host numbers are its own.
+    /// Starts the lines of another process, which has host numbers of its own.
     pub(super) fn process_started(&mut self) {
         self.names.clear();
     }
 
-    /// Learns a host's name, and whether it is leaving. Listings without number or name are ignored.
+    /// Records a host's name, and whether it is leaving. Listings without number or name are ignored.
     pub(super) fn host_listed(&mut self, time_ms: u64, listing: &HostListing<'_>) {
         let (Some(number), Some(name)) = (listing.number, listing.name) else {
             return;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Records a call to the host of this number, if its name is known.
+    /// Records a call to the host with this number, if its name is known.
     pub(super) fn attempt_sent(&mut self, time_ms: u64, host: Option<&str>) {
         if let Some(name) = host.and_then(|number| self.names.get(number)) {
             self.calls.push(Call {
@@ -48,12 +48,12 @@
         }
     }
 
-    /// How many hosts were announced as leaving.
+    /// Number of hosts that were announced as leaving.
     pub(super) fn announced_hosts(&self) -> usize {
         self.announced_at.len()
     }
 
-    /// Calls to hosts that had been announced as leaving: the milliseconds since the announcement, longest first.
+    /// The delays of calls to hosts that had been announced as leaving: milliseconds since the announcement, longest first.
     pub(super) fn late_calls(&self) -> Vec<u64> {
         let delay = |call: &Call| {
             let announced_at = self.announced_at.get(&call.host_name)?;
--- a/crates/experiments/src/fleet/mod.rs
+++ b/crates/experiments/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! What all relays of a fleet did together, counted from their call logs.
+//! Statistics of all relays of a fleet, counted from their call logs.
 
 mod call_log;
 mod counts;
--- a/crates/experiments/src/fleet/report.rs
+++ b/crates/experiments/src/fleet/report.rs
@@ -1,23 +1,23 @@
-//! Tables and totals of a fleet's counts, as text.
+//! Formats a fleet's counts as tables and totals.
 
 use comfy_table::{presets, Table};
 
 use super::counts::{FleetCounts, IntervalCounts};
 
-/// How many of the latest calls to leaving hosts the totals list.
+/// Number of the latest calls to leaving hosts that the totals list.
 const MAX_LATE_CALLS_LISTED: usize = 5;
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// What a report contains.
+/// The parts of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportDetail {
     /// A table for each destination with a row for each interval, then the totals.
     Intervals,
-    /// The totals alone.
+    /// Only the totals.
     TotalsOnly,
 }
 
-/// The report on a fleet.
+/// Formats the report on a fleet.
 pub(super) fn render(counts: &FleetCounts, detail: ReportDetail) -> String {
     let tables = match detail {
         ReportDetail::Intervals => render_destinations(counts),
@@ -32,7 +32,7 @@
     for (destination, rate) in &counts.listed_rates {
         let table = interval_table(counts, *destination);
         text += &format!(
-            "destination {destination}, takes {rate} calls a second; each row {interval_ms} ms\n{table}\n\n"
+            "destination {destination}, accepts {rate} calls per second; {interval_ms} ms per row\n{table}\n\n"
         );
     }
     text
@@ -77,7 +77,7 @@
 
 fn render_messages(counts: &FleetCounts, totals: &IntervalCounts) -> String {
     format!(
-        "{} starts, {} messages came ({} from journals), {} given up",
+        "{} starts, {} messages arrived ({} from journals), {} given up",
         counts.process_starts, totals.arrived, totals.restored, totals.abandoned,
     )
 }
@@ -97,7 +97,7 @@
 
 fn render_connections(counts: &FleetCounts, totals: &IntervalCounts) -> String {
     format!(
-        "{} connections opened ({:.2} a call), {} lines of lists",
+        "{} connections opened ({:.2} a call), {} hosts listed",
         totals.connections_opened,
         ratio(totals.connections_opened, totals.calls),
         counts.host_listings,
@@ -112,7 +112,7 @@
         .collect();
     let mean_s = ratio(times.iter().sum(), times.len() as u64) / MS_PER_SECOND;
     format!(
-        "{} spells without a good call; {mean_s:.1} s in the mean from their end to nine tenths of the limit",
+        "{} periods without a good call; {mean_s:.1} s on average from their end to nine tenths of the limit",
         times.len(),
     )
 }
@@ -127,7 +127,7 @@
     )
 }
 
-/// A quotient; a denominator of 0 counts as 1.
+/// The quotient, with a denominator of 0 replaced by 1.
 fn ratio(numerator: u64, denominator: u64) -> f64 {
     numerator as f64 / denominator.max(1) as f64
 }
--- a/crates/experiments/src/fleet/tests.rs
+++ b/crates/experiments/src/fleet/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the counts over call logs.
+//! Tests of the statistics from call logs.
 
 use super::counts::{FleetCounts, Mean};
 use super::report::{render, ReportDetail};
 
 const INTERVAL_MS: u64 = 1000;
 
-/// The lines of [`LEGACY_LOG`] as relays write them now.
+/// The events of [`LEGACY_LOG`] in the form that relays write.
 const LOG: &str = "\
 0.000 call_log: process_started time_ms=1000 replicas=100 max_calls=5 max_queued=32 warm_up_ms=10000 discovery=push
 0.000 call_log: host_listed time_ms=1000 destination=7 host=1 kind=0 weight=2 state=ready name=s-a
@@ -21,7 +21,7 @@
 1.0 call_log: attempt_ended time_ms=2900
 ";
 
-/// A log of the versions that wrote `fleet`, the time and a word.
+/// A log in the legacy form: `fleet`, the time and a word.
 const LEGACY_LOG: &str = "\
 0.000 fleet 1000 start siblings=100 slots=5 held=32 cold=10000
 0.000 fleet 1000 list 7 host=1 kind=0 weight=2 Ready
--- a/crates/experiments/src/fleet_sizes.rs
+++ b/crates/experiments/src/fleet_sizes.rs
@@ -1,4 +1,5 @@
-//! Fleets of growing size at the same load: what reaches partners in time, and what it costs them.
+//! Simulates fleets of increasing size at the same load: how many messages are delivered in time, and how many rejected
+//! calls and connections that costs the partners.
 
 #[cfg(test)]
 mod tests;
@@ -15,7 +16,7 @@
 use crate::chart::{self, Point, Series};
 use crate::error::Error;
 
-/// Numbers of relays that the simulation can play.
+/// Numbers of relays that the simulation supports.
 const FLEET_SIZES: RangeInclusive<u16> = 1..=200;
 
 /// Sums over all simulations of one fleet size.
@@ -24,14 +25,14 @@
     relays: u16,
     messages: f64,
     delivered: f64,
-    /// Of the delivered messages, those within the latency objective.
+    /// Of the delivered messages, those delivered within the latency objective.
     within_objective: f64,
     rejected_calls: f64,
     calls: f64,
     connections_opened: f64,
-    /// Most connections that were open at one host.
+    /// Maximum number of connections open at one host at the same time.
     max_open_at_host: u64,
-    /// Lists of hosts that discovery sent.
+    /// Number of host lists that discovery sent.
     host_lists: f64,
     process_starts: f64,
     /// Simulations that violated an invariant.
@@ -74,11 +75,11 @@
     }
 }
 
-/// Plays seeds `0..seeds` at each fleet size, `jobs` at the same time; writes the chart, and returns the table.
+/// Simulates the seeds `0..seeds` at each fleet size, `jobs` in parallel; writes the chart, and returns the table.
 ///
 /// # Errors
 ///
-/// [`Error::RelaysOutOfRange`] before anything is played, [`Error::Chart`] if the chart cannot be written.
+/// [`Error::RelaysOutOfRange`] before any simulation starts, [`Error::Chart`] if the chart cannot be written.
 pub fn run(
     fleet_sizes: &[u16],
     seeds: u64,
@@ -113,7 +114,7 @@
     totals.into_inner().unwrap_or_default()
 }
 
-/// Plays one seed after another until none is left, or another thread has panicked.
+/// Simulates one seed after another until none is left, or until another thread has panicked.
 fn play_seeds(next_seed: &AtomicU64, seeds: u64, totals: &Mutex<SizeTotals>, relays: u16) {
     loop {
         let seed = next_seed.fetch_add(1, Ordering::Relaxed);
--- a/crates/experiments/src/fleet_sizes/tests.rs
+++ b/crates/experiments/src/fleet_sizes/tests.rs
@@ -21,5 +21,8 @@
 fn fleet_size_of_zero_is_rejected() {
     let error = run(&[0], 1, 1, None).expect_err("no relay");
     assert!(matches!(error, Error::RelaysOutOfRange(0)));
-    assert_eq!(error.to_string(), "0 relays are not from 1 to 200");
+    assert_eq!(
+        error.to_string(),
+        "the number of relays must be from 1 to 200, but is 0"
+    );
 }
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,4 +1,5 @@
-//! `relay-experiments`: counts over a fleet's logs, and experiments on the simulation.
+//! `relay-experiments`: statistics from a fleet's logs, simulation experiments, and a benchmark of the store of
+//! undeliverable messages.
 
 mod chart;
 mod error;
@@ -12,7 +13,7 @@
 use clap::{Parser, Subcommand};
 use fleet::ReportDetail;
 
-/// Counts over a fleet's logs, and experiments on the simulation, as tables and charts.
+/// Statistics from a fleet's logs, simulation experiments and a store benchmark, as tables and charts.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -22,35 +23,35 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Count what all relays of a fleet did, by destination and time, from logs written with `log_calls`.
+    /// Count the events of all relays of a fleet, by destination and time, from logs written with `log_calls`.
     Fleet {
-        /// The folder of the logs, one file a relay, whose names end in `.log`.
+        /// Folder of the logs, with one file per relay, whose names end in `.log`.
         logs: PathBuf,
-        /// Milliseconds of a row.
+        /// Length of the interval of a row, in milliseconds.
         #[arg(long, default_value_t = 1000, value_parser = clap::value_parser!(u64).range(100..=60_000))]
         step: u64,
-        /// Only the counts over the whole time.
+        /// Print only the totals over the whole time.
         #[arg(long)]
         brief: bool,
     },
-    /// Play fleets of growing size at the same load, and write a table and a chart.
+    /// Simulate fleets of increasing size at the same load, and write a table and a chart.
     Sizes {
-        /// Numbers of relays.
+        /// Fleet sizes, in relays.
         #[arg(long, value_delimiter = ',', default_value = "1,3,10,30,100")]
         relays: Vec<u16>,
-        /// Seeds played of each size, from 0 on.
+        /// Number of seeds simulated for each size, from 0 on.
         #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=10_000))]
         seeds: u64,
-        /// Days played at once.
+        /// Number of simulations that run in parallel.
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u16).range(1..=256))]
         jobs: u16,
-        /// Write the chart to this SVG file.
+        /// SVG file to write the chart to; no chart if absent.
         #[arg(long)]
         chart: Option<PathBuf>,
     },
-    /// Fill a store of undeliverable messages, and time pages of it.
+    /// Fill a store of undeliverable messages, and measure the time to read pages from it.
     Store {
-        /// Records.
+        /// Number of records to store.
         #[arg(long, default_value_t = 1_000_000, value_parser = clap::value_parser!(u64).range(1..=100_000_000))]
         records: u64,
     },
@@ -81,7 +82,7 @@
     }
 }
 
-/// Runs a command; the text for standard output.
+/// Runs a command and returns the text for standard output.
 fn run(command: Command) -> Result<String, error::Error> {
     match command {
         Command::Fleet { logs, step, brief } => {
--- a/crates/experiments/src/store_benchmark/measurements.rs
+++ b/crates/experiments/src/store_benchmark/measurements.rs
@@ -1,4 +1,4 @@
-//! Measurements on a store: writing, changing and reading records.
+//! Measures how long a store takes to write, change and read records.
 
 use std::time::{Duration, Instant};
 
@@ -8,32 +8,32 @@
 use super::sample_records::{sample_record, BODY_BYTES};
 use crate::error::StoreError;
 
-/// Records that are written in one transaction: about what a relay gives up between two polls of its undeliverable
-/// service in a bad hour.
+/// Number of records written in one transaction: about as many as a relay gives up between two polls of its undeliverable
+/// service in an hour with many failures.
 pub(super) const FILL_BATCH_RECORDS: u64 = 100;
-/// Records that are changed.
+/// Number of records to change.
 const CHANGES: u64 = 400;
-/// Distance of two records that are changed after each other; a prime, so that the changes spread over all records.
+/// Distance between two consecutively changed records; a prime, so that the changes spread over all records.
 const CHANGE_STRIDE: u64 = 7919;
-/// Records of a page.
+/// Maximum number of records on a page.
 const PAGE_RECORDS: usize = 50;
-/// Pages that are read with each filter.
+/// Number of pages to read with each filter.
 const PAGES: u64 = 400;
-/// Upper bound of a histogram, in microseconds; longer times count as this one.
+/// Upper bound of a histogram, in microseconds; longer times are recorded as this value.
 const MAX_TIME: u64 = 600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// The result of filling a store.
 pub(super) struct FillMeasurement {
-    /// Time of each transaction, in microseconds.
+    /// Times of the transactions, in microseconds.
     pub(super) batch_times: Histogram<u64>,
-    /// Time of the whole, with the generation of the records.
+    /// Total time, including the generation of the records.
     pub(super) elapsed: Duration,
 }
 
 /// The result of reading pages with one filter.
 pub(super) struct PageMeasurement {
-    /// Time of each page, in microseconds.
+    /// Times of reading a page, in microseconds.
     pub(super) times: Histogram<u64>,
     pub(super) records_found: usize,
 }
@@ -58,13 +58,13 @@
     })
 }
 
-/// Claims records one by one; the time of each change in microseconds.
+/// Claims records one by one, and returns the times of the changes in microseconds.
 pub(super) fn measure_changes(store: &Store, records: u64) -> Result<Histogram<u64>, StoreError> {
     let mut times = time_histogram()?;
     for number in 0..CHANGES {
         let started = Instant::now();
         let id = 1 + number * CHANGE_STRIDE % records;
-        // A record that is claimed already rejects the change, which is measured all the same.
+        // A record that is already claimed rejects the change, whose time is recorded all the same.
         store.update(id, |record| {
             record.claim("bench", None, record.given_up_at, 1)
         })?;
@@ -73,7 +73,7 @@
     Ok(times)
 }
 
-/// Reads pages with a filter, each from where the one before ended, and the first one again after the last.
+/// Reads consecutive pages with a filter, and restarts at the first page after the last one.
 pub(super) fn measure_pages(store: &Store, filter: &Filter) -> Result<PageMeasurement, StoreError> {
     let mut times = time_histogram()?;
     let mut next = None;
--- a/crates/experiments/src/store_benchmark/mod.rs
+++ b/crates/experiments/src/store_benchmark/mod.rs
@@ -1,4 +1,5 @@
-//! The store of undeliverable messages at size: how fast records are written, and how long a filtered page takes.
+//! Benchmark of the store of undeliverable messages at a large size: how fast records are written, and how long it takes
+//! to read a filtered page.
 
 mod measurements;
 mod process_memory;
@@ -72,7 +73,7 @@
     Ok(Store::open(file, false)?)
 }
 
-/// A table of times with their quantiles.
+/// A table with the quantiles of measured times.
 struct TimesTable(Table);
 
 impl TimesTable {
--- a/crates/experiments/src/store_benchmark/process_memory.rs
+++ b/crates/experiments/src/store_benchmark/process_memory.rs
@@ -1,11 +1,11 @@
-//! Memory of this process, as Linux reports it.
+//! Memory use of this process, as reported by Linux.
 
 /// A line of `/proc/self/status`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MemoryField {
-    /// Resident memory now.
+    /// Current resident memory.
     Resident,
-    /// Most resident memory since the process started.
+    /// Peak resident memory since the process started.
     PeakResident,
 }
 
--- a/crates/experiments/src/store_benchmark/sample_records.rs
+++ b/crates/experiments/src/store_benchmark/sample_records.rs
@@ -1,12 +1,13 @@
-//! Records that a store is filled with, and filters that find some of them. Both depend on the numbers alone.
+//! Records to fill a store with, and filters that match some of them. Records depend only on their numbers, and filters
+//! only on the number of records.
 
 use undeliverable::record::{Idempotency, Origin};
 use undeliverable::{Attempt, Filter, Outcome, Reason, Record, RecordState};
 
-/// Size of a message's body.
+/// Size of a message's body, in bytes.
 pub(super) const BODY_BYTES: usize = 200;
 
-/// Time between the ends of two records, in microseconds.
+/// Time between the ends of two consecutive records, in microseconds.
 const RECORD_INTERVAL: u64 = 50_000;
 const ATTEMPT_INTERVAL: u64 = 1000;
 const HOUR: u64 = 3_600_000_000;
@@ -14,7 +15,7 @@
 const TENANTS: u64 = 97;
 const CLASSES: [&str; 3] = ["payout", "event", "update"];
 
-/// The record of this number.
+/// Creates the record with this number.
 pub(super) fn sample_record(number: u64) -> Record {
     let ended = number * RECORD_INTERVAL;
     let attempts = (0..1 + number % 4)
@@ -46,7 +47,7 @@
     }
 }
 
-/// An attempt of the record of this number; every third record may have executed.
+/// Creates an attempt of the record with this number. Every third record may have executed.
 fn sample_attempt(number: u64, sent: u64) -> Attempt {
     let may_have_run = number.is_multiple_of(3);
     Attempt {
@@ -62,7 +63,7 @@
     }
 }
 
-/// Filters with their names, from those that fit all records to those that fit few.
+/// Filters with their names, from one that matches all records to one that matches few.
 pub(super) fn sample_filters(records: u64) -> [(&'static str, Filter); 6] {
     let none = Filter::default;
     let tenant = || Some("tenant-013".to_string());
--- a/crates/experiments/src/store_benchmark/tests.rs
+++ b/crates/experiments/src/store_benchmark/tests.rs
@@ -2,7 +2,7 @@
 
 use super::run;
 
-/// The records that a row of the table says were found.
+/// The number of records found, according to a row of the table.
 fn records_found(text: &str, row: &str) -> Option<usize> {
     let line = text.lines().find(|line| line.contains(row))?;
     let (_, after) = line.split_once(row)?;
@@ -18,7 +18,7 @@
     );
     assert!(text.contains("| keep 100 records "), "{text}");
     assert!(text.contains("| change a record "), "{text}");
-    // 400 pages of up to 50 records with each filter; after the last page the first one is read again.
+    // 400 pages of up to 50 records are read with each filter; after the last page, reading restarts at the first one.
     for (row, expected) in [
         ("page by no filter (", 19_550),
         ("page by destination (", 4000),
--- a/crates/fault-injection/src/calls.rs
+++ b/crates/fault-injection/src/calls.rs
@@ -1,4 +1,4 @@
-//! The functions of the C library that are replaced. Each makes the system call itself, or fails as Linux documents.
+//! Replacements of functions of the C library. Each makes the system call itself, or fails as Linux documents.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -7,7 +7,7 @@
 use crate::control::Control;
 use crate::{draw_fault, fail_with};
 
-/// Most buffers of a vectored write that can be shortened; one with more is passed to the system unchanged.
+/// Maximum number of buffers of a vectored write that can be shortened; a write with more is passed on unchanged.
 const MAX_SHORTENED_BUFFERS: usize = 16;
 const MS_PER_SECOND: i64 = 1000;
 const NS_PER_MS: i64 = 1_000_000;
@@ -18,7 +18,7 @@
 const SOCKET_ERRORS: [c_int; 2] = [libc::ENFILE, libc::ENOBUFS];
 const WRITE_ERRORS: [c_int; 2] = [libc::ENOSPC, libc::EIO];
 
-/// Fails with one of the errors, chosen at random.
+/// Fails with a randomly chosen one of the errors.
 fn fail_with_any_of(errors: &[c_int]) -> isize {
     fail_with(errors[Control::get().random(errors.len() as u64) as usize])
 }
@@ -28,7 +28,7 @@
     draw_fault(Control::get().network_failures_percent.load(Relaxed))
 }
 
-/// The length of a transfer that was requested with `length` bytes: all of it, or a random part.
+/// The length of a transfer of which `length` bytes were requested: all of them, or a random part.
 fn transfer_length(length: usize) -> usize {
     if length > 1 && draw_fault(Control::get().short_transfers_percent.load(Relaxed)) {
         1 + Control::get().random(length as u64 - 1) as usize
@@ -37,7 +37,7 @@
     }
 }
 
-/// Transfers on a connected socket: makes a system call that could also take an address, without one.
+/// Transfers bytes on a connected socket, by a system call with an optional address, which is omitted.
 unsafe fn transfer(
     call: c_long,
     socket: c_int,
@@ -62,7 +62,7 @@
     file_type(descriptor) == libc::S_IFSOCK
 }
 
-/// Whether writes to a descriptor may fail: those to regular files, but not to the log on a standard stream.
+/// Whether injected faults may affect writes to a descriptor: regular files only, and not the log on a standard stream.
 fn is_stored_file(descriptor: c_int) -> bool {
     descriptor > libc::STDERR_FILENO && file_type(descriptor) == libc::S_IFREG
 }
@@ -79,7 +79,7 @@
 }
 
 /// # Safety
-/// As `clock_gettime` of the C library.
+/// Same as `clock_gettime` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut libc::timespec) -> c_int {
     let result = libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int;
@@ -93,7 +93,7 @@
 }
 
 /// # Safety
-/// As `recv` of the C library.
+/// Same as `recv` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     socket: c_int,
@@ -109,7 +109,7 @@
 }
 
 /// # Safety
-/// As `send` of the C library.
+/// Same as `send` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     socket: c_int,
@@ -122,7 +122,7 @@
 }
 
 /// # Safety
-/// As `writev` of the C library.
+/// Same as `writev` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn writev(descriptor: c_int, buffers: *const iovec, count: c_int) -> ssize_t {
     let count = count as usize;
@@ -144,13 +144,14 @@
 }
 
 /// # Safety
-/// As `write` of the C library.
+/// Same as `write` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: usize) -> ssize_t {
     let control = Control::get();
     let mut length = length;
     if draw_fault(control.file_failures_percent.load(Relaxed)) && is_stored_file(descriptor) {
-        // Half of the faults fail the call, the other half write a part: the caller may then fail on the rest, or be killed.
+        // Half of the faults fail the call, the other half write only a part, after which the caller may fail on the rest or
+        // be killed.
         if length < 2 || control.random(2) == 0 {
             return fail_with_any_of(&WRITE_ERRORS);
         }
@@ -160,7 +161,7 @@
 }
 
 /// # Safety
-/// As `accept4` of the C library.
+/// Same as `accept4` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn accept4(
     socket: c_int,
@@ -175,7 +176,7 @@
 }
 
 /// # Safety
-/// As `connect` of the C library.
+/// Same as `connect` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn connect(
     socket: c_int,
@@ -189,7 +190,7 @@
 }
 
 /// # Safety
-/// As `socket` of the C library.
+/// Same as `socket` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     if network_call_fails() {
@@ -199,7 +200,7 @@
 }
 
 /// # Safety
-/// As `epoll_wait` of the C library.
+/// Same as `epoll_wait` of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
--- a/crates/fault-injection/src/control.rs
+++ b/crates/fault-injection/src/control.rs
@@ -1,4 +1,4 @@
-//! The control file, by which a test sets the rates of faults while the process runs.
+//! The control file, through which a test sets the rates of faults while the process runs.
 
 use std::ffi::CString;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
@@ -7,17 +7,17 @@
 /// The environment variable that names the control file.
 const CONTROL_VARIABLE: &str = "FAULT_INJECTION_CONTROL";
 
-/// The content of the control file, in native byte order. The relay's tests write it (`faults.rs`), by the offsets of
-/// the fields: their order and size must not change.
+/// The content of the control file, in native byte order. The relay's tests (`faults.rs`) write it by the offsets of
+/// the fields, so their order and size must not change.
 #[repr(C)]
 pub struct Control {
     /// How far the wall clock is ahead, in milliseconds; negative if it is behind.
     pub wall_clock_step_ms: AtomicI64,
-    /// Of a hundred transfers on sockets, how many are shortened to a random length.
+    /// Percentage of transfers on sockets that are shortened to a random length.
     pub short_transfers_percent: AtomicI64,
-    /// Of a hundred calls of accept, connect, socket and epoll_wait, how many fail with an error that is temporary.
+    /// Percentage of calls of accept, connect, socket and epoll_wait that fail with a temporary error.
     pub network_failures_percent: AtomicI64,
-    /// Of a hundred writes to files, how many fail or write only a part.
+    /// Percentage of writes to files that fail or write only a part.
     pub file_failures_percent: AtomicI64,
     /// State of the random number generator; a test writes its seed here.
     random_state: AtomicU64,
@@ -41,7 +41,7 @@
     }
 }
 
-/// What applies in a process without a control file.
+/// The settings of a process without a control file.
 static NO_FAULTS: Control = Control {
     wall_clock_step_ms: AtomicI64::new(0),
     short_transfers_percent: AtomicI64::new(0),
@@ -50,15 +50,15 @@
     random_state: AtomicU64::new(0),
 };
 
-/// Maps the file that the environment names; none if it cannot be opened or mapped.
+/// Maps the file that [`CONTROL_VARIABLE`] names; `None` if it is unset, or the file cannot be opened or mapped.
 fn map_control_file() -> Option<&'static Control> {
     let path = CString::new(std::env::var(CONTROL_VARIABLE).ok()?).ok()?;
-    // SAFETY: the path is a valid C string, and the descriptor is used here alone.
+    // SAFETY: the path is a valid C string, and the descriptor is used only in this function.
     let file = unsafe { libc::open(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC) };
     if file < 0 {
         return None;
     }
-    // SAFETY: a new mapping of a file that the test has made as long as `Control`.
+    // SAFETY: this creates a new mapping; the test has made the file as long as `Control`.
     let mapping = unsafe {
         libc::mmap(
             std::ptr::null_mut(),
@@ -69,7 +69,7 @@
             0,
         )
     };
-    // SAFETY: the descriptor was opened above; the mapping stays.
+    // SAFETY: the descriptor was opened above. Closing it does not remove the mapping.
     unsafe { libc::close(file) };
     if mapping == libc::MAP_FAILED {
         return None;
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,15 +1,15 @@
-//! A shared library that makes the system calls of one process fail in ways that Linux documents.
+//! A shared library that makes system calls of a process fail in the ways that Linux documents.
 //!
 //! A test preloads the shared library (`LD_PRELOAD`) into a process that it starts itself, and names a control file in
-//! the environment. The library maps that file, so that the test can switch faults on and off while the process runs.
-//! No program links this package: its functions would replace those of the C library there too.
+//! the environment. The library maps that file, so that the test can turn faults on and off while the process runs.
+//! No program may link this package, because its functions would replace those of the C library in that program too.
 
 mod calls;
 mod control;
 
 use control::Control;
 
-/// Decides at random whether a call fails, if `percent` of a hundred calls are to fail.
+/// Decides at random whether a fault occurs, with a probability of `percent`.
 fn draw_fault(percent: i64) -> bool {
     percent > 0 && Control::get().random(100) < percent as u64
 }
--- a/crates/relayctl/src/arguments.rs
+++ b/crates/relayctl/src/arguments.rs
@@ -1,5 +1,5 @@
-//! The command line: global options and the commands. The comments on commands and options are the usage texts; each
-//! resource has its own arguments.
+//! The command line: global options and commands. The doc comments on commands and options are the help texts. The
+//! arguments of each resource are defined in its own module.
 
 use std::path::PathBuf;
 
@@ -12,14 +12,14 @@
 use crate::token::TokenArguments;
 use crate::undeliverable::UndeliverableCommand;
 
-/// Administrates a relay's tenants and its undeliverable messages.
+/// Administers a relay's tenants and undeliverable messages.
 ///
-/// Exit codes: 0 done; 1 something else failed; 2 wrong arguments; 3 there is no such thing; 4 in another state
-/// than was meant, or there already; 5 not allowed; 6 not reached; 7 busy, try again later; 8 a value is wrong.
+/// Exit codes: 0 success; 1 any other failure; 2 invalid arguments; 3 not found; 4 conflict: not in the required state
+/// or version, or already exists; 5 not authorized; 6 unreachable; 7 busy, try again later; 8 invalid value.
 #[derive(Parser)]
 #[command(version, name = "relayctl")]
 pub struct Arguments {
-    /// Where the API listens: an address and port, or unix: and a path.
+    /// Address of the administration API: an address and port, or unix: and a path.
     #[arg(
         long,
         global = true,
@@ -27,40 +27,40 @@
         default_value = "127.0.0.1:8700"
     )]
     pub server: String,
-    /// A file with the bearer token; the variable MADDERPITCH_TOKEN may hold the token itself.
+    /// File with the bearer token; if absent, the token is read from the variable MADDERPITCH_TOKEN.
     #[arg(long, global = true, env = "MADDERPITCH_TOKEN_FILE")]
     pub token_file: Option<PathBuf>,
-    /// Print answers as JSON instead of tables.
+    /// Print responses as JSON instead of tables.
     #[arg(long, global = true)]
     pub json: bool,
-    /// Wait for an answer so many seconds.
+    /// Seconds to wait for a response.
     #[arg(long, global = true, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=3600))]
     pub timeout: u64,
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// The commands.
 #[derive(Subcommand)]
 pub enum Command {
-    /// List, make, change, pause and remove tenants.
+    /// List, create, change, pause and remove tenants.
     #[command(subcommand)]
     Tenants(TenantCommand),
-    /// Add and remove what a tenant's clients name themselves with.
+    /// Add and remove the secrets with which a tenant's clients authenticate.
     #[command(subcommand)]
     Secrets(SecretCommand),
-    /// Call at a relay's door for operators; the API and its token are not needed.
+    /// Send a command to a relay's control socket; needs neither the API nor a token.
     Control(ControlArguments),
-    /// Look through messages that were given up, and send them again.
+    /// Inspect, resend and discard undeliverable messages.
     #[command(subcommand)]
     Undeliverable(UndeliverableCommand),
-    /// Show the newest changes, the newest first.
+    /// Show the latest entries of the audit log, newest first.
     Audit(AuditArguments),
-    /// Show how the registry does.
+    /// Show the state of the tenant registry.
     Status,
-    /// Print the API's document.
+    /// Print the API's OpenAPI document.
     Openapi,
-    /// Make a bearer token, and what the operator file needs to know of it. Nothing is asked of a server.
+    /// Create a bearer token and its entry for the operator file, without contacting a server.
     Token(TokenArguments),
 }
--- a/crates/relayctl/src/audit.rs
+++ b/crates/relayctl/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit log: arguments, request and table. The comments on options are the usage texts.
+//! The audit log: arguments, request and table. The doc comments on options are the help texts.
 
 use std::collections::BTreeSet;
 
@@ -10,10 +10,10 @@
 use crate::input::path_segment;
 use crate::output::{array_items, cell, rows_table, NO_VALUE};
 
-/// The audit log.
+/// Path of the audit log.
 const AUDIT_PATH: &str = "/v1/audit";
 
-/// The headings of the audit log.
+/// The headings of the audit log's table.
 const HEADINGS: [&str; 8] = [
     "seq",
     "at",
@@ -25,13 +25,13 @@
     "what changed",
 ];
 
-/// Which entries are shown.
+/// Selects the entries to show.
 #[derive(Args)]
 pub struct AuditArguments {
-    /// Of this tenant alone.
+    /// Only entries of this tenant.
     #[arg(long)]
     pub tenant: Option<String>,
-    /// So many at most.
+    /// Maximum number of entries.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u16).range(1..=1000))]
     pub limit: u16,
 }
@@ -39,7 +39,7 @@
 /// Prints the newest entries of the audit log.
 ///
 /// # Errors
-/// The tenant's name is wrong, or a request failed.
+/// The tenant's name is not valid, or a request failed.
 pub async fn run(context: &CommandContext, arguments: &AuditArguments) -> Result<(), CommandError> {
     let filter = match &arguments.tenant {
         Some(tenant) => format!("tenant={}&", path_segment(tenant)?),
@@ -55,7 +55,7 @@
     Ok(())
 }
 
-/// Entries, one per line.
+/// Formats entries, one per line.
 fn audit_table<'a>(entries: impl IntoIterator<Item = &'a Value>) -> String {
     let row = |entry: &Value| {
         let version = entry["to"].get("version").or(entry["from"].get("version"));
@@ -73,7 +73,7 @@
     rows_table(HEADINGS, entries.into_iter().map(row))
 }
 
-/// The fields of a specification that differ: `weight 100 > 300`.
+/// Lists the fields of a specification that differ, with the old and the new value: `weight 100 > 300`.
 fn changed_fields(from: &Value, to: &Value) -> String {
     let (Some(before), Some(after)) = (from["spec"].as_object(), to["spec"].as_object()) else {
         return NO_VALUE.into();
--- a/crates/relayctl/src/client.rs
+++ b/crates/relayctl/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the administration API, over TCP or a Unix socket: one connection per request.
+//! HTTP client for the administration API, over TCP or a Unix socket, with one connection per request.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 
 /// Media type of request bodies.
 pub const JSON: &str = "application/json";
-/// Media type of a change of some fields (RFC 7396).
+/// Media type of a JSON merge patch (RFC 7396), which changes some fields.
 pub const MERGE_PATCH_JSON: &str = "application/merge-patch+json";
 
-/// The longest response body that is read, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
-/// How many times a request is sent at most, the first attempt included.
+/// Maximum number of attempts to send a request, the first one included.
 const MAX_ATTEMPTS: u32 = 5;
-/// The time between the first and the second attempt. It doubles before each further one.
+/// Delay between the first and the second attempt; it doubles before each further attempt.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// The `Host` header of requests over a Unix socket.
 const UNIX_SOCKET_HOST: &str = "localhost";
@@ -43,7 +43,8 @@
     content: Value,
 }
 
-/// A request to the API. A change needs an idempotency key or a precondition, because it may be sent several times.
+/// A request to the API. A request that changes something needs an idempotency key or a precondition, because it may be
+/// sent several times.
 #[derive(Clone, Debug)]
 pub struct ApiRequest {
     method: Method,
@@ -53,7 +54,7 @@
 }
 
 impl ApiRequest {
-    /// A request for a path, which may have a query.
+    /// Creates a request for a path, which may include a query.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         ApiRequest {
             method,
@@ -63,17 +64,17 @@
         }
     }
 
-    /// A `GET` request.
+    /// Creates a `GET` request.
     pub fn get(path: impl Into<String>) -> Self {
         ApiRequest::new(Method::GET, path)
     }
 
-    /// A `POST` request.
+    /// Creates a `POST` request.
     pub fn post(path: impl Into<String>) -> Self {
         ApiRequest::new(Method::POST, path)
     }
 
-    /// Adds a header, whose name is in lower case.
+    /// Adds a header. The name must be in lower case.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
@@ -97,7 +98,8 @@
 }
 
 impl Client {
-    /// A client of the API at an address and port, or at `unix:` and a path. The timeout is that of one attempt.
+    /// Creates a client for the API at `server`: an address and port, or `unix:` and a path. The timeout applies to each
+    /// attempt.
     pub fn new(server: String, token: Option<String>, timeout: Duration) -> Self {
         Client {
             server,
@@ -109,12 +111,12 @@
     /// Sends a `GET` request.
     ///
     /// # Errors
-    /// As of [`Client::send`].
+    /// Those of [`Client::send`].
     pub async fn get(&self, path: impl Into<String>) -> Result<ApiResponse, CommandError> {
         self.send(ApiRequest::get(path)).await
     }
 
-    /// Sends a request, and again while the server is busy or cannot be reached.
+    /// Sends a request, and retries it while the server is busy or unreachable, up to [`MAX_ATTEMPTS`] attempts.
     ///
     /// # Errors
     /// The error of the last attempt.
@@ -123,7 +125,7 @@
         for attempt in 1.. {
             let result = tokio::time::timeout(self.timeout, self.attempt(&request))
                 .await
-                .unwrap_or_else(|_| Err(self.unreachable("no answer in time")));
+                .unwrap_or_else(|_| Err(self.unreachable("no response within the timeout")));
             let is_transient = result.as_ref().is_err_and(CommandError::is_transient);
             if !is_transient || attempt == MAX_ATTEMPTS {
                 return result;
@@ -131,7 +133,9 @@
             tokio::time::sleep(backoff).await;
             backoff *= 2;
         }
-        Err(CommandError::UnexpectedResponse("no try was made".into()))
+        Err(CommandError::UnexpectedResponse(
+            "no attempt was made".into(),
+        ))
     }
 
     async fn attempt(&self, request: &ApiRequest) -> Result<ApiResponse, CommandError> {
@@ -172,8 +176,8 @@
         tokio::select! {
             biased;
             response = response => response,
-            // The connection ends only after the response, or with an error that the request reports.
-            _ = connection => Err(self.unreachable("the connection ended")),
+            // The connection ends only after the response, or with an error that the request reports as well.
+            _ = connection => Err(self.unreachable("the connection was closed")),
         }
     }
 
@@ -217,7 +221,9 @@
 }
 
 fn unsendable(description: &str) -> CommandError {
-    CommandError::InvalidInput(format!("{description} has characters that can't be sent"))
+    CommandError::InvalidInput(format!(
+        "{description} contains characters that cannot be sent"
+    ))
 }
 
 fn read_response(
@@ -243,7 +249,7 @@
     })
 }
 
-/// A problem body (RFC 9457) as one text.
+/// Formats a problem body (RFC 9457) as one text.
 fn problem_text(status: StatusCode, body: &Value) -> String {
     let member = |name: &str| body.get(name).and_then(Value::as_str);
     let mut text = member("title")
--- a/crates/relayctl/src/context.rs
+++ b/crates/relayctl/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command has: the client, the output format, and requests that several resources make alike.
+//! Context shared by all commands: the client, the output format, and requests that several resources have in common.
 
 use serde_json::Value;
 
@@ -6,24 +6,24 @@
 use crate::error::CommandError;
 use crate::output::OutputFormat;
 
-/// Items on one page of a list at most; the API allows no more.
+/// Maximum number of items on a page of a list, which is the API's limit.
 pub const MAX_PAGE_ITEMS: usize = 200;
 
-/// What a command runs with.
+/// The context in which a command runs.
 pub struct CommandContext {
-    /// The API.
+    /// The client of the administration API.
     pub client: Client,
     /// How responses are printed.
     pub output: OutputFormat,
 }
 
 impl CommandContext {
-    /// Prints a value, formatted by `table` if it is for people.
+    /// Prints a value, formatted by `table` in [`OutputFormat::Table`].
     pub fn print(&self, value: &Value, table: impl FnOnce(&Value) -> String) {
         self.output.print(value, table);
     }
 
-    /// The items of a list's pages, up to a maximum. The list's address ends with `?` or `&`.
+    /// Fetches a list page by page, up to a maximum number of items. The list's path must end with `?` or `&`.
     ///
     /// # Errors
     /// A page could not be read.
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Changes a resource in the version that was given, or else in its current one.
+    /// Sends a change of a resource, on condition that the resource has the given version, or its current one if none is
+    /// given.
     ///
     /// # Errors
     /// The request failed, or the resource has no entity tag.
@@ -61,7 +62,7 @@
         let entity_tag = match version {
             Some(version) => format!("\"{version}\""),
             None => {
-                self.current_entity_tag(resource, "what is shown has no ETag")
+                self.current_entity_tag(resource, "the resource has no ETag")
                     .await?
             }
         };
@@ -70,7 +71,7 @@
             .await
     }
 
-    /// The entity tag that a resource has now; `missing` is the error's text if it has none.
+    /// Fetches a resource's current entity tag; `missing` is the error's text if it has none.
     ///
     /// # Errors
     /// The request failed, or the resource has no entity tag.
--- a/crates/relayctl/src/control.rs
+++ b/crates/relayctl/src/control.rs
@@ -1,5 +1,5 @@
-//! The control socket of a relay: arguments, and one command per connection. It needs neither the API nor a token. The
-//! comments on commands and options are the usage texts.
+//! Client of a relay's control socket: arguments, and one command per connection. It needs neither the API nor a token.
+//! The doc comments on commands and options are the help texts.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,18 +12,18 @@
 use crate::error::CommandError;
 use crate::output::OutputFormat;
 
-/// The longest reply that is read, in bytes: three metrics for each of 256 classes with long names are shorter.
+/// Maximum length of a reply, in bytes. Three metrics for each of 256 classes with long names fit.
 const MAX_REPLY_BYTES: usize = 1 << 20;
 /// The size of the buffer for one read, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// The control socket and the command for it.
+/// Arguments of the `control` command.
 #[derive(Args)]
 pub struct ControlArguments {
-    /// The door: the address and port at `control` in the relay's configuration.
+    /// Control socket: the address and port at `control` in the relay's configuration.
     #[arg(long = "at", value_name = "AT", env = "BALANCER_CONTROL")]
     address: SocketAddr,
-    /// The call.
+    /// Command to send.
     #[arg(value_enum, value_name = "CALL")]
     command: ControlCommand,
 }
@@ -31,13 +31,13 @@
 /// The commands of the control protocol.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum ControlCommand {
-    /// Whether the process takes clients.
+    /// Check whether the relay accepts clients.
     Ready,
-    /// The figures.
+    /// Print the metrics.
     ShowStat,
-    /// Empty the relay.
+    /// Drain the relay.
     Drain,
-    /// Back to work.
+    /// Resume normal operation.
     Resume,
 }
 
@@ -55,7 +55,7 @@
 /// Sends a command and prints the reply.
 ///
 /// # Errors
-/// The socket cannot be reached, the relay rejects the command, or its reply is not of the protocol.
+/// The socket cannot be reached, the relay rejects the command, or its reply does not follow the protocol.
 pub fn run(
     arguments: &ControlArguments,
     output: OutputFormat,
@@ -65,7 +65,8 @@
     Ok(())
 }
 
-/// Sends a command; what is to be printed. A `fail` reply is an error that scripts know by its exit code.
+/// Sends a command and returns the text to print. A `fail` reply is a conflict error, which scripts recognize by its
+/// exit code.
 fn execute(
     arguments: &ControlArguments,
     output: OutputFormat,
@@ -79,7 +80,7 @@
     })?;
     let (first_line, metrics) = reply
         .split_once('\n')
-        .ok_or_else(|| unexpected("half a line"))?;
+        .ok_or_else(|| unexpected("incomplete line"))?;
     if let Some(reason) = first_line.strip_prefix("fail") {
         return Err(CommandError::conflict(reason.trim()));
     }
@@ -94,11 +95,11 @@
     }
 }
 
-/// The lines `name=value` between the first line and `eof`, as they came or as a JSON object.
+/// Formats the lines `name=value` between the first line and `eof`: as received, or as a JSON object.
 fn format_metrics(metrics: &str, output: OutputFormat) -> Result<String, CommandError> {
     let metrics = metrics
         .strip_suffix("eof\n")
-        .ok_or_else(|| unexpected("no eof"))?;
+        .ok_or_else(|| unexpected("missing eof line"))?;
     if output == OutputFormat::Table {
         return Ok(metrics.into());
     }
@@ -107,7 +108,7 @@
         Some((name.to_string(), Value::from(value.parse::<u64>().ok()?)))
     };
     let values: Option<Map<String, Value>> = metrics.lines().map(parse_metric).collect();
-    let values = values.ok_or_else(|| unexpected("a line that is no figure"))?;
+    let values = values.ok_or_else(|| unexpected("a line that is not a metric"))?;
     Ok(format!("{}\n", Value::from(values)))
 }
 
@@ -115,12 +116,12 @@
     CommandError::UnexpectedResponse(reply.into())
 }
 
-/// Sends one command and reads the reply up to the end of the connection. The timeout is that of all of it.
+/// Sends one command and reads the reply up to the end of the connection. The timeout applies to the whole exchange.
 fn exchange(address: SocketAddr, command: Command, timeout: Duration) -> io::Result<String> {
     let deadline = Instant::now() + timeout;
     let remaining_time = || {
         let remaining = deadline.saturating_duration_since(Instant::now());
-        let timed_out = || io::Error::new(ErrorKind::TimedOut, "no answer in time");
+        let timed_out = || io::Error::new(ErrorKind::TimedOut, "no response within the timeout");
         (!remaining.is_zero())
             .then_some(remaining)
             .ok_or_else(timed_out)
@@ -135,12 +136,12 @@
         match stream.read(&mut buffer) {
             Ok(0) => return String::from_utf8(reply).map_err(io::Error::other),
             Ok(length) => reply.extend_from_slice(&buffer[..length]),
-            // The read timed out; the next turn reports it.
+            // The read timed out, which the next iteration reports.
             Err(e) if e.kind() == ErrorKind::WouldBlock => {}
             Err(e) => return Err(e),
         }
     }
-    Err(io::Error::other("the answer is too long"))
+    Err(io::Error::other("the reply is too long"))
 }
 
 #[cfg(test)]
--- a/crates/relayctl/src/control/tests.rs
+++ b/crates/relayctl/src/control/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 
-/// A control socket that sends this reply, and the thread that gives the line it received.
+/// Starts a control socket that sends this reply. The thread returns the line that it received.
 fn control_socket(reply: &'static str) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -17,7 +17,7 @@
     (address, received)
 }
 
-/// What a command prints when it gets this reply, and the line that was sent.
+/// The result of a command that receives this reply, and the line that it sent.
 fn execute_with_reply(
     command: ControlCommand,
     reply: &'static str,
--- a/crates/relayctl/src/credentials.rs
+++ b/crates/relayctl/src/credentials.rs
@@ -8,17 +8,17 @@
 
 use crate::error::CommandError;
 
-/// Random bytes in a credential: 256 bits, 43 characters of text.
+/// Number of random bytes in a credential: 256 bits, which make 43 characters of text.
 const CREDENTIAL_BYTES: usize = 32;
 
-/// Random text of 256 bits from the system's generator.
+/// Generates a random text of 256 bits from the system's generator.
 ///
 /// # Errors
-/// The system has no random numbers.
+/// The system cannot provide random numbers.
 pub fn random_text() -> Result<String, CommandError> {
     let mut bytes = [0; CREDENTIAL_BYTES];
     SysRng.try_fill_bytes(&mut bytes).map_err(|e| {
-        CommandError::InvalidInput(format!("the system gives no random numbers: {e}"))
+        CommandError::InvalidInput(format!("cannot get random numbers from the system: {e}"))
     })?;
     Ok(URL_SAFE_NO_PAD.encode(bytes))
 }
--- a/crates/relayctl/src/error.rs
+++ b/crates/relayctl/src/error.rs
@@ -1,14 +1,14 @@
-//! Why a command failed, and the exit code by which a script can distinguish the causes.
+//! Errors of commands, and the exit codes by which scripts distinguish them.
 
-/// Exit code: none of the other causes.
+/// Exit code: any failure that has no code of its own.
 const EXIT_OTHER: u8 = 1;
-/// Exit code: the arguments are wrong. The command-line parser uses the same.
+/// Exit code: the arguments are not valid. The command-line parser uses the same code.
 const EXIT_INVALID_INPUT: u8 = 2;
 /// Exit code: the resource does not exist.
 const EXIT_NOT_FOUND: u8 = 3;
-/// Exit code: the resource is in another state than the command requires, or in the requested one already.
+/// Exit code: the resource is not in the state that the command requires, or is already in the requested one.
 const EXIT_CONFLICT: u8 = 4;
-/// Exit code: the token is missing, unknown or not sufficient.
+/// Exit code: the token is missing, unknown or lacks the required permissions.
 const EXIT_FORBIDDEN: u8 = 5;
 /// Exit code: no response arrived.
 const EXIT_UNREACHABLE: u8 = 6;
@@ -23,29 +23,29 @@
     /// No response arrived.
     #[error("{server} cannot be reached: {reason}")]
     Unreachable {
-        /// The server's address as it was given.
+        /// The server's address as given.
         server: String,
-        /// The error of the connection, or the timeout.
+        /// The connection's error, or that the timeout expired.
         reason: String,
     },
-    /// The server answered with an error.
+    /// The server responded with an error.
     #[error("{detail}")]
     Rejected {
-        /// Its HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// Its text.
+        /// Error text of the response.
         detail: String,
     },
-    /// The response does not follow the API's document or the control protocol.
-    #[error("the answer is none of the administration API's: {0}")]
+    /// The response does not conform to the API's OpenAPI document or to the control protocol.
+    #[error("unexpected response: {0}")]
     UnexpectedResponse(String),
-    /// The request cannot be made from what was given.
+    /// The input is not valid, or the command cannot run with it.
     #[error("{0}")]
     InvalidInput(String),
 }
 
 impl CommandError {
-    /// The server's answer to a command that its state does not allow.
+    /// An error as for a response with status 409: the server's state does not allow the command.
     pub fn conflict(detail: &str) -> Self {
         CommandError::Rejected {
             status: 409,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// A condition that has not been met in time, and may be later.
+    /// An error as for a response with status 503: a condition was not met in time, but may be met later.
     pub fn not_yet(detail: String) -> Self {
         CommandError::Rejected {
             status: 503,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether the resource does not exist, or no longer.
+    /// Whether the resource does not exist, or has been removed.
     pub fn is_not_found(&self) -> bool {
         matches!(
             self,
@@ -72,7 +72,7 @@
         )
     }
 
-    /// Whether the same request may succeed a moment later.
+    /// Whether the same request may succeed if it is retried shortly after.
     pub fn is_transient(&self) -> bool {
         matches!(
             self,
--- a/crates/relayctl/src/main.rs
+++ b/crates/relayctl/src/main.rs
@@ -1,5 +1,5 @@
-//! `relayctl`: a relay's tenants and undeliverable messages from a shell. It knows the administration API's document
-//! and the control protocol, not the relay.
+//! `relayctl`: administers a relay's tenants and undeliverable messages from a shell. It depends on the administration
+//! API's document and on the control protocol, but not on the relay.
 
 mod arguments;
 mod audit;
@@ -28,7 +28,7 @@
 use error::CommandError;
 use output::OutputFormat;
 
-/// Holds the bearer token if no file is named.
+/// The environment variable that holds the bearer token if no token file is given.
 const TOKEN_VARIABLE: &str = "MADDERPITCH_TOKEN";
 
 fn main() -> ExitCode {
@@ -48,7 +48,7 @@
     } else {
         OutputFormat::Table
     };
-    // The control socket needs no token, so that none is read.
+    // The control socket needs no token, so none is read.
     if let Command::Control(control) = &arguments.command {
         return control::run(control, output, timeout);
     }
@@ -62,7 +62,7 @@
     runtime.block_on(run_command(&context, arguments.command))
 }
 
-/// The token of a file, or else of the environment; none if that is empty.
+/// Reads the token from the file, or from the environment if there is no file; none if the variable is unset or empty.
 fn bearer_token(file: Option<&Path>) -> Result<Option<String>, CommandError> {
     match file {
         Some(path) => Ok(Some(input::read_text(path)?.trim().to_string())),
@@ -76,7 +76,7 @@
     match command {
         Command::Tenants(command) => tenants::run(context, command).await,
         Command::Secrets(command) => secrets::run(context, command).await,
-        // Run before there is a client of the API.
+        // Handled in `run`, before the API client is created.
         Command::Control(_) => Ok(()),
         Command::Undeliverable(command) => undeliverable::run(context, command).await,
         Command::Audit(arguments) => audit::run(context, &arguments).await,
--- a/crates/relayctl/src/output.rs
+++ b/crates/relayctl/src/output.rs
@@ -1,9 +1,9 @@
-//! Tables for people, and JSON for scripts.
+//! Output as tables for people, or as JSON for scripts.
 
 use comfy_table::{presets, ContentArrangement, Table};
 use serde_json::Value;
 
-/// A cell without a value.
+/// The text of a cell without a value.
 pub const NO_VALUE: &str = "-";
 
 /// How responses are printed.
@@ -11,12 +11,12 @@
 pub enum OutputFormat {
     /// As tables.
     Table,
-    /// As they came, one JSON document per line.
+    /// As received, one JSON document per line.
     Json,
 }
 
 impl OutputFormat {
-    /// Prints a value, formatted by `table` if it is for people.
+    /// Prints a value, formatted by `table` in [`OutputFormat::Table`].
     pub fn print(self, value: &Value, table: impl FnOnce(&Value) -> String) {
         match self {
             OutputFormat::Json => println!("{value}"),
@@ -25,12 +25,12 @@
     }
 }
 
-/// The items of a JSON array; none if it is something else.
+/// The items of a JSON array; none if the value is not an array.
 pub fn array_items(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-/// A value as it stands in a cell.
+/// Formats a value as the text of a cell.
 pub fn cell(value: Option<&Value>) -> String {
     match value {
         None | Some(Value::Null) => NO_VALUE.into(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// A table without lines, as wide as its content.
+/// Creates a table without borders, as wide as its content.
 fn plain_table() -> Table {
     let mut table = Table::new();
     table
@@ -54,12 +54,12 @@
     table
 }
 
-/// The heading of a column that shows a field.
+/// The heading of a field's column.
 fn heading(field: &str) -> String {
     field.replace('_', " ")
 }
 
-/// A table with headings and one line per row.
+/// Formats a table with headings and one line per row.
 pub fn rows_table<const COLUMNS: usize>(
     headings: [&str; COLUMNS],
     rows: impl IntoIterator<Item = [String; COLUMNS]>,
@@ -70,7 +70,7 @@
     text(&table)
 }
 
-/// A table with one line per object and one column per field.
+/// Formats a table with one line per object and one column per field.
 pub fn objects_table<'a>(fields: &[&str], items: impl IntoIterator<Item = &'a Value>) -> String {
     let mut table = plain_table();
     table.set_header(fields.iter().map(|field| heading(field).to_uppercase()));
@@ -80,7 +80,7 @@
     text(&table)
 }
 
-/// An object with one line per field.
+/// Formats an object as a table with one line per field.
 pub fn fields_table(value: &Value) -> String {
     let mut table = plain_table();
     for (name, value) in value.as_object().into_iter().flatten() {
@@ -89,7 +89,7 @@
     text(&table)
 }
 
-/// A table's text without the space that the library puts around each line.
+/// Renders a table without the padding that the library adds around each line.
 fn text(table: &Table) -> String {
     let trimmed = |line: String| {
         let line = line.strip_prefix(' ').unwrap_or(&line).trim_end();
--- a/crates/relayctl/src/secrets.rs
+++ b/crates/relayctl/src/secrets.rs
@@ -1,4 +1,4 @@
-//! Tenants' secrets: arguments and requests. The comments on commands and options are the usage texts.
+//! Tenants' secrets: arguments and requests. The doc comments on commands and options are the help texts.
 
 use clap::Subcommand;
 use hyper::Method;
@@ -15,23 +15,23 @@
 /// The commands on secrets.
 #[derive(Subcommand)]
 pub enum SecretCommand {
-    /// Make a secret and print it; only its digest is sent, and it is shown this once.
+    /// Create a secret and print it; only its digest is sent, so the secret is shown only once.
     Add {
-        /// The tenant.
+        /// Tenant name.
         tenant: String,
-        /// The secret's name among the tenant's.
+        /// ID of the secret within the tenant.
         id: String,
-        /// Only in this version.
+        /// Apply the change only to this version; to the current one if absent.
         #[arg(long)]
         if_version: Option<String>,
     },
-    /// Take a secret away.
+    /// Remove a secret.
     Remove {
-        /// The tenant.
+        /// Tenant name.
         tenant: String,
-        /// The secret's name among the tenant's.
+        /// ID of the secret within the tenant.
         id: String,
-        /// Only in this version.
+        /// Apply the change only to this version; to the current one if absent.
         #[arg(long)]
         if_version: Option<String>,
     },
@@ -40,7 +40,7 @@
 /// Runs a command on secrets.
 ///
 /// # Errors
-/// The arguments are wrong, or a request failed.
+/// The arguments are not valid, or a request failed.
 pub async fn run(context: &CommandContext, command: SecretCommand) -> Result<(), CommandError> {
     match command {
         SecretCommand::Add {
--- a/crates/relayctl/src/server.rs
+++ b/crates/relayctl/src/server.rs
@@ -1,12 +1,12 @@
-//! What a server reports of itself: the state of its tenant registry, and the API's document.
+//! Commands that query the server itself: the state of its tenant registry, and the API's OpenAPI document.
 
 use crate::context::CommandContext;
 use crate::error::CommandError;
 use crate::output::fields_table;
 
-/// The state of the tenant registry.
+/// Path of the tenant registry's state.
 const STATUS_PATH: &str = "/v1/status";
-/// The OpenAPI document.
+/// Path of the OpenAPI document.
 const DOCUMENT_PATH: &str = "/v1/openapi.json";
 
 /// Prints the state of the tenant registry.
@@ -19,7 +19,7 @@
     Ok(())
 }
 
-/// Prints the API's document, as JSON in each output format.
+/// Prints the API's OpenAPI document, as JSON in every output format.
 ///
 /// # Errors
 /// The request failed.
--- a/crates/relayctl/src/tenants.rs
+++ b/crates/relayctl/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: requests. The arguments and the tables have modules of their own.
+//! Tenants: requests. The arguments and the tables are in modules of their own.
 
 pub mod arguments;
 mod table;
@@ -19,17 +19,17 @@
 use arguments::{SpecArguments, SpecField, TenantCommand};
 pub use table::tenants_table;
 
-/// The tenants in the token's scope.
+/// Path of the list of tenants.
 const TENANTS_PATH: &str = "/v1/tenants";
 /// The interval at which a draining tenant is polled.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// The burst that a rate has without one of its own is at most this.
+/// Upper bound of the burst that is derived from a rate if none is given.
 const MAX_DEFAULT_BURST: f64 = 1e6;
 
 /// Runs a command on tenants.
 ///
 /// # Errors
-/// The arguments are wrong, or a request failed.
+/// The arguments are not valid, or a request failed.
 pub async fn run(context: &CommandContext, command: TenantCommand) -> Result<(), CommandError> {
     let response = match command {
         TenantCommand::List => return list(context).await,
@@ -77,18 +77,18 @@
     Ok(())
 }
 
-/// The path of a tenant, and what follows it.
+/// The path of a tenant, followed by `rest`.
 ///
 /// # Errors
-/// The name cannot be a tenant's.
+/// The name is not valid.
 pub fn tenant_path(name: &str, rest: &str) -> Result<String, CommandError> {
     Ok(format!("{TENANTS_PATH}/{}{rest}", path_segment(name)?))
 }
 
-/// Changes a tenant in the version that was given, or else in its current one.
+/// Sends a change of a tenant, on condition that the tenant has the given version, or its current one if none is given.
 ///
 /// # Errors
-/// The name is wrong, or a request failed.
+/// The name is not valid, or a request failed.
 pub async fn change_tenant(
     context: &CommandContext,
     name: &str,
@@ -155,14 +155,15 @@
     file: &Path,
     if_version: Option<String>,
 ) -> Result<ApiResponse, CommandError> {
-    let spec: Value = serde_json::from_str(&read_text(file)?)
-        .map_err(|e| CommandError::InvalidInput(format!("{} is no JSON: {e}", file.display())))?;
+    let spec: Value = serde_json::from_str(&read_text(file)?).map_err(|e| {
+        CommandError::InvalidInput(format!("{} is not valid JSON: {e}", file.display()))
+    })?;
     let request =
         ApiRequest::new(Method::PUT, tenant_path(name, "")?).body(JSON, json!({"spec": spec}));
     change_tenant(context, name, if_version, request).await
 }
 
-/// The fields of a specification that were arguments.
+/// The fields of a specification that were given as arguments.
 fn spec_fields(arguments: &SpecArguments) -> Map<String, Value> {
     let rate = arguments.rate.map(|per_second| {
         let default_burst = || per_second.ceil().clamp(1.0, MAX_DEFAULT_BURST) as u32;
@@ -189,7 +190,7 @@
         .collect()
 }
 
-/// A merge patch (RFC 7396): the fields that were given, and null for those that are cleared.
+/// A merge patch (RFC 7396): the fields that were given, and null for those to clear.
 fn spec_patch(
     arguments: &SpecArguments,
     clear: &[SpecField],
@@ -201,12 +202,14 @@
             .map(|field| (field.api_name().to_string(), Value::Null)),
     );
     if patch.is_empty() {
-        return Err(CommandError::InvalidInput("nothing is to be set".into()));
+        return Err(CommandError::InvalidInput(
+            "no field to set or clear is given".into(),
+        ));
     }
     Ok(patch)
 }
 
-/// Waits until a removed incarnation of a tenant has drained. A new tenant may have its name already.
+/// Waits until a removed incarnation of a tenant has drained. A new tenant may already have its name.
 ///
 /// # Errors
 /// A request failed, or the tenant has not drained in time.
@@ -236,7 +239,7 @@
     }
 }
 
-/// The first part of a version such as `2.7`. Each tenant that has the name gets a new one.
+/// The first part of a version such as `2.7`. Each new tenant of the same name gets another one.
 fn incarnation(version: &Value) -> Option<&str> {
     Some(version.as_str()?.split_once('.')?.0)
 }
--- a/crates/relayctl/src/tenants/arguments.rs
+++ b/crates/relayctl/src/tenants/arguments.rs
@@ -1,4 +1,4 @@
-//! Arguments of the commands on tenants. The comments on commands and options are the usage texts.
+//! Arguments of the commands on tenants. The doc comments on commands and options are the help texts.
 
 use std::path::PathBuf;
 
@@ -11,85 +11,85 @@
     List,
     /// Show a tenant.
     Show {
-        /// Its name.
+        /// Tenant name.
         name: String,
     },
-    /// Make a tenant.
+    /// Create a tenant.
     Create {
-        /// Its name.
+        /// Tenant name.
         name: String,
-        /// The fields of its specification.
+        /// The fields of the specification.
         #[command(flatten)]
         spec: SpecArguments,
     },
-    /// Change parts of a tenant's specification.
+    /// Change fields of a tenant's specification.
     Set {
-        /// Its name.
+        /// Tenant name.
         name: String,
-        /// The fields of its specification.
+        /// The fields of the specification.
         #[command(flatten)]
         spec: SpecArguments,
-        /// Back to the default; may be given several times.
+        /// Field to reset to its default; may be given several times.
         #[arg(long, value_enum)]
         clear: Vec<SpecField>,
-        /// Only in this version.
+        /// Apply the change only to this version; to the current one if absent.
         #[arg(long)]
         if_version: Option<String>,
     },
-    /// Put the specification of a file in place of a tenant's.
+    /// Replace a tenant's specification with that of a file.
     Replace {
-        /// Its name.
+        /// Tenant name.
         name: String,
-        /// JSON, such as {"weight": 300}; - for standard input.
+        /// File with the specification as JSON, such as {"weight": 300}; - for standard input.
         #[arg(long)]
         from: PathBuf,
-        /// Only in this version.
+        /// Apply the change only to this version; to the current one if absent.
         #[arg(long)]
         if_version: Option<String>,
     },
-    /// Take nothing more on and send nothing new.
+    /// Pause a tenant: accept no more messages and send no new ones.
     Pause {
-        /// Its name.
+        /// Tenant name.
         name: String,
-        /// Only in this version.
+        /// Apply the change only to this version; to the current one if absent.
         #[arg(long)]
         if_version: Option<String>,
     },
-    /// Let a paused tenant go on.
+    /// Resume a paused tenant.
     Resume {
-        /// Its name.
+        /// Tenant name.
         name: String,
-        /// Only in this version.
+        /// Apply the change only to this version; to the current one if absent.
         #[arg(long)]
         if_version: Option<String>,
     },
     /// Remove a tenant.
     Remove {
-        /// Its name.
+        /// Tenant name.
         name: String,
-        /// What becomes of its messages, in place of what its specification says.
+        /// What happens to the tenant's messages, overriding its specification.
         #[arg(long, value_enum)]
         on_removal: Option<OnRemoval>,
-        /// Wait so many seconds until it has drained.
+        /// Maximum number of seconds to wait until the tenant has drained; no wait if absent.
         #[arg(long)]
         wait: Option<u64>,
-        /// Only in this version.
+        /// Apply the change only to this version; to the current one if absent.
         #[arg(long)]
         if_version: Option<String>,
     },
-    /// Show what a tenant has in the relay, and what passed since the relay's start.
+    /// Show a tenant's messages in the relay, and its counts since the relay's start.
     Usage {
-        /// Its name.
+        /// Tenant name.
         name: String,
     },
 }
 
-/// What becomes of a removed tenant's messages.
+/// What happens to a removed tenant's messages.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum OnRemoval {
-    /// What is held goes on to its end.
+    /// Held messages are still processed to their end.
     Finish,
-    /// What is held ends at once.
+    /// Held messages end at once.
     Refuse,
 }
 
@@ -100,20 +100,20 @@
     Weight,
     /// The rate and its burst.
     Rate,
-    /// The most held.
+    /// The maximum of held messages.
     MaxHeld,
-    /// The most in flight.
+    /// The maximum of messages in flight.
     MaxInFlight,
     /// The classes.
     Classes,
     /// The destinations.
     Destinations,
-    /// What becomes of messages at a removal.
+    /// What happens to messages on removal.
     OnRemoval,
 }
 
 impl SpecField {
-    /// Its name in the API.
+    /// The field's name in the API.
     pub fn api_name(self) -> &'static str {
         match self {
             SpecField::Weight => "weight",
@@ -127,31 +127,31 @@
     }
 }
 
-/// The parts of a specification that are set.
+/// The fields of a specification to set.
 #[derive(Args)]
 pub struct SpecArguments {
-    /// Its part against those of the other tenants, from 1 to 10000.
+    /// Weight relative to those of the other tenants, from 1 to 10000.
     #[arg(long)]
     pub weight: Option<u32>,
-    /// Messages a second that it may hand in.
+    /// Messages per second that the tenant may submit.
     #[arg(long)]
     pub rate: Option<f64>,
-    /// Messages that may come at once, with a rate; as many as come in a second if absent.
+    /// Messages that may arrive at once, with a rate; as many as the rate allows per second if absent.
     #[arg(long, requires = "rate")]
     pub burst: Option<u32>,
-    /// Messages held at most.
+    /// Maximum number of held messages.
     #[arg(long)]
     pub max_held: Option<u32>,
-    /// Messages out in calls at most.
+    /// Maximum number of messages in flight.
     #[arg(long)]
     pub max_in_flight: Option<u32>,
-    /// A class that it may hand in; may be given several times.
+    /// Class of messages that the tenant may submit; may be given several times.
     #[arg(long = "class")]
     pub classes: Vec<String>,
-    /// A destination, or a range such as 10-19, that its messages may go to; may be given several times.
+    /// Destination, or range such as 10-19, that the tenant's messages may go to; may be given several times.
     #[arg(long = "destination")]
     pub destinations: Vec<String>,
-    /// What becomes of its messages when it is removed.
+    /// What happens to the tenant's messages when it is removed.
     #[arg(long, value_enum)]
     pub on_removal: Option<OnRemoval>,
 }
--- a/crates/relayctl/src/tenants/table.rs
+++ b/crates/relayctl/src/tenants/table.rs
@@ -31,7 +31,7 @@
     "owed",
 ];
 
-/// Tenants, one per line.
+/// Formats tenants, one per line.
 pub fn tenants_table<'a>(tenants: impl IntoIterator<Item = &'a Value>) -> String {
     let row = |tenant: &Value| {
         let spec = &tenant["spec"];
@@ -52,7 +52,7 @@
     rows_table(TENANT_HEADINGS, tenants.into_iter().map(row))
 }
 
-/// A rate and its burst: `2.5/s+9`.
+/// Formats a rate and its burst: `2.5/s+9`.
 fn rate_cell(spec: &Value) -> String {
     match spec.get("rate") {
         Some(rate) if rate.is_object() => {
@@ -63,7 +63,7 @@
     }
 }
 
-/// A tenant's usage, and that of the earlier tenants of its name that still drain.
+/// Formats a tenant's usage, and that of earlier tenants with the same name that are still draining.
 pub fn usage_table(usage: &Value) -> String {
     let draining = array_items(&usage["draining"]);
     objects_table(&USAGE_FIELDS, std::iter::once(usage).chain(draining))
--- a/crates/relayctl/src/token.rs
+++ b/crates/relayctl/src/token.rs
@@ -1,4 +1,4 @@
-//! Bearer tokens, made without a server. The comments on options are the usage texts.
+//! Creates bearer tokens without a server. The doc comments on options are the help texts.
 
 use clap::{Args, ValueEnum};
 use serde_json::json;
@@ -8,34 +8,34 @@
 use crate::input::{choice_name, path_segment};
 use crate::output::OutputFormat;
 
-/// What a token is for.
+/// Arguments of the `token` command.
 #[derive(Args)]
 pub struct TokenArguments {
-    /// Its name in the audit log.
+    /// Name of the bearer in the audit log.
     pub name: String,
-    /// What its bearer may do.
+    /// What the bearer may do.
     #[arg(long, value_enum)]
     pub role: Role,
-    /// A tenant that it is for, or the beginning of names followed by *; may be given several times.
+    /// Tenant that the token is valid for, or a name prefix followed by *; may be given several times.
     #[arg(long = "tenant", default_value = "*")]
     pub tenants: Vec<String>,
 }
 
-/// What a bearer may do.
+/// The permissions of a bearer.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum Role {
-    /// Look at tenants and their usage.
+    /// Read tenants and their usage.
     Viewer,
-    /// Also change, pause, resume, and read the audit log.
+    /// Also change, pause and resume tenants, and read the audit log.
     Operator,
-    /// Also make and remove tenants, and change secrets.
+    /// Also create and remove tenants, and change secrets.
     Admin,
 }
 
-/// Makes a token and prints it with its entry of the operator file.
+/// Creates a token and prints it with its entry for the operator file.
 ///
 /// # Errors
-/// The name is wrong, or the system has no random numbers.
+/// The name is not valid, or the system cannot provide random numbers.
 pub fn create(arguments: &TokenArguments, output: OutputFormat) -> Result<(), CommandError> {
     let name = path_segment(&arguments.name)?;
     let token = random_text()?;
--- a/crates/relayctl/src/undeliverable.rs
+++ b/crates/relayctl/src/undeliverable.rs
@@ -1,5 +1,5 @@
-//! Undeliverable messages: the commands on records, and those on batches of them. The comments on commands and options
-//! are the usage texts.
+//! Undeliverable messages: the commands on records and on batches of records. The doc comments on commands and options
+//! are the help texts.
 
 mod batches;
 mod filter;
@@ -22,55 +22,55 @@
 pub enum UndeliverableCommand {
     /// List records, newest first.
     List {
-        /// The records.
+        /// Selects the records.
         #[command(flatten)]
         filter: FilterArguments,
-        /// So many at most.
+        /// Maximum number of records.
         #[arg(long, default_value_t = 50, value_parser = clap::value_parser!(u32).range(1..=100_000))]
         limit: u32,
     },
-    /// Print records with their stories, a JSON object a line, newest first.
+    /// Print records with their full history, one JSON object per line, newest first.
     Export {
-        /// The records.
+        /// Selects the records.
         #[command(flatten)]
         filter: FilterArguments,
-        /// Into this file, which must not be there; to standard output if absent.
+        /// File to write to, which must not exist yet; standard output if absent.
         #[arg(long)]
         to: Option<PathBuf>,
     },
-    /// Show a record with its whole story.
+    /// Show a record with its full history.
     Show {
-        /// Its number.
+        /// Record number.
         id: u64,
     },
     /// Count records.
     Counts {
-        /// By what.
+        /// Field to count by.
         #[arg(long, value_enum, default_value = "reason")]
         by: CountGroup,
     },
-    /// Show how the store does.
+    /// Show the state of the store.
     Status,
-    /// Set a record aside: until the claim is over nobody else may change it.
+    /// Claim a record: until the claim ends, nobody else may change it.
     Claim(RecordArguments),
-    /// Give a claim up.
+    /// Release a claim.
     Release(RecordArguments),
-    /// Send a message again, if its rules allow that now.
+    /// Resend a message, if the rules for it allow that now.
     Resend(RecordArguments),
     /// Ask the partner whether the message took effect.
     Ask(RecordArguments),
-    /// Say whether a message took effect; two operators who agree stand for the partner's word.
+    /// Attest whether a message took effect; two operators who agree count as the partner's answer.
     Attest {
-        /// The record.
+        /// The record to attest.
         #[command(flatten)]
         record: RecordArguments,
-        /// What is so.
+        /// Whether the message took effect.
         #[arg(long = "says", value_name = "SAYS", value_enum)]
         claim: ExecutionClaim,
     },
-    /// Close a record without more.
+    /// Close a record without further action.
     Discard(RecordArguments),
-    /// Many records under one name.
+    /// Resend many records as a named batch.
     #[command(subcommand)]
     Batch(BatchCommand),
 }
@@ -78,7 +78,7 @@
 /// Runs a command on undeliverable messages.
 ///
 /// # Errors
-/// The arguments are wrong, or a request failed.
+/// The arguments are not valid, or a request failed.
 pub async fn run(
     context: &CommandContext,
     command: UndeliverableCommand,
--- a/crates/relayctl/src/undeliverable/batches.rs
+++ b/crates/relayctl/src/undeliverable/batches.rs
@@ -1,4 +1,4 @@
-//! Batches of undeliverable messages that are resent under one name: arguments and requests.
+//! Named batches of undeliverable messages to resend: arguments and requests.
 
 use clap::{Args, Subcommand};
 use serde_json::{json, Map, Value};
@@ -11,9 +11,9 @@
 use crate::input::path_segment;
 use crate::output::{array_items, fields_table};
 
-/// The batches.
+/// Path of the batches.
 const BATCHES_PATH: &str = "/v1/undeliverable-batches";
-/// The only state whose records a batch may be of.
+/// The only state of records that a batch may select.
 const OPEN_STATE: &str = "open";
 
 /// The commands on batches.
@@ -23,40 +23,40 @@
     List,
     /// Show a batch.
     Show {
-        /// Its name.
+        /// Batch name.
         name: String,
     },
-    /// Count what a batch would find, and keep it; nothing is sent before it is run.
+    /// Create a batch and count the records that it would resend; nothing is sent before it is run.
     Plan {
-        /// Its name.
+        /// Batch name.
         name: String,
-        /// The records, of those that are open now.
+        /// Selects the records, among those that are open now.
         #[command(flatten)]
         filter: FilterArguments,
-        /// Records a second at most, 0.01 to 1000.
+        /// Maximum number of records per second, 0.01 to 1000.
         #[arg(long, default_value_t = 1.0)]
         per_second: f64,
-        /// Records out at once at most, 1 to 64.
+        /// Maximum number of records in flight at once, 1 to 64.
         #[arg(long, default_value_t = 1)]
         at_once: u32,
-        /// It stops by itself once so many of the last twice as many failed.
+        /// Number of failures that stop the batch automatically, among the last twice as many records.
         #[arg(long, default_value_t = 5)]
         stop_after: u32,
     },
-    /// Run a batch, or let one go on.
+    /// Run a batch, or continue it.
     Run(BatchArguments),
-    /// Send nothing new of a batch for now.
+    /// Pause a batch: no further records are sent for now.
     Pause(BatchArguments),
-    /// Send nothing more of a batch, for good.
+    /// Cancel a batch for good: no further records are sent.
     Cancel(BatchArguments),
 }
 
 /// The batch that a command changes.
 #[derive(Args)]
 pub struct BatchArguments {
-    /// Its name.
+    /// Batch name.
     pub name: String,
-    /// Only in this version; else in the one that it has.
+    /// Apply the change only to this version; to the current one if absent.
     #[arg(long)]
     pub if_version: Option<u32>,
 }
@@ -64,7 +64,7 @@
 /// Runs a command on batches.
 ///
 /// # Errors
-/// The arguments are wrong, or a request failed.
+/// The arguments are not valid, or a request failed.
 pub async fn run(context: &CommandContext, command: BatchCommand) -> Result<(), CommandError> {
     match command {
         BatchCommand::List => list(context).await,
@@ -120,12 +120,12 @@
     Ok(())
 }
 
-/// The fields of a batch's filter. The state is implied, so that it is not sent.
+/// The fields of a batch's filter. The state `open` is implied and not sent.
 fn open_records(filter: &FilterArguments) -> Result<Map<String, Value>, CommandError> {
     let mut fields = filter.fields();
     match fields.remove("state") {
         Some(state) if state != OPEN_STATE => Err(CommandError::InvalidInput(
-            "a batch is of open records".into(),
+            "a batch selects open records only".into(),
         )),
         _ => Ok(fields),
     }
--- a/crates/relayctl/src/undeliverable/filter.rs
+++ b/crates/relayctl/src/undeliverable/filter.rs
@@ -1,4 +1,4 @@
-//! Which records a command is about: options, and what becomes of them in a request.
+//! Filter options that select records, and their form in requests.
 
 use clap::Args;
 use serde_json::{Map, Value};
@@ -8,34 +8,34 @@
 /// A filter of records.
 #[derive(Args)]
 pub struct FilterArguments {
-    /// Of this partner.
+    /// Only records for this destination.
     #[arg(long)]
     pub destination: Option<u16>,
-    /// Of this class.
+    /// Only records of this class.
     #[arg(long)]
     pub class: Option<String>,
-    /// Given up for this reason, such as out-of-time.
+    /// Only records given up for this reason, such as out-of-time.
     #[arg(long)]
     pub reason: Option<String>,
-    /// Of this tenant.
+    /// Only records of this tenant.
     #[arg(long)]
     pub tenant: Option<String>,
-    /// Given up at this moment or later, such as 2026-12-01T08:00:00Z.
+    /// Only records given up at this time or later, such as 2026-12-01T08:00:00Z.
     #[arg(long)]
     pub since: Option<String>,
-    /// Given up before this moment.
+    /// Only records given up before this time.
     #[arg(long)]
     pub until: Option<String>,
-    /// Of which an attempt may have run, or none may.
+    /// Only records of which an attempt may have run (true), or none may have (false).
     #[arg(long)]
     pub may_have_run: Option<bool>,
-    /// In this state; batches are of open ones always.
+    /// Only records in this state; a batch always selects open records.
     #[arg(long)]
     pub state: Option<String>,
 }
 
 impl FilterArguments {
-    /// The fields that were given, as a batch's filter has them.
+    /// The fields that were given, in the form of a batch's filter.
     pub fn fields(&self) -> Map<String, Value> {
         let text = |value: &Option<String>| value.clone().map(Value::from);
         let fields = [
@@ -54,10 +54,10 @@
             .collect()
     }
 
-    /// The fields that were given, as the query of a list has them: each ends with `&`.
+    /// The fields that were given, in the form of a list's query: each ends with `&`.
     ///
     /// # Errors
-    /// A value has characters that no value of the API has.
+    /// A value has characters that no value of the API can have.
     pub fn query(&self) -> Result<String, CommandError> {
         let mut query = String::new();
         for (name, value) in self.fields() {
@@ -66,7 +66,7 @@
                 .map_or_else(|| value.to_string(), String::from);
             if !is_query_value(&value) {
                 return Err(CommandError::InvalidInput(format!(
-                    "--{}: {value:?} is no such value",
+                    "--{}: {value:?} is not a valid value",
                     name.replace('_', "-")
                 )));
             }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Whether a value may stand in a query as it is, but for the plus of a time zone. Names and times may.
+/// Whether a value can be used unescaped in a query, except for the plus sign of a time zone. Names and times can.
 fn is_query_value(value: &str) -> bool {
     let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-:+".contains(&byte);
     !value.is_empty() && value.bytes().all(is_allowed)
--- a/crates/relayctl/src/undeliverable/records.rs
+++ b/crates/relayctl/src/undeliverable/records.rs
@@ -15,15 +15,15 @@
 use crate::input::choice_name;
 use crate::output::{array_items, fields_table};
 
-/// The records.
+/// Path of the records.
 const RECORDS_PATH: &str = "/v1/undeliverable";
 
 /// The record that a command changes.
 #[derive(Args)]
 pub struct RecordArguments {
-    /// Its number.
+    /// Record number.
     pub id: u64,
-    /// Only in this version; else in the one that it has.
+    /// Apply the change only to this version; to the current one if absent.
     #[arg(long)]
     pub if_version: Option<u32>,
 }
@@ -31,7 +31,7 @@
 /// The field by which records are counted.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum CountGroup {
-    /// The partner.
+    /// The destination.
     Destination,
     /// The class.
     Class,
@@ -43,21 +43,21 @@
     State,
 }
 
-/// What an operator claims about the execution of a message.
+/// What an operator attests about the execution of a message.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum ExecutionClaim {
-    /// It took effect.
+    /// The message took effect.
     Applied,
-    /// It did not, and will not.
+    /// The message did not take effect, and will not.
     NotApplied,
-    /// That can't be told.
+    /// This cannot be determined.
     Unknown,
 }
 
 /// Prints the newest records that match a filter.
 ///
 /// # Errors
-/// A value of the filter is wrong, or a request failed.
+/// A value of the filter is not valid, or a request failed.
 pub async fn list(
     context: &CommandContext,
     filter: &FilterArguments,
@@ -71,11 +71,11 @@
     Ok(())
 }
 
-/// Writes the records that match a filter, a JSON object per line. It holds one page at a time, so that an export of
-/// any length takes little memory.
+/// Writes the records that match a filter, one JSON object per line. Only one page is in memory at a time, so that an
+/// export of any length takes little memory.
 ///
 /// # Errors
-/// The file exists already or cannot be written, a value of the filter is wrong, or a request failed.
+/// The file exists already or cannot be written, a value of the filter is not valid, or a request failed.
 pub async fn export(
     context: &CommandContext,
     filter: &FilterArguments,
@@ -112,7 +112,7 @@
     Ok(())
 }
 
-/// Prints how many records there are of each value of a field.
+/// Prints the number of records for each value of a field.
 ///
 /// # Errors
 /// A request failed.
@@ -136,7 +136,7 @@
     Ok(())
 }
 
-/// Requests a change that has no arguments of its own, and prints the record as it is then.
+/// Requests a change that has no arguments of its own, and prints the changed record.
 ///
 /// # Errors
 /// A request failed.
@@ -149,7 +149,7 @@
     send_change(context, record, request).await
 }
 
-/// Attests whether a message took effect.
+/// Records an operator's attestation whether a message took effect, and prints the changed record.
 ///
 /// # Errors
 /// A request failed.
--- a/crates/relayctl/src/undeliverable/table.rs
+++ b/crates/relayctl/src/undeliverable/table.rs
@@ -34,19 +34,19 @@
     "skipped",
 ];
 
-/// The list of a record's attempts, and the fields of one.
+/// The field with a record's attempts, and the fields of an attempt that are shown.
 const ATTEMPTS: &str = "attempts";
 const ATTEMPT_FIELDS: [&str; 5] = ["at", "host", "outcome", "may_have_run", "resend"];
-/// The list of a record's attestations, and the fields of one.
+/// The field with a record's attestations, and the fields of an attestation that are shown.
 const ATTESTATIONS: &str = "statements";
 const ATTESTATION_FIELDS: [&str; 4] = ["at", "operator", "says", "resends"];
 
-/// Records, one per line.
+/// Formats records, one per line.
 pub fn records_table<'a>(records: impl IntoIterator<Item = &'a Value>) -> String {
     objects_table(&RECORD_FIELDS, records)
 }
 
-/// A record with its attempts and attestations.
+/// Formats a record with its attempts and attestations.
 pub fn record_history(record: &Value) -> String {
     let mut plain = record.clone();
     if let Some(fields) = plain.as_object_mut() {
@@ -62,13 +62,13 @@
         + &section(ATTESTATIONS, &ATTESTATION_FIELDS)
 }
 
-/// Numbers of records by the values of a field.
+/// Formats the numbers of records by the values of a field.
 pub fn counts_table<'a>(field: &str, counts: impl IntoIterator<Item = &'a Value>) -> String {
     let row = |count: &Value| [cell(count.get("value")), cell(count.get("records"))];
     rows_table([field, "records"], counts.into_iter().map(row))
 }
 
-/// Batches, one per line.
+/// Formats batches, one per line.
 pub fn batches_table<'a>(batches: impl IntoIterator<Item = &'a Value>) -> String {
     objects_table(&BATCH_FIELDS, batches)
 }
--- a/crates/relayctl/tests/ctl.rs
+++ b/crates/relayctl/tests/ctl.rs
@@ -1,4 +1,4 @@
-//! `relayctl` against a relay in this process: what it prints, and the exit codes that scripts use.
+//! Tests of `relayctl` against a relay in this process: the output, and the exit codes that scripts rely on.
 
 use std::net::TcpListener;
 use std::path::{Path, PathBuf};
@@ -76,8 +76,8 @@
 }
 
 impl TestBed {
-    /// Starts a relay that runs until this process ends. The environment variable that names its configuration is the
-    /// process's, so that there is one test.
+    /// Starts a relay that runs until this process ends. The environment variable that names its configuration applies to
+    /// the whole process, so this file can have only one test.
     fn start_in_process() -> TestBed {
         let folder = tempfile::tempdir().expect("a folder");
         let at = |name: &str| folder.path().join(name);
@@ -151,7 +151,7 @@
         self.command("root", arguments).output().expect("runs")
     }
 
-    /// What a command prints, which has to succeed.
+    /// The output of a command, which must succeed.
     fn stdout(&self, arguments: &[&str]) -> String {
         let output = self.run(arguments);
         assert_eq!(
@@ -163,13 +163,13 @@
         text(&output.stdout)
     }
 
-    /// The JSON that a command prints, which has to succeed.
+    /// The JSON output of a command, which must succeed.
     fn json(&self, arguments: &[&str]) -> Value {
         let printed = self.stdout(&[&["--json"], arguments].concat());
         serde_json::from_str(&printed).expect("JSON")
     }
 
-    /// The exit code of a command, which has to fail with one line on standard error.
+    /// The exit code of a command, which must fail with one line on standard error.
     fn failure_code(&self, arguments: &[&str]) -> Option<i32> {
         failure_code_of(&self.run(arguments))
     }
@@ -207,7 +207,7 @@
 }
 
 fn check_tenant_specifications(bed: &TestBed) {
-    // The tenant of the settings, with its share as its weight.
+    // The tenant from the settings: its share of 0.5 becomes the weight 500.
     let listed = bed.stdout(&["tenants", "list"]);
     let line: Vec<&str> = listed
         .lines()
@@ -318,7 +318,7 @@
     assert_eq!(bed.failure_code(&["tenants", "show", "beta"]), Some(3));
 }
 
-/// The audit log of what the checks before did, the status and the API's document.
+/// Checks the audit log of the changes by the preceding checks, the status, and the API's document.
 fn check_registry_queries(bed: &TestBed) {
     let audit = bed.stdout(&["audit", "--tenant", "beta", "--limit", "3"]);
     assert_eq!(audit.lines().count(), 4, "{audit}");
@@ -402,7 +402,7 @@
     );
 }
 
-/// An export is complete, has one record per line, and does not overwrite a file.
+/// Checks that an export is complete, has one record per line, and does not overwrite a file.
 fn check_undeliverable_export(bed: &TestBed) {
     let exported = bed.stdout(&["undeliverable", "export"]);
     let lines: Vec<Value> = exported
--- a/crates/relayctl/tests/support/mod.rs
+++ b/crates/relayctl/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Running `relayctl` against a scripted server, and keeping what it did as a transcript.
+//! Runs `relayctl` against a scripted server, and records the runs in a transcript.
 
 pub mod scripted_server;
 pub mod transcript;
--- a/crates/relayctl/tests/support/scripted_server.rs
+++ b/crates/relayctl/tests/support/scripted_server.rs
@@ -11,26 +11,26 @@
 
 impl<T: Read + Write + Send> Stream for T {}
 
-/// What the server does with one connection, after it has read a request.
+/// The server's reaction to the request of one connection.
 pub struct Reply {
-    /// The line of the transcript.
+    /// The reply's line in the transcript.
     pub shown: String,
-    /// What is sent.
+    /// The bytes to send.
     pub bytes: Vec<u8>,
-    /// What becomes of the connection then.
+    /// What happens to the connection after the reply.
     pub ending: Ending,
 }
 
-/// What becomes of a connection after the reply.
+/// What happens to a connection after the reply.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
     /// The server closes it at once.
     Close,
-    /// It stays open until the server ends.
+    /// The connection stays open until the server stops.
     KeepOpen,
 }
 
-/// Which protocol the server speaks, and where it listens.
+/// The protocol of the server, and the kind of socket on which it listens.
 #[derive(Clone, Copy)]
 pub enum Endpoint {
     Tcp,
@@ -40,7 +40,7 @@
 
 /// A server that answers one request per connection, in the order of its script.
 pub struct ScriptedServer {
-    /// Where it listens, as `--server` takes it.
+    /// The server's address, in the form that `--server` accepts.
     pub address: String,
     endpoint: Endpoint,
     thread: JoinHandle<(Vec<String>, Vec<Reply>)>,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Ends it with an empty connection; the requests, and the replies that nobody asked for.
+    /// Stops the server by a connection without a request. Returns the requests, and the replies that were not sent.
     pub fn stop(self) -> (Vec<String>, Vec<Reply>) {
         match self.endpoint {
             Endpoint::UnixSocket => drop(UnixStream::connect(&self.address["unix:".len()..])),
@@ -100,7 +100,7 @@
         requests.push(request);
         assert!(!replies.is_empty(), "no reply is left for {requests:?}");
         let reply = replies.remove(0);
-        // The client may have read enough before the end.
+        // The client may close the connection before it has read the whole reply, so a write error is ignored.
         let _ = stream.write_all(&reply.bytes);
         if reply.ending == Ending::KeepOpen {
             open_connections.push(stream);
--- a/crates/relayctl/tests/support/transcript.rs
+++ b/crates/relayctl/tests/support/transcript.rs
@@ -1,4 +1,4 @@
-//! Invocations of `relayctl` and what became of them, compared with golden files.
+//! Runs `relayctl` and compares the requests, the output and the exit codes with golden files.
 
 use std::fs;
 use std::io::Write;
@@ -9,12 +9,12 @@
 
 use super::scripted_server::{Ending, Endpoint, Reply, ScriptedServer};
 
-/// Characters of 256 random bits in base64 without padding: tokens, secrets and idempotency keys.
+/// Length of 256 random bits in base64 without padding: tokens, secrets and idempotency keys.
 const RANDOM_TEXT_LENGTH: usize = 43;
-/// Hexadecimal digits of a SHA-256 digest.
+/// Number of hexadecimal digits of a SHA-256 digest.
 const DIGEST_LENGTH: usize = 64;
 
-/// JSON with the keys of all objects sorted.
+/// Formats JSON with the keys of all objects sorted.
 fn sorted_json(value: &Value) -> String {
     match value {
         Value::Object(fields) => {
@@ -33,7 +33,7 @@
     }
 }
 
-/// A line with the keys of its objects sorted, if it is JSON; nothing but the order may differ.
+/// Sorts the keys of all objects if the line is JSON, and checks by the length that nothing but the order changes.
 fn with_sorted_keys(line: &str) -> String {
     match serde_json::from_str::<Value>(line) {
         Ok(value @ (Value::Object(_) | Value::Array(_))) => {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Random values replaced by what they look like.
+/// Replaces random values by placeholders.
 fn without_random_values(text: &str) -> String {
     let is_random_character = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
     let mut replaced = String::new();
@@ -67,7 +67,7 @@
     replaced
 }
 
-/// The lines of a request, with the headers and the parameters of the query sorted: their order has no meaning.
+/// The lines of a request, with the headers and the query's parameters sorted, because their order has no meaning.
 fn request_lines(request: &str) -> Vec<String> {
     let Some((head, body)) = request.split_once("\r\n\r\n") else {
         return request.lines().map(String::from).collect();
@@ -101,7 +101,8 @@
     fields_in_any_order: bool,
 }
 
-/// An invocation with these arguments, which have no spaces. `<server>` and `<folder>` stand for what they are.
+/// Creates an invocation with these arguments, which are split at white space. `<server>` and `<folder>` are replaced by
+/// the server's address and the transcript's folder.
 pub fn relayctl(arguments: &str) -> Invocation {
     Invocation {
         arguments: arguments.split_whitespace().map(String::from).collect(),
@@ -114,7 +115,7 @@
 }
 
 impl Invocation {
-    /// An argument that may have spaces.
+    /// Adds an argument that may contain white space.
     pub fn argument(mut self, argument: &str) -> Self {
         self.arguments.push(argument.into());
         self
@@ -135,7 +136,7 @@
         self
     }
 
-    /// Sorts the fields that are printed up to the first empty line: their order depends on `serde_json`'s features.
+    /// Sorts the printed lines up to the first empty one, because the order of fields depends on `serde_json`'s features.
     pub fn fields_in_any_order(mut self) -> Self {
         self.fields_in_any_order = true;
         self
@@ -150,17 +151,17 @@
         self
     }
 
-    /// These bytes, and then the end of the connection.
+    /// Adds a reply of these bytes, after which the connection is closed.
     pub fn raw_reply(self, shown: &str, bytes: &[u8]) -> Self {
         self.scripted(shown, bytes, Ending::Close)
     }
 
-    /// Neither a reply nor the end of the connection.
+    /// Lets the server send nothing and keep the connection open.
     pub fn no_reply(self) -> Self {
         self.scripted("(no answer)", b"", Ending::KeepOpen)
     }
 
-    /// A complete response. The connection stays open, as the relay's does.
+    /// Adds a complete response. The connection stays open, as it does with the relay.
     pub fn http_reply(self, status: u16, headers: &str, body: &str) -> Self {
         let shown = format!("{status} {}{body}", headers.replace("\r\n", " "));
         let length = body.len();
@@ -173,12 +174,12 @@
         self.http_reply(status, "", &sorted_json(body))
     }
 
-    /// What is shown together with its entity tag.
+    /// Adds a successful response with an entity tag.
     pub fn tagged_reply(self, etag: &str, body: &Value) -> Self {
         self.http_reply(200, &format!("etag: {etag}\r\n"), &sorted_json(body))
     }
 
-    /// A line of the control socket, and what follows it.
+    /// Adds a reply of the control socket, and uses a control socket as the server.
     pub fn control_reply(self, text: &str) -> Self {
         self.endpoint(Endpoint::ControlSocket)
             .raw_reply(&format!("{text:?}"), text.as_bytes())
@@ -198,7 +199,7 @@
         command
     }
 
-    /// As it would be typed in a shell.
+    /// The command line as it would be typed in a shell.
     fn command_line(&self) -> String {
         let mut line = String::new();
         for (name, value) in &self.environment {
@@ -215,7 +216,7 @@
     }
 }
 
-/// What stands for values that differ from run to run.
+/// The values of the placeholders, which differ from run to run.
 struct Placeholders {
     server: String,
     folder: String,
@@ -227,7 +228,7 @@
             .replace("<folder>", &self.folder)
     }
 
-    fn put_into(&self, text: &str) -> String {
+    fn insert_into(&self, text: &str) -> String {
         let text = text
             .replace(&self.server, "<server>")
             .replace(&self.folder, "<folder>");
@@ -235,7 +236,7 @@
     }
 }
 
-/// Invocations and what became of them.
+/// The recorded invocations with their requests, replies and output.
 pub struct Transcript {
     folder: tempfile::TempDir,
     text: String,
@@ -267,7 +268,7 @@
         self.text.push('\n');
     }
 
-    /// Runs the program and adds what it did.
+    /// Runs the program and records the requests, the replies, the output and the exit code.
     pub fn run(&mut self, mut invocation: Invocation) -> Output {
         let replies = std::mem::take(&mut invocation.replies);
         let shown_replies: Vec<String> = replies.iter().map(|reply| reply.shown.clone()).collect();
@@ -291,10 +292,10 @@
                 self.add("> ", "(the same, byte for byte)");
             } else {
                 for line in request_lines(request) {
-                    self.add("> ", &placeholders.put_into(&line));
+                    self.add("> ", &placeholders.insert_into(&line));
                 }
             }
-            self.add("< ", &placeholders.put_into(reply));
+            self.add("< ", &placeholders.insert_into(reply));
         }
         self.add_output(&output, &placeholders, invocation.fields_in_any_order);
         output
@@ -308,16 +309,16 @@
             printed[..end].sort();
         }
         for line in printed {
-            self.add("1| ", &placeholders.put_into(&with_sorted_keys(&line)));
+            self.add("1| ", &placeholders.insert_into(&with_sorted_keys(&line)));
         }
         for line in lines_of(&output.stderr) {
-            self.add("2| ", &placeholders.put_into(&line));
+            self.add("2| ", &placeholders.insert_into(&line));
         }
         let code = output.status.code().expect("an exit code");
         self.add("= ", &format!("{code}\n"));
     }
 
-    /// Adds the content of a file that the program wrote.
+    /// Records the content of a file that the program wrote.
     pub fn add_file(&mut self, name: &str) {
         let text = fs::read(self.path(name)).expect("a file");
         self.add("file ", &format!("<folder>/{name}:"));
@@ -327,7 +328,8 @@
         self.text.push('\n');
     }
 
-    /// Compares with a golden file.
+    /// Compares the transcript with a golden file. If they differ, the actual transcript is left in the build's temporary
+    /// folder.
     pub fn verify(self, name: &str) {
         let golden = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
         let expected = fs::read_to_string(golden.join(name)).unwrap_or_default();
@@ -341,7 +343,7 @@
             let (wanted, got) = (left.next(), right.next());
             assert!(
                 wanted == got && wanted.is_some(),
-                "{name}:{number}: {wanted:?}, but got {got:?}; all of it is in {}",
+                "{name}:{number}: {wanted:?}, but got {got:?}; the actual transcript is in {}",
                 actual.display()
             );
         }
@@ -356,13 +358,13 @@
         .spawn()
         .expect("runs");
     let mut stdin = child.stdin.take().expect("standard input");
-    // A program that does not read it may have ended.
+    // A program that does not read its input may have exited, so a write error is ignored.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("ends")
 }
 
-/// The lines of an output. One without its line break is marked.
+/// The lines of an output. A last line without a line break is marked.
 pub fn lines_of(output: &[u8]) -> Vec<String> {
     let text = std::str::from_utf8(output).expect("UTF-8");
     let mut lines: Vec<String> = text.lines().map(String::from).collect();
--- a/crates/relayctl/tests/transcripts.rs
+++ b/crates/relayctl/tests/transcripts.rs
@@ -1,11 +1,11 @@
-//! What a user of `relayctl` meets, kept as transcripts in `tests/golden`: usage texts, the requests that are sent,
-//! tables, `--json` output, lines on standard error and exit codes. A scripted server answers each invocation with fixed
+//! Tests the user-visible behaviour of `relayctl` against transcripts in `tests/golden`: help texts, requests, tables,
+//! `--json` output, lines on standard error and exit codes. A scripted server answers each invocation with fixed
 //! documents.
 //!
 //! In a golden file, `$` is a command line, `>` a request, `<` a reply, `1|` a line of standard output, `2|` a line of
 //! standard error, and `=` an exit code. Addresses, folders and random values are replaced by placeholders. The keys
 //! of JSON objects are sorted, because their order depends on a feature of `serde_json` that other packages of a build
-//! may turn on. No test rewrites a golden file: the actual transcript is left in the build's temporary folder.
+//! may enable. No test rewrites a golden file: the actual transcript is left in the build's temporary folder.
 
 mod support;
 
@@ -19,7 +19,8 @@
 
 /// An address on which nothing listens.
 const CLOSED_ADDRESS: &str = "127.0.0.1:1";
-/// The names below `Commands:` in a usage text.
+
+/// The names of the subcommands in a help text.
 fn subcommands(usage: &str) -> Vec<String> {
     usage
         .lines()
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn usage_texts_match_golden_transcript() {
+fn help_texts_match_golden_transcript() {
     let mut transcript = Transcript::new();
     let mut remaining = vec![String::new()];
     while let Some(command) = remaining.pop() {
