--- a/crates/simulator/src/checker.rs
+++ b/crates/simulator/src/checker.rs
@@ -1,9 +1,9 @@
-//! Judges a run by the invariants, from what passes on sockets and the disk alone.
+//! Checks the invariants of a run by what is observed on sockets and the disk alone.
 //!
-//! The peers report each request, call, reply, notice and discovery line as it passes; nothing here knows what the
-//! relay or its policy thinks. All moments are spans since the simulation began. Limits are those of the settings and
-//! 50 ms more for what is on its way. What passed is kept in [`crate::history`], and each invariant stands in a file of
-//! its own in [`crate::invariants`].
+//! The peers report each request, call, reply, notice and discovery entry as it passes. The checker has no access to the
+//! state of the relay or its policy. All times are relative to the start of the simulation. Limits are those of the settings,
+//! with a tolerance of 50 ms for data in flight. Observations are recorded in [`crate::history`], and each invariant has its
+//! own file in [`crate::invariants`].
 
 mod counts;
 
@@ -16,23 +16,23 @@
 use crate::invariants::returning_destinations::ReturningDestinations;
 use crate::invariants::{self, Invariant, Violation, Violations};
 
-/// A relay's history, and the invariants that it is judged by.
+/// A relay's history, and its invariants.
 struct Lane {
     history: History,
     invariants: Vec<Box<dyn Invariant>>,
 }
 
-/// Judges a run: each relay by itself, and what all did together.
+/// Checks a run: each relay by itself, and all relays together.
 pub struct Checker {
     lanes: Vec<Lane>,
     returning_destinations: ReturningDestinations,
     violation: Option<Violation>,
-    /// Counts for the report.
+    /// Counts of observations, for the report.
     pub counts: Counts,
 }
 
 impl Checker {
-    /// A checker of a number of relays, at least one, by these limits.
+    /// A checker with these limits, for a number of relays; zero counts as one.
     #[must_use]
     pub fn new(limits: Limits, relays: usize) -> Self {
         let lane = |_| Lane {
@@ -53,7 +53,7 @@
         self.violation.as_ref()
     }
 
-    /// Whether a message that was submitted may be executed more than once.
+    /// The idempotency of a submitted message; none if it was not submitted.
     #[must_use]
     pub fn idempotency_of(&self, message_id: &str) -> Option<Idempotency> {
         let mut lanes = self.lanes.iter();
@@ -62,13 +62,13 @@
             .map(|message| message.request.idempotency)
     }
 
-    /// Messages that were accepted and have no end yet.
+    /// Number of messages that were accepted and have not ended.
     #[must_use]
     pub fn open_messages(&self) -> usize {
         self.lanes.iter().map(|lane| lane.history.open.len()).sum()
     }
 
-    /// Shows all invariants what passed round a relay, and records it.
+    /// Passes an observation of a relay to all invariants, and then records it.
     pub fn observe(&mut self, at: Duration, relay: usize, observation: &Observation<'_>) {
         for lane in &mut self.lanes {
             lane.history.now = at;
@@ -92,19 +92,19 @@
             }
             history.record(observation);
         }
-        if let Some(violation) = violations.into_most_telling() {
+        if let Some(violation) = violations.into_first() {
             self.violation.get_or_insert(violation);
         }
     }
 
-    /// The lanes that an observation round a relay concerns.
+    /// The lanes that an observation of a relay concerns.
     fn lanes_of(&self, relay: usize, observation: &Observation<'_>) -> Range<usize> {
         match observation {
-            // What is true of the world is so for all.
+            // These concern all relays.
             Observation::DestinationOutage { .. }
             | Observation::Tick
             | Observation::StepLimitExceeded => 0..self.lanes.len(),
-            // A host knows whose call it has by the message's id alone.
+            // A host can attribute a call to a relay by the message's id alone.
             Observation::CallReceived { call, .. } => self.lane_of(&call.message_id, relay),
             Observation::ResponseStarted { call, .. }
             | Observation::CallConnectionClosed(call)
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The lane that a message was submitted on, or a default, as a range of one.
+    /// The lane of the relay to which a message was submitted, or a default, as a range of one.
     fn lane_of(&self, message_id: &str, default: usize) -> Range<usize> {
         let mut lanes = self.lanes.iter();
         let lane = lanes
@@ -122,8 +122,8 @@
         lane..lane + 1
     }
 
-    /// A call's last byte has come to a host. `is_connection_open` says whether the relay still holds a connection.
-    /// None for a message that nobody submitted.
+    /// Observes that the last byte of a call has arrived at a host. `is_connection_open` returns whether the relay still holds
+    /// a connection. Returns none if the message was never submitted.
     pub fn observe_call(
         &mut self,
         at: Duration,
--- a/crates/simulator/src/checker/counts.rs
+++ b/crates/simulator/src/checker/counts.rs
@@ -1,4 +1,4 @@
-//! How many of what passed.
+//! Counts of observations.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 use crate::history::{CallOutcome, History, Observation};
 
-/// How many of what passed, for the report.
+/// Counts of observations, for the report.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Requests submitted, each try counted.
+    /// Requests that clients sent, each repetition counted.
     #[serde(rename = "handed")]
     pub submitted: u64,
     /// Replies of `+OK`.
@@ -19,20 +19,20 @@
     /// Replies of `-BUSY`.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Calls that came whole to a host.
+    /// Calls that arrived completely at a host.
     pub calls: u64,
     /// Accepted messages to which a host responded with 200.
     pub delivered: u64,
-    /// Notices of a failure.
+    /// Messages that ended with an `undeliverable` notice.
     pub undeliverable: u64,
-    /// Notices of a rejection.
+    /// Messages that ended with a `deferred` notice.
     pub deferred: u64,
-    /// Kills and terminations.
+    /// Ends of relay processes by kill, termination or crash.
     pub restarts: u64,
     /// Calls that hosts rejected.
     #[serde(rename = "turned_away")]
     pub rejected_calls: u64,
-    /// Of those delivered, the ones that met their class' latency objective.
+    /// Deliveries that met the latency objective of their class.
     #[serde(rename = "in_aim")]
     pub within_objective: u64,
     /// Polls of discovery.
@@ -41,18 +41,18 @@
     /// Connections that hosts accepted.
     #[serde(rename = "opened")]
     pub host_connections: u64,
-    /// Connections that one host held at the most.
+    /// Maximum number of connections that one host held at a time.
     #[serde(rename = "most_open")]
     pub max_open_connections: u64,
-    /// Records of undeliverable messages, as read at the end.
+    /// Records of undeliverable messages that were read at the end.
     pub records: u64,
-    /// Of those, the ones whose message a resend has delivered.
+    /// Records whose message was delivered by a resend.
     pub resent: u64,
-    /// Of those, the ones that were found to have taken effect before.
+    /// Records whose message was found to have taken effect before.
     pub applied_before: u64,
 }
 
-/// The text is a part of what `replay` prints; it has the names of the JSON.
+/// Prints the field names of the JSON, as the text is a part of the output of `replay`.
 impl fmt::Debug for Counts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Counts")
--- a/crates/simulator/src/commands/cost.rs
+++ b/crates/simulator/src/commands/cost.rs
@@ -1,5 +1,5 @@
-//! What a message costs the relay: CPU time and memory of its process under a steady load on loopback sockets, for
-//! builds, and numbers of tenants, side by side.
+//! Measures what a message costs the relay: CPU time and memory of its process under a steady load on loopback sockets, for
+//! several builds and numbers of tenants side by side.
 
 use std::cell::Cell;
 use std::fmt;
@@ -21,29 +21,29 @@
 use super::CommandOutcome;
 use crate::peers::connection::until_ready;
 
-/// Time between an answer and the same client's next message.
+/// Time between a reply and the same client's next message.
 const CLIENT_PAUSE: Duration = Duration::from_millis(8);
 /// Percentage of messages that a relay must accept for a measurement to count.
 const MIN_ACCEPTED_PERCENT: u64 = 95;
 /// Microseconds of a clock tick, the unit of CPU time in `/proc`.
 const MICROS_PER_TICK: f64 = 10_000.0;
-/// Fields of `/proc/PID/stat` behind the program's name: ticks in user mode.
+/// Index of the ticks in user mode among the fields of `/proc/PID/stat` after the program's name.
 const STAT_USER_TICKS: usize = 11;
-/// Ticks in the kernel.
+/// Index of the ticks in kernel mode.
 const STAT_SYSTEM_TICKS: usize = 12;
 /// Weight of a tenant in the registry.
 const TENANT_WEIGHT: u32 = 100;
 
-/// What is measured.
+/// The parameters of a measurement.
 #[derive(Clone, Debug)]
 pub struct CostPlan {
-    /// Relays' programs.
+    /// Relay programs to compare.
     pub programs: Vec<PathBuf>,
-    /// Numbers of tenants, each measured with each program; none for the tenant of the settings alone.
+    /// Numbers of tenants, each measured with each program. If empty, only the tenant of the settings is used.
     pub tenants: Vec<u64>,
-    /// How often each is measured.
+    /// Number of measurements of each combination.
     pub rounds: u32,
-    /// Messages of a round.
+    /// Messages of one measurement.
     pub messages: u64,
 }
 
@@ -53,29 +53,29 @@
     /// The relay or its peers can't be started.
     #[error(transparent)]
     Loopback(#[from] LoopbackError),
-    /// No temporary folder can be made.
-    #[error("no folder: {0}")]
+    /// The temporary directory can't be created.
+    #[error("cannot create a temporary directory: {0}")]
     Folder(#[source] io::Error),
-    /// The folder of the tenants' registry can't be made.
-    #[error("no folder for the tenants: {0}")]
+    /// The directory of the tenant registry can't be created.
+    #[error("cannot create the directory of the tenant registry: {0}")]
     RegistryFolder(#[source] io::Error),
     /// The registry or the operator file can't be written.
-    #[error("cannot write: {0}")]
+    #[error("cannot write the tenant registry or the operator file: {0}")]
     WriteFile(#[source] io::Error),
     /// The relay's process can't be read in `/proc`.
     #[error(transparent)]
     ReadProcess(io::Error),
     /// `/proc` has no CPU time of the relay's process.
-    #[error("no CPU time is told")]
+    #[error("/proc reports no CPU time for the relay's process")]
     NoCpuTime,
     /// `/proc` has no resident memory of the relay's process.
-    #[error("no memory is told")]
+    #[error("/proc reports no resident memory for the relay's process")]
     NoMemory,
-    /// The relay does not start to take messages.
-    #[error("{} does not get ready", .0.display())]
+    /// The relay did not become ready in time.
+    #[error("{} did not become ready within 20 s", .0.display())]
     NotReady(PathBuf),
     /// The relay rejected too many messages.
-    #[error("only {accepted} of {messages} messages were taken on")]
+    #[error("only {accepted} of {messages} messages were accepted")]
     TooFewAccepted {
         /// Messages that were accepted.
         accepted: u64,
@@ -84,7 +84,7 @@
     },
 }
 
-/// One thing to measure: a build, with the tenants of a registry or with that of the settings alone.
+/// One combination to measure: a build, with the tenants of a registry or only that of the settings.
 struct Case {
     program: PathBuf,
     tenants: Option<u64>,
@@ -98,16 +98,16 @@
     }
 }
 
-/// What one round has measured.
+/// Result of one measurement.
 struct Cost {
-    /// Microseconds of CPU a message.
+    /// CPU time of a message, in microseconds.
     cpu_micros: f64,
-    /// Resident KiB once ready, before the first message.
+    /// Resident memory once ready and before the first message, in KiB.
     ready_kib: u64,
 }
 
-/// Measures the builds in turn, each with each number of tenants, and prints microseconds of CPU a message and the
-/// resident memory at the start.
+/// Measures the builds in turn, each with each number of tenants, and prints the CPU time of a message and the resident
+/// memory at the start.
 ///
 /// # Errors
 ///
@@ -153,7 +153,7 @@
     println!("{case}: median {median:.1} us, least {least:.1} us; {memory} KiB at the start");
 }
 
-/// Starts a relay, puts it under load until all messages are answered, and reads what that has cost.
+/// Starts a relay, applies load until all messages have a reply, and measures the cost.
 async fn measure(case: &Case, messages: u64) -> Result<Cost, CostError> {
     let folder = tempfile::tempdir().map_err(CostError::Folder)?;
     let listen = free_address()?;
@@ -204,10 +204,11 @@
     Ok(process)
 }
 
-/// Writes a registry of this many tenants to a folder, and an operator file that names it. Returns the file's path.
+/// Writes a registry of this many tenants to a directory, and an operator file that refers to it. Returns the path of the
+/// operator file.
 fn write_registry(folder: &Path, tenants: u64) -> Result<PathBuf, CostError> {
     let names: Vec<String> = (0..tenants).map(tenant_name).collect();
-    let registry = crate::hosted::registry(
+    let registry = crate::hosted::encode_registry(
         names
             .iter()
             .map(|name| (name.as_str(), TENANT_WEIGHT, "secret")),
@@ -241,7 +242,7 @@
         };
         let running = running.clone();
         OsRuntime.spawn(async move {
-            // A client whose connection breaks submits no more; too few accepted messages show it.
+            // A client whose connection breaks stops submitting. The check for too few accepted messages detects it.
             drop(load.submit_all(listen).await);
             drop(running);
         });
@@ -279,7 +280,7 @@
         Ok(())
     }
 
-    /// The tenant of a message. Each client goes round all tenants, and each starts with another one.
+    /// The tenant of a message. Each client cycles through all tenants, starting with a different one.
     fn tenant(&self, number: u64) -> String {
         match self.tenants {
             Some(tenants) => {
@@ -295,7 +296,7 @@
 fn cpu_ticks(pid: u32) -> Result<u64, CostError> {
     let stat =
         std::fs::read_to_string(format!("/proc/{pid}/stat")).map_err(CostError::ReadProcess)?;
-    // The program's name stands in brackets and may hold anything.
+    // The program's name is in parentheses and may contain any character.
     let fields = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
     let field = |index: usize| {
         fields
--- a/crates/simulator/src/commands/demo.rs
+++ b/crates/simulator/src/commands/demo.rs
@@ -1,5 +1,5 @@
-//! A first look at the relay: the real process on loopback sockets, between the same clients, partners and
-//! discovery that the simulation plays. It ends by itself and leaves nothing behind.
+//! A demo of the relay: the real process on loopback sockets, between the clients, partners and discovery of the
+//! simulation. It ends by itself and removes its files.
 
 use std::fmt;
 use std::io;
@@ -28,11 +28,11 @@
 use crate::peers::PeerContext;
 use crate::rng::SimulationRng;
 
-/// The sub-command of this program that is the relay.
+/// The sub-command of this program that runs the relay.
 const RELAY_COMMAND: &str = "relay";
 /// Partners, each the only host of its destination.
 const PARTNERS: u16 = 3;
-/// Calls a second that each partner takes.
+/// Capacity of each partner, in calls a second.
 const PARTNER_CAPACITY: u16 = 60;
 /// Clients, which submit the messages in turn.
 const CLIENTS: u64 = 4;
@@ -42,20 +42,20 @@
 const ARRIVALS_PER_SECOND: u64 = 30;
 /// Bytes of a message's body.
 const BODY_BYTES: usize = 100;
-/// How long after its first use a message's idempotency key holds.
+/// Time after its first use for which an idempotency key is remembered.
 const KEY_WINDOW: Duration = Duration::from_secs(20);
-/// The partner that breaks.
-const BROKEN_PARTNER: u16 = 2;
-/// The second at which it breaks.
-const BREAKS_AT_SECOND: u64 = 2;
-/// The second at which it is mended.
-const MENDED_AT_SECOND: u64 = 5;
+/// The partner that fails.
+const FAILING_PARTNER: u16 = 2;
+/// The second at which it starts to fail.
+const FAILS_AT_SECOND: u64 = 2;
+/// The second at which it recovers.
+const RECOVERS_AT_SECOND: u64 = 5;
 /// The second at which the relay is killed.
 const KILLED_AT_SECOND: u64 = 7;
-/// Seconds that the demo waits for the last messages' ends.
+/// Maximum time to wait for the ends of the last messages, in seconds.
 const MAX_DRAIN_SECONDS: u64 = 10;
 
-/// The demo could not be played.
+/// The demo could not be run.
 #[derive(Debug, Error)]
 pub enum DemoError {
     /// The relay can't be started.
@@ -65,26 +65,26 @@
     #[error(transparent)]
     Relay(#[from] RelayError),
     /// The demo was interrupted.
-    #[error("stopped")]
+    #[error("interrupted")]
     Interrupted,
-    /// No temporary folder can be made.
-    #[error("no folder for the demo: {0}")]
+    /// The temporary directory can't be created.
+    #[error("cannot create a temporary directory for the demo: {0}")]
     Folder(#[source] io::Error),
     /// The path of this program is not known.
-    #[error("cannot find this program: {0}")]
+    #[error("cannot determine the path of this program: {0}")]
     ProgramPath(#[source] io::Error),
     /// The configuration can't be written.
     #[error("cannot write the configuration: {0}")]
     WriteConfiguration(#[source] io::Error),
-    /// The relay does not start to take messages.
-    #[error("the relay did not get ready within 20 s")]
+    /// The relay did not become ready in time.
+    #[error("the relay did not become ready within 20 s")]
     NotReady,
-    /// The relay does not start to take messages after it was killed.
-    #[error("the relay did not get ready again within 20 s")]
+    /// The relay did not become ready in time after it was killed.
+    #[error("the relay did not become ready again within 20 s")]
     NotReadyAgain,
 }
 
-/// The relay itself, in a process of its own.
+/// Runs the relay itself, in its own process.
 ///
 /// # Errors
 ///
@@ -93,16 +93,16 @@
     block_on(async { Ok(relay::run(OsRuntime, None).await?) })
 }
 
-/// Plays the demo. Fails if a rule was broken or the relay did not end well.
+/// Runs the demo. Fails if an invariant was violated or the relay did not terminate cleanly.
 ///
 /// # Errors
 ///
-/// If a process or port can't be had.
+/// If a process can't be started or a port can't be bound.
 pub fn run() -> Result<CommandOutcome, DemoError> {
     block_on(async {
         tokio::select! {
             biased;
-            // What it started and wrote goes with it.
+            // Dropping the demo kills its processes and removes its files.
             _ = tokio::signal::ctrl_c() => Err(DemoError::Interrupted),
             played = play() => played,
         }
@@ -112,12 +112,12 @@
 async fn play() -> Result<CommandOutcome, DemoError> {
     let mut demo = Demo::prepare()?;
     demo.start_peers();
-    demo.say(format_args!(
+    demo.print_line(format_args!(
         "three partners and discovery listen; the configuration is {}",
         demo.configuration.display()
     ));
     demo.start_relay(1, DemoError::NotReady).await?;
-    demo.say(format_args!(
+    demo.print_line(format_args!(
         "the relay is ready at {}; {ARRIVALS_PER_SECOND} messages a second come in",
         demo.relay_address
     ));
@@ -128,23 +128,24 @@
         demo.context.runtime.sleep_until(at).await;
         demo.play_faults(second).await?;
         demo.context.observe(&Observation::Tick);
-        let open = demo.say_progress();
+        let open = demo.print_progress();
         if open == 0 && second > ARRIVAL_SECONDS {
             break;
         }
     }
-    let has_ended_well = demo.stop_relay().await;
-    Ok(demo.print_summary(has_ended_well))
+    let has_ended_cleanly = demo.stop_relay().await;
+    Ok(demo.print_summary(has_ended_cleanly))
 }
 
-/// The relay and its peers. The fields are dropped in this order: first the process ends, last its files go.
+/// The relay and its peers. The fields are dropped in this order: the process is killed first, and its files are removed
+/// last.
 struct Demo {
     process: Option<RelayProcess>,
     context: PeerContext<OsRuntime>,
     hosts: Vec<Rc<Host>>,
     discovery: Rc<Discovery>,
     discovery_address: SocketAddr,
-    /// Discovery ends when this is dropped.
+    /// Discovery stops when this is dropped.
     discovery_stop: watch::Sender<bool>,
     relay_address: SocketAddr,
     /// This program.
@@ -155,7 +156,7 @@
 }
 
 impl Demo {
-    /// Makes the peers and writes the relay's files. Nothing runs yet.
+    /// Creates the peers and writes the relay's files. Nothing is started.
     fn prepare() -> Result<Self, DemoError> {
         let folder = tempfile::tempdir().map_err(DemoError::Folder)?;
         let state_directory = folder.path().join("state");
@@ -166,7 +167,7 @@
         let hosts = (1..=PARTNERS)
             .map(|destination| Ok(partner(destination, free_address()?)))
             .collect::<Result<Vec<Rc<Host>>, LoopbackError>>()?;
-        let discovery = Discovery::new(hosts.iter().map(|host| listed(host)).collect());
+        let discovery = Discovery::new(hosts.iter().map(|host| host_entry(host)).collect());
         let relay = configuration(
             relay_address,
             discovery_address,
@@ -205,7 +206,7 @@
         runtime.spawn(async move { drop(serving.await) });
     }
 
-    /// Starts process number `number` of the relay and waits until it takes messages.
+    /// Starts process number `number` of the relay and waits until it is ready.
     async fn start_relay(&mut self, number: u32, not_ready: DemoError) -> Result<(), DemoError> {
         self.process = Some(RelayProcess::start(&RelayCommand {
             program: &self.program,
@@ -222,7 +223,7 @@
         Ok(())
     }
 
-    /// Starts the clients, whose messages come from `start` on.
+    /// Starts the clients, which submit messages from `start` on.
     fn start_clients(&self, start: Duration) {
         for messages in messages_by_client(start) {
             let relays = vec![self.relay_address];
@@ -231,13 +232,13 @@
         }
     }
 
-    /// Does what the demo has planned for a second.
+    /// Injects or clears the faults that are planned for a second.
     async fn play_faults(&mut self, second: u64) -> Result<(), DemoError> {
-        if second == BREAKS_AT_SECOND {
+        if second == FAILS_AT_SECOND {
             self.break_partner();
         }
-        if second == MENDED_AT_SECOND {
-            self.mend_partner();
+        if second == RECOVERS_AT_SECOND {
+            self.restore_partner();
         }
         if second == KILLED_AT_SECOND {
             self.kill_and_restart_relay().await?;
@@ -251,72 +252,72 @@
             ..HostBehavior::default()
         });
         self.context.observe(&Observation::DestinationOutage {
-            destination: BROKEN_PARTNER,
+            destination: FAILING_PARTNER,
             is_down: true,
         });
-        self.say(format_args!(
-            "partner {BROKEN_PARTNER} breaks: every call to it ends in an error"
+        self.print_line(format_args!(
+            "partner {FAILING_PARTNER} breaks: every call to it ends in an error"
         ));
     }
 
-    fn mend_partner(&self) {
+    fn restore_partner(&self) {
         self.set_partner_behavior(HostBehavior::default());
         self.context.observe(&Observation::DestinationOutage {
-            destination: BROKEN_PARTNER,
+            destination: FAILING_PARTNER,
             is_down: false,
         });
-        self.say(format_args!("partner {BROKEN_PARTNER} is mended"));
+        self.print_line(format_args!("partner {FAILING_PARTNER} is mended"));
     }
 
     fn set_partner_behavior(&self, behavior: HostBehavior) {
-        let partner = &self.hosts[usize::from(BROKEN_PARTNER) - 1];
+        let partner = &self.hosts[usize::from(FAILING_PARTNER) - 1];
         *partner.behavior.borrow_mut() = behavior;
     }
 
     async fn kill_and_restart_relay(&mut self) -> Result<(), DemoError> {
-        // Dropped, it is killed.
+        // Dropping the process kills it.
         drop(self.process.take());
         self.context.observe(&Observation::ProcessTerminated);
-        self.say(format_args!(
+        self.print_line(format_args!(
             "the relay is killed with SIGKILL, and starts again on its journal"
         ));
         self.start_relay(2, DemoError::NotReadyAgain).await
     }
 
-    /// Stops the relay with SIGTERM. True if it ended in time and without an error.
+    /// Stops the relay with SIGTERM. Returns whether it ended in time and without an error.
     async fn stop_relay(&mut self) -> bool {
-        let has_ended_well = match self.process.take() {
+        let has_ended_cleanly = match self.process.take() {
             Some(process) => process.stop(&self.context.runtime).await,
             None => false,
         };
-        let how = if has_ended_well {
+        let result = if has_ended_cleanly {
             "ended"
         } else {
             "did not end well"
         };
-        self.say(format_args!("the relay was told to stop and {how}"));
-        has_ended_well
+        self.print_line(format_args!("the relay was told to stop and {result}"));
+        has_ended_cleanly
     }
 
     /// Prints a line with the time since the demo began.
-    fn say(&self, line: fmt::Arguments<'_>) {
+    fn print_line(&self, line: fmt::Arguments<'_>) {
         println!("{:5.1} s  {line}", self.context.at().as_secs_f64());
     }
 
-    /// Prints where the messages stand. Returns how many accepted ones have no end yet.
-    fn say_progress(&self) -> usize {
+    /// Prints the counts of messages so far. Returns how many accepted ones have not ended.
+    fn print_progress(&self) -> usize {
         let checker = self.context.checker.borrow();
         let (counts, open) = (checker.counts, checker.open_messages());
         let undelivered = counts.undeliverable + counts.deferred;
-        self.say(format_args!(
+        self.print_line(format_args!(
             "{} handed in, {} taken on, {} delivered, {undelivered} ended undelivered, {open} on their way",
             counts.submitted, counts.accepted, counts.delivered
         ));
         open
     }
 
-    /// Prints what became of all messages, and whether a rule was broken.
-    fn print_summary(&self, has_ended_well: bool) -> CommandOutcome {
+    /// Prints how all messages ended, and whether an invariant was violated.
+    fn print_summary(&self, has_ended_cleanly: bool) -> CommandOutcome {
         let checker = self.context.checker.borrow();
         let (counts, open) = (checker.counts, checker.open_messages());
         println!();
@@ -337,11 +338,11 @@
                 );
             }
         }
-        CommandOutcome::passed_if(has_ended_well && open == 0 && checker.violation().is_none())
+        CommandOutcome::passed_if(has_ended_cleanly && open == 0 && checker.violation().is_none())
     }
 }
 
-/// The one host of a destination.
+/// The only host of a destination.
 fn partner(destination: u16, address: SocketAddr) -> Rc<Host> {
     Host::new(
         &format!("partner-{destination}"),
@@ -353,8 +354,8 @@
     )
 }
 
-/// A host as discovery lists it.
-fn listed(host: &Host) -> HostEntry {
+/// The entry of a host in discovery.
+fn host_entry(host: &Host) -> HostEntry {
     HostEntry {
         host: host.name.borrow().clone(),
         address: host.address,
@@ -375,7 +376,7 @@
     clients
 }
 
-/// One message. The classes take turns, and for each class the destinations.
+/// One message. Classes alternate, and so do destinations within each class.
 fn message(number: u64, start: Duration) -> PlannedMessage {
     let (class, idempotency) = match number % 3 {
         0 => ("update", Idempotency::Idempotent),
--- a/crates/simulator/src/commands/loopback/configuration.rs
+++ b/crates/simulator/src/commands/loopback/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a relay on loopback sockets, and the context of its peers.
+//! Configuration of a relay on loopback sockets, and the context of its peers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,29 +15,29 @@
 use crate::peers::PeerContext;
 use crate::script::Script;
 
-/// Space for the state directory.
+/// Disk limit of the state directory, in megabytes.
 const DISK_MB: f64 = 3.0;
-/// The same in bytes, as the checker counts.
+/// Disk limit of the state directory, in bytes, for the checker.
 const DISK_BYTES: u64 = 3_000_000;
-/// Messages that the relay may queue.
+/// Maximum number of queued messages.
 const QUEUE_CAPACITY: u64 = 200;
-/// Calls in flight at once.
+/// Maximum number of calls in flight.
 const MAX_CALLS_IN_FLIGHT: u64 = 16;
-/// Destinations whose capacity the checker knows.
+/// Number of destinations for which the checker has a capacity.
 const DESTINATIONS: u16 = 3;
-/// Calls a second that each of them takes.
+/// Capacity of each of them, in calls a second.
 const DESTINATION_CAPACITY: f64 = 60.0;
-/// Microseconds of a millisecond: the settings count in these.
+/// Microseconds in a millisecond: the settings are in microseconds.
 const MICROS_PER_MS: u64 = 1000;
 
 /// A relay's configuration, and the limits that follow from it.
 pub(in crate::commands) struct RelayConfiguration {
-    /// The file.
+    /// Contents of the configuration file.
     pub file: Value,
     pub limits: Limits,
 }
 
-/// The configuration of a simulated day, with other addresses and limits.
+/// The configuration of the plain scenario of seed 0, with other addresses and limits.
 pub(in crate::commands) fn configuration(
     relay: SocketAddr,
     discovery: SocketAddr,
@@ -68,7 +68,7 @@
     RelayConfiguration { file, limits }
 }
 
-/// The context of peers on real sockets, where only a host learns that the relay has closed a connection.
+/// The context of peers on real sockets, where only a host detects that the relay has closed a connection.
 pub(in crate::commands) fn peer_context(limits: Limits) -> PeerContext<OsRuntime> {
     PeerContext {
         runtime: OsRuntime,
--- a/crates/simulator/src/commands/loopback/error.rs
+++ b/crates/simulator/src/commands/loopback/error.rs
@@ -1,31 +1,31 @@
-//! What prevents a relay from being played on loopback sockets.
+//! Errors of running a relay on loopback sockets.
 
 use std::io;
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// A relay, or what stands around it, can't be started.
+/// A relay or its peers can't be started.
 #[derive(Debug, Error)]
 pub enum LoopbackError {
-    /// No port can be had.
-    #[error("no loopback port: {0}")]
+    /// No loopback port can be bound.
+    #[error("cannot bind a loopback port: {0}")]
     NoPort(#[source] io::Error),
     /// The relay's program can't be started.
     #[error("cannot start {}: {source}", program.display())]
     StartProgram {
         /// The program.
         program: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The state directory can't be made.
-    #[error("no folder for the journal: {0}")]
+    /// The state directory can't be created.
+    #[error("cannot create the state directory: {0}")]
     StateDirectory(#[source] io::Error),
-    /// A file that the relay is to read can't be written.
-    #[error("cannot write: {0}")]
+    /// The relay's configuration file can't be written.
+    #[error("cannot write the configuration: {0}")]
     WriteFile(#[source] io::Error),
     /// The tokio runtime can't be started.
-    #[error("cannot start: {0}")]
+    #[error("cannot start the tokio runtime: {0}")]
     AsyncRuntime(#[source] io::Error),
 }
--- a/crates/simulator/src/commands/loopback/mod.rs
+++ b/crates/simulator/src/commands/loopback/mod.rs
@@ -1,4 +1,4 @@
-//! Relays in processes of their own on loopback sockets: what the demo and the measurements share.
+//! Relay processes on loopback sockets, shared by the demo and the measurements.
 
 mod configuration;
 mod error;
@@ -17,25 +17,25 @@
 pub(super) use submission::{enqueue_request, submit, Submission};
 pub(super) use test_bed::TestBed;
 
-/// How long a relay may take to get ready.
+/// Maximum time until a relay is ready.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time to live of a message, in milliseconds.
 pub(super) const MESSAGE_TTL_MS: u64 = 8_000;
 /// The one tenant of the settings.
 pub(super) const TENANT: &str = "acme";
-/// Partners of a measurement, which answer at once.
+/// Number of partners in a measurement. They respond at once.
 pub(super) const MEASURED_PARTNERS: u16 = 4;
-/// Clients of a measurement, each of which submits its next message a while after the last was answered.
+/// Number of clients in a measurement. Each submits its next message a while after the last reply.
 pub(super) const MEASURED_CLIENTS: u64 = 16;
 
-/// A loopback address with a port that was free a moment ago.
+/// A loopback address whose port was free at the time of the call.
 pub(super) fn free_address() -> Result<SocketAddr, LoopbackError> {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
         .map_err(LoopbackError::NoPort)
 }
 
-/// Runs a future on a tokio runtime of its own; the tasks that it has spawned end with it.
+/// Runs a future on its own tokio runtime. The tasks that it has spawned end with it.
 pub(super) fn block_on<T, E: From<LoopbackError>>(
     future: impl Future<Output = Result<T, E>>,
 ) -> Result<T, E> {
--- a/crates/simulator/src/commands/loopback/relay_process.rs
+++ b/crates/simulator/src/commands/loopback/relay_process.rs
@@ -1,4 +1,4 @@
-//! A relay in a process of its own.
+//! A relay in its own process.
 
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
@@ -9,9 +9,9 @@
 
 use super::error::LoopbackError;
 
-/// How often it is looked whether a process has ended.
+/// Interval at which the end of a process is polled.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How often it is looked at most: a process has five seconds to end.
+/// Maximum number of polls: a process has five seconds to end.
 const MAX_EXIT_POLLS: u32 = 100;
 /// Variables of this program's environment that a relay must not inherit.
 const CLEARED_VARIABLES: [&str; 4] = [
@@ -21,23 +21,23 @@
     "BALANCER_SOCKET_FD",
 ];
 
-/// How a relay is started.
+/// Parameters of the start of a relay.
 pub(in crate::commands) struct RelayCommand<'a> {
     pub program: &'a Path,
     pub arguments: &'a [&'a str],
     pub configuration: &'a Path,
     pub state_directory: &'a Path,
-    /// Variables beside those that every relay has.
+    /// Environment variables in addition to those of every relay.
     pub variables: &'a [(&'a str, String)],
 }
 
-/// A relay's process, which is killed when this is dropped.
+/// A relay's process. Dropping it kills the process.
 pub(in crate::commands) struct RelayProcess {
     child: Child,
 }
 
 impl RelayProcess {
-    /// Starts a relay, without input and output.
+    /// Starts a relay with input and output connected to `/dev/null`.
     pub fn start(relay: &RelayCommand<'_>) -> Result<Self, LoopbackError> {
         let mut command = Command::new(relay.program);
         for name in CLEARED_VARIABLES {
@@ -60,12 +60,12 @@
         Ok(RelayProcess { child })
     }
 
-    /// The process's number.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Whether it runs, or how it has ended, for a reader.
+    /// Describes whether the process runs, or how it ended.
     pub fn status_text(&mut self) -> String {
         match self.child.try_wait() {
             Ok(Some(status)) => format!("has ended: {status}"),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Sends SIGTERM. True if the process then ends in time, with exit code 0.
+    /// Sends SIGTERM. Returns whether the process then ends in time, with exit code 0.
     pub async fn stop(mut self, runtime: &OsRuntime) -> bool {
         let pid = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw);
         if pid.is_none_or(|pid| kill_process(pid, Signal::TERM).is_err()) {
@@ -91,7 +91,7 @@
 
 impl Drop for RelayProcess {
     fn drop(&mut self) {
-        // Both fail if it has ended.
+        // Both calls fail if the process has ended already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
--- a/crates/simulator/src/commands/loopback/submission.rs
+++ b/crates/simulator/src/commands/loopback/submission.rs
@@ -1,4 +1,4 @@
-//! Submitting messages to a relay.
+//! Submission of messages to a relay.
 
 use std::io;
 
@@ -12,17 +12,17 @@
 /// Bytes of a message's body.
 const BODY_BYTES: usize = 200;
 
-/// What became of a message that was submitted.
+/// Result of a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::commands) enum Submission {
     Accepted,
-    /// The relay answered, but did not accept it.
+    /// The relay replied, but did not accept the message.
     Rejected,
-    /// The relay closed the connection before it had answered.
+    /// The relay closed the connection before it replied.
     Unanswered,
 }
 
-/// An `ENQUEUE` request.
+/// Encodes an `ENQUEUE` request.
 pub(in crate::commands) fn enqueue_request(id: &str, tenant: &str, destination: u64) -> Vec<u8> {
     let attributes = format!("c=update,t={tenant},d={MESSAGE_TTL_MS},dest={destination}");
     frame(&[
@@ -34,7 +34,7 @@
     ])
 }
 
-/// Submits a message and waits for the answer.
+/// Submits a message and waits for the reply.
 ///
 /// # Errors
 ///
@@ -44,13 +44,13 @@
     request: &[u8],
 ) -> io::Result<Submission> {
     stream.write_all(request).await?;
-    let mut answer = BytesMut::new();
-    while !answer.ends_with(b"\r\n") {
-        if stream.read_buf(&mut answer).await? == 0 {
+    let mut reply = BytesMut::new();
+    while !reply.ends_with(b"\r\n") {
+        if stream.read_buf(&mut reply).await? == 0 {
             return Ok(Submission::Unanswered);
         }
     }
-    Ok(if answer.starts_with(b"+") {
+    Ok(if reply.starts_with(b"+") {
         Submission::Accepted
     } else {
         Submission::Rejected
--- a/crates/simulator/src/commands/loopback/test_bed.rs
+++ b/crates/simulator/src/commands/loopback/test_bed.rs
@@ -1,4 +1,4 @@
-//! What a measured relay needs around it: partners that answer at once, and a discovery that lists them.
+//! The environment of a measured relay: partners that respond at once, and a discovery that lists them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,22 +17,22 @@
 
 /// The capacity that discovery lists for each partner, in calls a second: more than any measurement makes.
 const LISTED_CAPACITY: u32 = 10_000;
-/// A partner's answer to each call.
-const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+/// A partner's response to each call.
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// Partners that answer at once, a discovery that lists them, and the files of a relay that calls them.
+/// Partners that respond at once, a discovery that lists them, and the files of a relay that calls them.
 pub(in crate::commands) struct TestBed {
     /// The context of the peers.
     pub context: PeerContext<OsRuntime>,
     /// The relay's configuration file.
     pub configuration: PathBuf,
     pub state_directory: PathBuf,
-    /// Discovery ends when this is dropped.
+    /// Discovery stops when this is dropped.
     _discovery_stop: watch::Sender<bool>,
 }
 
 impl TestBed {
-    /// Writes a relay's files to a folder and starts its peers. The relay is to listen at `listen`.
+    /// Writes a relay's files to a directory and starts its peers. The relay will listen at `listen`.
     pub fn start(folder: &Path, listen: SocketAddr) -> Result<Self, LoopbackError> {
         let state_directory = folder.join("state");
         let configuration_file = folder.join("config.json");
@@ -68,7 +68,7 @@
     }
 }
 
-/// The partner of a destination as discovery lists it, at a free address.
+/// The entry of a destination's partner in discovery, at a free address.
 fn listed_partner(destination: u16) -> Result<HostEntry, LoopbackError> {
     Ok(HostEntry {
         host: format!("partner-{destination}"),
@@ -80,7 +80,7 @@
     })
 }
 
-/// Takes connections for good, and answers every call with success.
+/// Accepts connections indefinitely, and responds to every call with 200.
 async fn serve_partner(context: PeerContext<OsRuntime>, address: SocketAddr) -> io::Result<()> {
     let listener = context.runtime.listen(address).await?;
     loop {
@@ -89,7 +89,7 @@
         context.runtime.spawn(async move {
             let mut text = BytesMut::new();
             while let Ok(Some(_)) = read_request(&own, &mut stream, &mut text).await {
-                if stream.write_all(ANSWER).await.is_err() {
+                if stream.write_all(RESPONSE).await.is_err() {
                     return;
                 }
             }
--- a/crates/simulator/src/commands/mod.rs
+++ b/crates/simulator/src/commands/mod.rs
@@ -1,5 +1,5 @@
-//! The sub-commands of `relay-simulator`, one a module. Each prints its result, and returns how it ended or a typed
-//! error that prints as one line.
+//! The sub-commands of `relay-simulator`, one in each module. Each prints its result, and returns its outcome or a typed error
+//! that prints as one line.
 
 pub mod cost;
 pub mod demo;
@@ -15,12 +15,12 @@
 
 use crate::script::Script;
 
-/// Prints the faults of a script, each with its time.
+/// Prints the faults of a script, each with its start and end.
 fn print_faults(script: &Script) {
     for fault in &script.faults {
         println!(
             "from {} ms until {} ms: {:?}",
-            fault.from, fault.until, fault.trouble
+            fault.from, fault.until, fault.behavior
         );
     }
 }
--- a/crates/simulator/src/commands/outcome.rs
+++ b/crates/simulator/src/commands/outcome.rs
@@ -1,11 +1,11 @@
-//! How a command ended.
+//! The outcome of a command.
 
-/// How a command that was carried out ended.
+/// The outcome of a command that could be carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// Nothing was broken.
+    /// No invariant was violated, and no bound exceeded.
     Passed,
-    /// A rule was broken, or a bound exceeded; it was printed which.
+    /// An invariant was violated or a bound exceeded. The command has printed which.
     Failed,
 }
 
--- a/crates/simulator/src/commands/replay.rs
+++ b/crates/simulator/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! Plays one seed and shows what happened.
+//! `replay`: plays one seed and prints its trace.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use super::{print_faults, CommandOutcome};
-use crate::script::{Days, Script};
+use crate::script::{ScenarioKind, Script};
 use crate::world::{play, Options, Report};
 
 /// Lines of the trace that are printed if it is not written to a file.
@@ -15,17 +15,17 @@
 /// A replay could not be carried out.
 #[derive(Debug, Error)]
 pub enum ReplayError {
-    /// The trace's file can't be written.
+    /// The trace file can't be written.
     #[error("cannot write {}: {source}", path.display())]
     WriteTrace {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Plays a seed and prints its faults, the trace or where it went, and the result.
+/// Plays a seed and prints its faults, the last lines of the trace unless it is written to a file, and the result.
 ///
 /// # Errors
 ///
@@ -33,9 +33,9 @@
 pub fn run(
     seed: u64,
     trace_file: Option<&Path>,
-    days: Days,
+    kind: ScenarioKind,
 ) -> Result<CommandOutcome, ReplayError> {
-    let script = Script::of(days, seed);
+    let script = Script::draw_kind(kind, seed);
     print_faults(&script);
     let options = Options {
         traced: true,
--- a/crates/simulator/src/commands/run.rs
+++ b/crates/simulator/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! Plays a range of seeds on several threads, and prints what broke and the totals.
+//! `run`: plays a range of seeds on several threads, and prints violations and totals.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -14,22 +14,22 @@
 use thiserror::Error;
 
 use super::CommandOutcome;
-use crate::script::{Days, Script};
+use crate::script::{ScenarioKind, Script};
 use crate::world::{play, Options, Report};
 
 /// Template of the progress bar.
 const PROGRESS_TEMPLATE: &str = "{bar:40} {pos} of {len} seeds, {per_sec}, {msg}";
 
-/// Text that is no range of seeds.
+/// The text is not a valid range of seeds.
 #[derive(Debug, Error)]
-#[error("{0:?} is no range of seeds, such as 0..1000")]
+#[error("{0:?} is not a range of seeds such as 0..1000")]
 pub struct SeedRangeError(String);
 
-/// Reads a range of seeds written as `FIRST..LAST`, the last one not included.
+/// Parses a range of seeds of the form `FIRST..LAST`, the last one not included.
 ///
 /// # Errors
 ///
-/// If it is written otherwise, or is empty.
+/// If the text has another form, or the range is empty.
 pub fn parse_seeds(text: &str) -> Result<Range<u64>, SeedRangeError> {
     let parse = || {
         let (first, last) = text.split_once("..")?;
@@ -39,28 +39,28 @@
     parse().ok_or_else(|| SeedRangeError(text.into()))
 }
 
-/// What is played.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct RunPlan {
     /// The seeds.
     pub seeds: Range<u64>,
-    /// Seeds that are played at once.
+    /// Number of seeds that are played concurrently.
     pub jobs: u16,
-    /// Where a line of JSON is written for each seed.
+    /// File for a line of JSON for each seed; none for no file.
     pub report_file: Option<PathBuf>,
-    /// Which days are played.
-    pub days: Days,
-    /// Relays of a rolling day; as drawn if not given.
+    /// The kind of scenario.
+    pub kind: ScenarioKind,
+    /// Number of relays in a rolling scenario; drawn if not given.
     pub relays: Option<usize>,
-    /// Hosts of a rolling day; as drawn if not given.
+    /// Number of hosts in a rolling scenario; drawn if not given.
     pub hosts: Option<usize>,
 }
 
 impl RunPlan {
     fn script(&self, seed: u64) -> Script {
-        match self.days {
-            Days::Rolling => Script::draw_rolling(seed, self.relays, self.hosts),
-            days => Script::of(days, seed),
+        match self.kind {
+            ScenarioKind::Rolling => Script::draw_rolling(seed, self.relays, self.hosts),
+            kind => Script::draw_kind(kind, seed),
         }
     }
 }
@@ -68,42 +68,42 @@
 /// A run could not be carried out.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// Only rolling days have a size that can be chosen.
-    #[error("only rolling days can be drawn for other numbers of relays or hosts")]
+    /// Only rolling scenarios have a configurable size.
+    #[error("--relays and --hosts can only be used with --days rolling")]
     FixedSize,
-    /// The file of reports can't be made.
+    /// The report file can't be created.
     #[error("cannot write {}: {source}", path.display())]
     CreateReportFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// A report can't be written.
-    #[error("cannot write: {0}")]
+    #[error("cannot write the reports: {0}")]
     WriteReport(#[source] io::Error),
-    /// A report can't be put as JSON.
+    /// A report can't be encoded as JSON.
     #[error(transparent)]
     EncodeReport(#[from] serde_json::Error),
     /// A thread panicked while it held the reports.
-    #[error("a thread was lost")]
+    #[error("a thread panicked")]
     ThreadPanicked,
 }
 
-/// Reports by their seeds.
+/// Reports by seed.
 type Reports = BTreeMap<u64, Report>;
 
-/// Plays the seeds of a plan. Each broken rule is printed when it is found, the totals at the end.
+/// Plays the seeds of a plan. Violations are printed when they are found, and the totals at the end.
 ///
 /// # Errors
 ///
-/// If the plan asks for a size that its days can't have, or the reports can't be written.
+/// If the plan has a size but its kind of scenario is not rolling, or if the reports can't be written.
 pub fn run(plan: &RunPlan) -> Result<CommandOutcome, RunError> {
-    let has_chosen_size = plan.relays.is_some() || plan.hosts.is_some();
-    if has_chosen_size && plan.days != Days::Rolling {
+    let has_explicit_size = plan.relays.is_some() || plan.hosts.is_some();
+    if has_explicit_size && plan.kind != ScenarioKind::Rolling {
         return Err(RunError::FixedSize);
     }
-    // Made before the seeds are played, so that a path that can't be written costs no time.
+    // The file is created first, so that an invalid path is reported before the seeds are played.
     let report_file = plan
         .report_file
         .as_deref()
@@ -129,10 +129,10 @@
     })
 }
 
-/// Plays all seeds, `jobs` at once.
+/// Plays all seeds, `jobs` of them concurrently.
 fn play_all(plan: &RunPlan) -> Result<Reports, RunError> {
     let progress = progress_bar(plan.seeds.end - plan.seeds.start);
-    // A panic in the relay is reported as a broken rule, not by the hook.
+    // A panic in the relay is reported as a violation, not by the hook.
     std::panic::set_hook(Box::new(|_| {}));
     let next_seed = AtomicU64::new(plan.seeds.start);
     let reports = Mutex::new(Reports::new());
@@ -142,8 +142,8 @@
             return false;
         }
         let report = play(&plan.script(seed), Options::default());
-        if let Some(broken) = &report.violation_text {
-            progress.suspend(|| println!("{broken}"));
+        if let Some(violation) = &report.violation_text {
+            progress.suspend(|| println!("{violation}"));
         }
         if let Ok(mut reports) = reports.lock() {
             reports.insert(seed, report);
@@ -208,26 +208,26 @@
     println!("digest {digest:016x}");
     let effects_digest = combined_digest(reports, |report| &report.effects_digest);
     println!("digest of effects {effects_digest:016x}");
-    print_broken_rules(reports);
+    print_violated_invariants(reports);
 }
 
-/// Prints how many seeds broke each rule.
-fn print_broken_rules(reports: &Reports) {
-    let mut seeds_by_rule: BTreeMap<&str, u64> = BTreeMap::new();
+/// Prints for each violated invariant the number of seeds.
+fn print_violated_invariants(reports: &Reports) {
+    let mut seeds_by_invariant: BTreeMap<&str, u64> = BTreeMap::new();
     for violation in reports
         .values()
         .filter_map(|report| report.violation.as_ref())
     {
-        *seeds_by_rule.entry(violation.invariant).or_default() += 1;
+        *seeds_by_invariant.entry(violation.invariant).or_default() += 1;
     }
-    if seeds_by_rule.is_empty() {
+    if seeds_by_invariant.is_empty() {
         println!("no rule broken");
     } else {
-        println!("broken: {seeds_by_rule:?}");
+        println!("broken: {seeds_by_invariant:?}");
     }
 }
 
-/// One number for a digest of all reports.
+/// Combines a digest of all reports into one number.
 fn combined_digest(reports: &Reports, digest: impl Fn(&Report) -> &String) -> u64 {
     let mut combined = DefaultHasher::new();
     for (seed, report) in reports {
--- a/crates/simulator/src/commands/upgrades/load.rs
+++ b/crates/simulator/src/commands/upgrades/load.rs
@@ -1,4 +1,4 @@
-//! Clients and operators of a relay that is upgraded, and what they meet.
+//! Clients and operators of a relay that is upgraded, and the failures that they observe.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,13 +14,13 @@
     enqueue_request, submit, Submission, MEASURED_CLIENTS, MEASURED_PARTNERS, TENANT,
 };
 
-/// Time between two calls of an operator.
+/// Time between two requests of an operator.
 const CONTROL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long an operator waits for an answer.
+/// Time for which an operator waits for a reply.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
-/// What operators ask the control socket, one operator each.
+/// Commands that operators send to the control socket, one operator for each.
 const CONTROL_COMMANDS: [&str; 2] = ["ready", "show-stat"];
-/// Least time after a refused connection, whatever a client's pause is.
+/// Minimum time after a refused connection, whatever the client's pause.
 const MIN_RECONNECT_PAUSE: Duration = Duration::from_millis(5);
 
 type OsStream = <OsRuntime as Runtime>::Stream;
@@ -30,31 +30,31 @@
 pub(super) enum ConnectionFailure {
     /// It was not accepted.
     Refused,
-    /// It broke.
+    /// It was reset.
     Reset,
-    /// It was closed with a request unanswered.
+    /// It was closed before a reply to the request.
     Unread,
 }
 
-/// A client's connection that failed.
+/// A failed connection of a client.
 pub(super) struct FailedConnection {
     pub at: Instant,
     pub failure: ConnectionFailure,
 }
 
-/// What clients and operators have met.
+/// Observations of clients and operators.
 #[derive(Default)]
 pub(super) struct LoadLog {
-    /// When messages were accepted.
+    /// Times at which messages were accepted.
     pub accepted: Vec<Instant>,
-    /// Messages that were answered, but not accepted.
+    /// Number of messages that were rejected.
     pub rejected: u64,
     pub failed_connections: Vec<FailedConnection>,
-    /// How long answers of the control socket took.
+    /// Latencies of the control socket's replies.
     pub control_latencies: Vec<Duration>,
-    /// Calls of the control socket that were not answered, though its process served.
+    /// Number of control socket requests without a reply although the process was serving.
     pub unanswered_control_calls: u64,
-    /// The process that operators call may have ended already.
+    /// Whether the process that operators call may have ended already.
     pub is_upgrading: bool,
 }
 
@@ -66,7 +66,7 @@
         });
     }
 
-    /// Records a call of a control socket. One without an answer counts only if the process serves.
+    /// Records a request to a control socket. One without a reply counts only if the process serves.
     fn record_control_call(&mut self, is_serving: bool, latency: Option<Duration>) {
         match latency {
             Some(latency) => self.control_latencies.push(latency),
@@ -78,14 +78,14 @@
 /// The load on a relay.
 #[derive(Clone)]
 pub(super) struct Load {
-    /// Where the relay takes clients.
+    /// Address at which the relay accepts clients.
     pub listen: SocketAddr,
-    /// Time between an answer and the same client's next message.
+    /// Time between a reply and the same client's next message.
     pub pause: Duration,
-    /// The control socket of the process that serves.
+    /// Address of the serving process's control socket.
     pub control_address: Rc<Cell<SocketAddr>>,
     pub log: Rc<RefCell<LoadLog>>,
-    /// Clients submit no more.
+    /// Whether clients stop submitting.
     pub is_over: Rc<Cell<bool>>,
 }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Submits messages one after the other. One whose connection failed is submitted again.
+    /// Submits messages one after the other. A message whose connection failed is submitted again.
     async fn submit_until_over(&self, client: u64) {
         let mut idle_connection = None;
         let mut number = 0u64;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// The idle connection, or a new one if the relay has closed that, which is no failure.
+    /// The idle connection, or a new one if the relay has closed the idle one, which does not count as a failure.
     async fn connection(&self, idle: Option<OsStream>) -> io::Result<OsStream> {
         let still_open = idle.filter(|stream| stream.pending_input() != PendingInput::Closed);
         if let Some(stream) = still_open {
@@ -137,7 +137,7 @@
         Ok(stream)
     }
 
-    /// Records what became of a message, and returns whether it was answered.
+    /// Records the result of a submission, and returns whether the relay replied.
     fn record_submission(&self, submission: &io::Result<Submission>) -> bool {
         let mut log = self.log.borrow_mut();
         match submission {
@@ -149,7 +149,7 @@
         matches!(submission, Ok(Submission::Accepted | Submission::Rejected))
     }
 
-    /// Calls the control socket for good.
+    /// Sends requests to the control socket indefinitely.
     async fn call_control_socket(&self, command: &'static str) {
         loop {
             let (address, started_at) = (self.control_address.get(), Instant::now());
@@ -166,17 +166,17 @@
     }
 }
 
-/// Calls a control socket once.
+/// Sends one request to a control socket.
 ///
 /// # Errors
 ///
-/// If the connection breaks, or ends without an answer.
+/// If the connection breaks, or ends without a reply.
 async fn control_call(address: SocketAddr, command: &str) -> io::Result<()> {
     let mut stream = OsRuntime.connect(address).await?;
     stream.write_all(format!("{command}\n").as_bytes()).await?;
-    let mut answer = BytesMut::new();
-    while stream.read_buf(&mut answer).await? > 0 {}
-    if answer.starts_with(b"ok") || answer.starts_with(b"fail") {
+    let mut reply = BytesMut::new();
+    while stream.read_buf(&mut reply).await? > 0 {}
+    if reply.starts_with(b"ok") || reply.starts_with(b"fail") {
         Ok(())
     } else {
         Err(io::ErrorKind::UnexpectedEof.into())
--- a/crates/simulator/src/commands/upgrades/mod.rs
+++ b/crates/simulator/src/commands/upgrades/mod.rs
@@ -1,5 +1,5 @@
-//! What upgrades cost clients: a relay on loopback sockets is replaced by itself many times under a steady load, while
-//! operators call its control socket.
+//! `upgrades`: measures the effect of upgrades on clients. A relay on loopback sockets is replaced by itself many times under a
+//! steady load, while operators call its control socket.
 
 mod load;
 mod report;
@@ -35,35 +35,35 @@
     /// The relay or its peers can't be started.
     #[error(transparent)]
     Loopback(#[from] LoopbackError),
-    /// No temporary folder can be made.
-    #[error("no folder: {0}")]
+    /// The temporary directory can't be created.
+    #[error("cannot create a temporary directory: {0}")]
     Folder(#[source] io::Error),
     /// The listening socket can't be made inheritable.
-    #[error("cannot pass the port on: {0}")]
+    #[error("cannot make the listening socket inheritable: {0}")]
     InheritPort(#[source] io::Error),
-    /// The first process does not start to take messages.
-    #[error("{} does not get ready", .0.display())]
+    /// The first process did not become ready in time.
+    #[error("{} did not become ready within 20 s", .0.display())]
     NotReady(PathBuf),
-    /// A process that is to take over does not get ready.
-    #[error("a new version does not get ready; it {status}")]
+    /// A new process did not become ready in time.
+    #[error("a new version did not become ready within 20 s; it {status}")]
     NewVersionNotReady {
         /// Whether it runs, or how it has ended.
         status: String,
     },
     /// A process that was replaced did not end in time, or with an error.
-    #[error("an old version did not end well")]
+    #[error("an old version did not end in time and with exit code 0")]
     OldVersionFailed,
     /// The last process did not end in time, or with an error.
-    #[error("the last version did not end well")]
+    #[error("the last version did not end in time and with exit code 0")]
     LastVersionFailed,
 }
 
-/// Replaces a relay by itself `times` times and prints what clients and operators met. `pause` is the time between an
-/// answer and the same client's next message. Fails if an upgrade cost more connections than it may.
+/// Replaces a relay by itself `times` times and prints what clients and operators observed. `pause` is the time between a reply
+/// and the same client's next message. Fails if too many connections failed in an upgrade, or any outside of upgrades.
 ///
 /// # Errors
 ///
-/// If a program can't be started or stopped, or a port can't be had.
+/// If a program can't be started or stopped, or a port can't be bound.
 pub fn run(program: &Path, times: u32, pause: Duration) -> Result<CommandOutcome, UpgradesError> {
     block_on(measure(program, times, pause))
 }
@@ -76,7 +76,7 @@
     let folder = tempfile::tempdir().map_err(UpgradesError::Folder)?;
     let listener = TcpListener::bind("127.0.0.1:0").map_err(LoopbackError::NoPort)?;
     let listen = listener.local_addr().map_err(LoopbackError::NoPort)?;
-    // Every process of the relay inherits it.
+    // Every process of the relay inherits the listener.
     fcntl_setfd(&listener, FdFlags::empty())
         .map_err(|error| UpgradesError::InheritPort(error.into()))?;
     let test_bed = TestBed::start(folder.path(), listen)?;
@@ -112,7 +112,7 @@
     Ok(report(&log, &upgrades))
 }
 
-/// A version of the relay that runs.
+/// A running version of the relay.
 struct RunningVersion {
     process: RelayProcess,
     control_address: SocketAddr,
@@ -149,7 +149,7 @@
         OsRuntime.timeout(READY_TIMEOUT, ready).await.is_ok()
     }
 
-    /// Replaces the version that serves by a new one, and waits until that has no effect on clients any more.
+    /// Replaces the serving version by a new one, and waits until the upgrade has no effect on clients any more.
     async fn upgrade(
         &self,
         serving: &mut RunningVersion,
--- a/crates/simulator/src/commands/upgrades/report.rs
+++ b/crates/simulator/src/commands/upgrades/report.rs
@@ -1,4 +1,4 @@
-//! What upgrades have cost, for a reader.
+//! The report of the effect of upgrades.
 
 use std::time::{Duration, Instant};
 
@@ -6,9 +6,9 @@
 use super::UPGRADE_INTERVAL;
 use crate::commands::CommandOutcome;
 
-/// Connections that an upgrade may cost at most.
+/// Maximum number of failed connections in an upgrade.
 const MAX_FAILED_CONNECTIONS: usize = 2;
-/// The time before an upgrade that it is compared with is this much shorter than the interval between two.
+/// The baseline before an upgrade is this much shorter than the interval between two upgrades.
 const BASELINE_MARGIN: Duration = Duration::from_millis(100);
 
 /// One upgrade.
@@ -16,7 +16,7 @@
     pub started_at: Instant,
     /// When it had no effect on clients any more.
     pub ended_at: Instant,
-    /// How long the new process took to get ready.
+    /// Time until the new process was ready.
     pub ready_after: Duration,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A time without an upgrade right before this one.
+    /// The time without an upgrade right before this one, for comparison.
     fn baseline(&self) -> Span {
         Span {
             start: self.started_at - UPGRADE_INTERVAL + BASELINE_MARGIN,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A span of time, its end not included.
+/// A span of time; the end is not included.
 struct Span {
     start: Instant,
     end: Instant,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Prints what clients and operators met. Fails if an upgrade cost more connections than it may, or one failed outside
-/// all upgrades.
+/// Prints what clients and operators observed. Fails if too many connections failed in an upgrade, or any outside of all
+/// upgrades.
 pub(super) fn report(log: &LoadLog, upgrades: &[Upgrade]) -> CommandOutcome {
     let failed = &log.failed_connections;
     let spans: Vec<Span> = upgrades.iter().map(Upgrade::span).collect();
--- a/crates/simulator/src/faults/fleet.rs
+++ b/crates/simulator/src/faults/fleet.rs
@@ -1,11 +1,11 @@
-//! What strikes several relays, or one apart from the others.
+//! Faults of several relays at once, or of one relay in a fleet.
 
 use std::time::Duration;
 
-use super::{Scene, Trouble};
+use super::{FaultBehavior, FaultContext};
 use crate::rng::SimulationRng;
 
-/// SIGKILL to all relays at one instant; they come up again after the same time.
+/// SIGKILL to all relays at one instant; each restarts after the same downtime, in milliseconds.
 #[derive(Debug)]
 pub(super) struct KillAll(u64);
 
@@ -15,23 +15,23 @@
     }
 }
 
-impl Trouble for KillAll {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.down_for(Duration::from_millis(self.0));
-        scene.kill_all();
+impl FaultBehavior for KillAll {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_downtime(Duration::from_millis(self.0));
+        context.kill_all_relays();
     }
 }
 
-/// One relay reaches no host of a destination, which the others do.
+/// A network partition between one relay and the hosts of a destination, which the other relays can still reach.
 #[derive(Debug)]
 pub(super) struct CutOff(pub u16);
 
-impl Trouble for CutOff {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.cut(self.0, true);
+impl FaultBehavior for CutOff {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_partitioned(self.0, true);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.cut(self.0, false);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.set_partitioned(self.0, false);
     }
 }
--- a/crates/simulator/src/faults/kept.rs
+++ b/crates/simulator/src/faults/kept.rs
@@ -1,12 +1,13 @@
-//! What strikes the store of undeliverable messages.
+//! Faults of the store of undeliverable messages.
 
 use std::time::Duration;
 
-use super::{Scene, Trouble};
-use crate::kept::store;
+use super::{FaultBehavior, FaultContext};
+use crate::kept::store_path;
 use crate::rng::SimulationRng;
 
-/// SIGKILL so many effects after an operator's next change is sent: between the claim, the journal and the call.
+/// SIGKILL a number of effects after an operator's next change is sent: between the claim, the journal and the call.
+/// The fields are the number of effects and the downtime in milliseconds.
 #[derive(Debug)]
 pub(super) struct KillInResend(u64, u64);
 
@@ -16,14 +17,14 @@
     }
 }
 
-impl Trouble for KillInResend {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.down_for(Duration::from_millis(self.1));
-        scene.strike_at_change(self.0);
+impl FaultBehavior for KillInResend {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_downtime(Duration::from_millis(self.1));
+        context.kill_after_next_change(self.0);
     }
 }
 
-/// Bits of the store's file are flipped while the relay is down.
+/// Bits of the store's file, at these positions, are flipped while the relay is down.
 #[derive(Debug)]
 pub(super) struct SpoiltStore(Vec<u64>);
 
@@ -33,32 +34,32 @@
     }
 }
 
-impl Trouble for SpoiltStore {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.machine().kill(scene.process());
+impl FaultBehavior for SpoiltStore {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.machine().kill(context.process());
         let flip = |at: &u64| {
-            scene
-                .machine()
-                .disk(scene.relay(), |disk| disk.flip_page_file_bit(&store(), *at))
+            context.machine().disk(context.relay(), |disk| {
+                disk.flip_page_file_bit(&store_path(), *at)
+            })
         };
         self.0.iter().for_each(flip);
     }
 }
 
-/// The store's disk takes no more for a while.
+/// Writes to the store fail because its disk is full.
 #[derive(Debug)]
 pub(super) struct StoreFull;
 
-impl Trouble for StoreFull {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene
+impl FaultBehavior for StoreFull {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context
             .machine()
-            .disk(scene.relay(), |disk| disk.set_page_files_full(true));
+            .disk(context.relay(), |disk| disk.set_page_files_full(true));
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context
             .machine()
-            .disk(scene.relay(), |disk| disk.set_page_files_full(false));
+            .disk(context.relay(), |disk| disk.set_page_files_full(false));
     }
 }
--- a/crates/simulator/src/faults/listing.rs
+++ b/crates/simulator/src/faults/listing.rs
@@ -1,38 +1,38 @@
-//! Hosts that come and go, and a list that lags.
+//! Faults of discovery: hosts that drain or are replaced, and host lists that are late, missing or jump ahead.
 
 use std::time::Duration;
 
-use super::{Scene, Trouble};
+use super::{FaultBehavior, FaultContext};
 use crate::history::Observation;
 use crate::rng::SimulationRng;
 
-/// A host drains, and is removed at the end.
+/// A host drains, and is removed when the fault ends.
 #[derive(Debug)]
 pub(super) struct Drains(pub usize);
 
-impl Trouble for Drains {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.list(self.0, "draining", 1);
+impl FaultBehavior for Drains {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.publish_host_status(self.0, "draining", 1);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.list(self.0, "removed", 1);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.publish_host_status(self.0, "removed", 1);
     }
 }
 
-/// A host is replaced by a new one at its address.
+/// A host is replaced by a new one at the same address.
 #[derive(Debug)]
 pub(super) struct Replaced(pub usize);
 
-impl Trouble for Replaced {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.list(self.0, "removed", 1);
-        scene.rename(self.0);
-        scene.list(self.0, "up", 1);
+impl FaultBehavior for Replaced {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.publish_host_status(self.0, "removed", 1);
+        context.rename_host(self.0);
+        context.publish_host_status(self.0, "up", 1);
     }
 }
 
-/// The list comes later by so many milliseconds.
+/// The host list is published this many milliseconds late.
 #[derive(Debug)]
 pub(super) struct ListLags(u64);
 
@@ -42,47 +42,47 @@
     }
 }
 
-impl Trouble for ListLags {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene
+impl FaultBehavior for ListLags {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context
             .discovery()
             .publication_delay
             .set(Duration::from_millis(self.0));
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.discovery().publication_delay.set(Duration::ZERO);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.discovery().publication_delay.set(Duration::ZERO);
     }
 }
 
-/// Discovery says nothing on the list.
+/// Discovery sends no host list.
 #[derive(Debug)]
 pub(super) struct ListSilent;
 
-impl Trouble for ListSilent {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.discovery().silent.set(true);
-        scene.observe(&Observation::DiscoverySilent(true));
-        scene.discovery().wake();
+impl FaultBehavior for ListSilent {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.discovery().silent.set(true);
+        context.observe(&Observation::DiscoverySilent(true));
+        context.discovery().wake();
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.discovery().silent.set(false);
-        scene.observe(&Observation::DiscoverySilent(false));
-        scene.discovery().wake();
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.discovery().silent.set(false);
+        context.observe(&Observation::DiscoverySilent(false));
+        context.discovery().wake();
     }
 }
 
-/// The list's version jumps with the next changes.
+/// The version of the host list jumps by 1000 with each change.
 #[derive(Debug)]
 pub(super) struct ListJumps;
 
-impl Trouble for ListJumps {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        (0..scene.hosts()).for_each(|host| scene.list(host, "up", 1_000));
+impl FaultBehavior for ListJumps {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        (0..context.host_count()).for_each(|host| context.publish_host_status(host, "up", 1_000));
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        (0..scene.hosts()).for_each(|host| scene.list(host, "up", 1_000));
+    fn clear(&self, context: &mut dyn FaultContext) {
+        (0..context.host_count()).for_each(|host| context.publish_host_status(host, "up", 1_000));
     }
 }
--- a/crates/simulator/src/faults/mod.rs
+++ b/crates/simulator/src/faults/mod.rs
@@ -1,4 +1,8 @@
-//! What goes wrong on a day. A fault knows how to draw and to apply itself; it reaches the world through a scene.
+//! The faults of a scenario. Each fault type draws its own parameters, and injects and clears itself through a
+//! [`FaultContext`].
+//!
+//! The `Debug` text of a fault is written into the trace, and so is a part of the digest: the names of fault types and
+//! of their fields stay as they are.
 
 mod fleet;
 mod kept;
@@ -18,138 +22,143 @@
 
 use crate::history::Observation;
 use crate::machine::{AddressFault, Machine, ProcessId};
-use crate::operated::{Changes, IN_USE};
+use crate::operated::{Changes, CONFIG_IN_USE_MS};
 use crate::peers::discovery::Discovery;
 use crate::peers::host_behavior::HostBehavior;
 use crate::rng::SimulationRng;
 
-/// What a fault may touch of the world.
-pub trait Scene {
-    /// The machine.
+/// The part of the simulated world that a fault may act on.
+pub trait FaultContext {
+    /// The simulated machines, network and disks.
     fn machine(&self) -> &Machine;
-    /// Discovery.
+    /// The discovery agent of the affected relay.
     fn discovery(&self) -> &Discovery;
-    /// Tells the checker what is true from now on.
+    /// Reports an observation to the checker.
     fn observe(&self, observation: &Observation<'_>);
-    /// Changes how the hosts of a destination do.
-    fn host_behavior(&self, block: u16, change: &dyn Fn(&mut HostBehavior));
-    /// Makes the hosts of a destination slower by so many milliseconds than they are.
-    fn slow(&self, block: u16, by: u64);
-    /// What is wrong with the addresses of a destination's hosts from now on.
-    fn address(&self, block: u16, fault: AddressFault);
-    /// Changes a host's entry in the list, whose version grows by `jump`.
-    fn list(&self, host: usize, health: &'static str, jump: u64);
-    /// Hosts there are.
-    fn hosts(&self) -> usize;
-    /// A host has another name from now on.
-    fn rename(&self, host: usize);
-    /// Number of the relay that the fault strikes, if it strikes one; also that of its machine.
+    /// Changes the behavior of a destination's hosts.
+    fn update_hosts(&self, destination: u16, change: &dyn Fn(&mut HostBehavior));
+    /// Adds `by` milliseconds to the planned response times of a destination's hosts; 0 restores them.
+    fn add_latency(&self, destination: u16, by: u64);
+    /// Sets the network fault of the addresses of a destination's hosts.
+    fn set_address_fault(&self, destination: u16, fault: AddressFault);
+    /// Publishes a host's health in the host list of every agent, and increases the list's version by `jump`.
+    fn publish_host_status(&self, host: usize, health: &'static str, jump: u64);
+    /// Number of hosts.
+    fn host_count(&self) -> usize;
+    /// Gives a host a new name, as if it were replaced.
+    fn rename_host(&self, host: usize);
+    /// Number of the affected relay, if the fault affects one; also that of its machine.
     fn relay(&self) -> usize;
-    /// The relay's process.
+    /// The process of the affected relay.
     fn process(&self) -> ProcessId;
     /// Kills all relays within one instant.
-    fn kill_all(&mut self);
-    /// Kills so many of a hundred relays within one instant.
-    fn kill_some(&mut self, percent: u64);
-    /// From the relay's machine nothing gets through to the hosts of a destination, or does again.
-    fn cut(&self, block: u16, cut: bool);
-    /// How long the relay is down after its next kill.
-    fn down_for(&mut self, span: Duration);
-    /// SIGTERM; the relay starts again so long after its end.
-    fn stop(&mut self, down: Duration);
-    /// SIGHUP with a configuration that names another discovery.
-    fn reload(&mut self);
-    /// A new version starts beside the process that serves.
-    fn upgrade(&mut self, plan: Upgrade);
-    /// An operator drains the relay, or puts it back to work.
-    fn drain(&mut self, drain: bool);
-    /// SIGHUP with changed settings.
-    fn retune(&mut self, change: &dyn Fn(&mut serde_json::Value));
-    /// SIGHUP with a file that is not whole, in a way; not where a process is about to read it for its start.
-    fn spoil_file(&mut self, way: u64);
-    /// The file is whole again.
-    fn mend_file(&mut self);
-    /// SIGKILL so many effects after the next change of a tenant is sent.
-    fn strike_at_change(&mut self, effects: u64);
+    fn kill_all_relays(&mut self);
+    /// Kills a percentage of the relays within one instant.
+    fn kill_relays(&mut self, percent: u64);
+    /// Starts or ends a network partition between the relay's machine and the hosts of a destination.
+    fn set_partitioned(&self, destination: u16, is_partitioned: bool);
+    /// Sets how long the relay is down after its next kill.
+    fn set_downtime(&mut self, downtime: Duration);
+    /// Sends SIGTERM; the relay starts again `downtime` after its end.
+    fn terminate(&mut self, downtime: Duration);
+    /// Moves the discovery agent to another address, and sends SIGHUP with a configuration that names it.
+    fn move_discovery(&mut self);
+    /// Starts a new version beside the serving process.
+    fn start_upgrade(&mut self, plan: Upgrade);
+    /// Lets an operator drain or resume the relay.
+    fn set_draining(&mut self, is_draining: bool);
+    /// Changes the settings, and sends SIGHUP.
+    fn reload_settings(&mut self, change: &dyn Fn(&mut serde_json::Value));
+    /// Corrupts the configuration file in the way of a number, and sends SIGHUP. Does nothing where a process is about to read
+    /// the file, for its start or after a recent change.
+    fn corrupt_config(&mut self, kind: u64);
+    /// Restores the valid configuration file.
+    fn restore_config(&mut self);
+    /// Kills the relay's process a number of effects after an administrator's or operator's next change is sent.
+    fn kill_after_next_change(&mut self, effects: u64);
 }
 
 /// How a new version takes over.
 #[derive(Clone, Copy, Debug)]
 pub struct Upgrade {
-    /// The old process gets SIGTERM so long after the new one has said yes.
+    /// Time from the new process's report that it is ready until the old one gets SIGTERM.
     pub stop_after: Duration,
-    /// SIGKILL of the old process, and of the new one, after so many effects.
+    /// Numbers of effects after which the old and the new process get SIGKILL; none for no kill.
     pub kills: [Option<u64>; 2],
 }
 
-/// Something that goes wrong for a while.
-pub trait Trouble: Debug {
-    /// It begins, and will end at `until`.
-    fn begins(&self, scene: &mut dyn Scene, until: Duration);
+/// What a kind of fault does while it is active.
+pub trait FaultBehavior: Debug {
+    /// Injects the fault, which will be cleared at `until`.
+    fn inject(&self, context: &mut dyn FaultContext, until: Duration);
 
-    /// It ends.
-    fn ends(&self, _scene: &mut dyn Scene) {}
+    /// Clears the fault.
+    fn clear(&self, _context: &mut dyn FaultContext) {}
 
-    /// What is written to a host may get lost on its way.
-    fn eats(&self) -> bool {
+    /// Whether requests may get lost on their way to a host.
+    fn may_lose_requests(&self) -> bool {
         false
     }
 
-    /// Answers of this destination may reach the relay late, in part or spoilt.
-    fn garbles(&self) -> Option<u16> {
+    /// The destination whose responses may reach the relay late, incomplete or corrupted, if there is one.
+    fn corrupts_responses_of(&self) -> Option<u16> {
         None
     }
 
-    /// So many more messages for a destination are handed in while it holds.
+    /// The destination and number of additional messages that clients submit while the fault is active.
     fn surge(&self) -> Option<(u16, u64)> {
         None
     }
 
-    /// Of a hundred messages so many come from clients with a bad habit, all day.
-    fn bad_clients(&self) -> Option<u64> {
+    /// Percentage of messages that come from misbehaving clients, over the whole scenario.
+    fn misbehaving_client_percent(&self) -> Option<u64> {
         None
     }
 }
 
-/// A fault and when it holds, in milliseconds.
+/// A fault and the time for which it is active.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// From then on.
+    /// When it is injected, in milliseconds.
     pub from: u64,
-    /// Until then.
+    /// When it is cleared, in milliseconds.
     pub until: u64,
-    /// The relay that it strikes, if it strikes one.
+    /// Number of the affected relay; not used by faults that affect no single relay.
     pub relay: usize,
-    /// What goes wrong.
-    pub trouble: Rc<dyn Trouble>,
+    /// The kind of fault.
+    pub behavior: Rc<dyn FaultBehavior>,
 }
 
-/// What a fault may strike: one of the destinations, and one of the hosts.
+/// A destination and a host that a fault may affect.
 struct Target {
-    block: u16,
+    destination: u16,
     host: usize,
 }
 
-fn trouble(rng: &mut SimulationRng, blocks: &[u16], hosts: usize) -> Rc<dyn Trouble> {
-    let at = Target {
-        block: *rng.pick(blocks),
+fn draw_behavior(
+    rng: &mut SimulationRng,
+    destinations: &[u16],
+    hosts: usize,
+) -> Rc<dyn FaultBehavior> {
+    let target = Target {
+        destination: *rng.pick(destinations),
         host: rng.below(hosts as u64) as usize,
     };
     match rng.below(27) {
-        0 => Rc::new(partners::Fails::draw(rng, &at)),
-        1 => Rc::new(partners::Shut(at.block)),
-        2 => Rc::new(partners::ShutTold(at.block)),
-        3 => Rc::new(partners::Hangs(at.block)),
-        4 => Rc::new(partners::Trickles(at.block)),
-        5 => Rc::new(partners::Refuses(at.block)),
-        6 => Rc::new(partners::BlackHole(at.block)),
-        7 => Rc::new(partners::Cuts::draw(rng, &at)),
-        8 => Rc::new(partners::Stale(at.block)),
-        9 => Rc::new(partners::Spoils::draw(rng, &at)),
-        10 => Rc::new(partners::Limited::draw(rng, &at)),
-        11 => Rc::new(partners::Slow::draw(rng, &at)),
-        12 => Rc::new(listing::Drains(at.host)),
-        13 => Rc::new(listing::Replaced(at.host)),
+        0 => Rc::new(partners::Fails::draw(rng, &target)),
+        1 => Rc::new(partners::Shut(target.destination)),
+        2 => Rc::new(partners::ShutTold(target.destination)),
+        3 => Rc::new(partners::Hangs(target.destination)),
+        4 => Rc::new(partners::Trickles(target.destination)),
+        5 => Rc::new(partners::Refuses(target.destination)),
+        6 => Rc::new(partners::BlackHole(target.destination)),
+        7 => Rc::new(partners::Cuts::draw(rng, &target)),
+        8 => Rc::new(partners::Stale(target.destination)),
+        9 => Rc::new(partners::Spoils::draw(rng, &target)),
+        10 => Rc::new(partners::Limited::draw(rng, &target)),
+        11 => Rc::new(partners::Slow::draw(rng, &target)),
+        12 => Rc::new(listing::Drains(target.host)),
+        13 => Rc::new(listing::Replaced(target.host)),
         14 => Rc::new(listing::ListLags::draw(rng)),
         15 | 16 => Rc::new(listing::ListSilent),
         17 => Rc::new(listing::ListJumps),
@@ -159,24 +168,24 @@
         22 => Rc::new(process::Reload),
         23 => Rc::new(process::DiskFull::draw(rng)),
         24 => Rc::new(process::ShortWrites::draw(rng)),
-        25 => Rc::new(traffic::Surge::draw(rng, &at)),
+        25 => Rc::new(traffic::Surge::draw(rng, &target)),
         _ => Rc::new(traffic::BadClients::draw(rng)),
     }
 }
 
-/// Up to two faults that strike the registry of tenants.
-pub fn of_tenants(rng: &mut SimulationRng) -> Vec<Fault> {
-    // Two copies heal what either loses, not what both do.
-    let copy = if rng.percent(50) {
+/// Draws up to two faults of the tenant registry.
+pub fn draw_tenant_faults(rng: &mut SimulationRng) -> Vec<Fault> {
+    // All corruption hits one replica: the other repairs it, but not damage to both.
+    let replica = if rng.percent(50) {
         "tenants.a"
     } else {
         "tenants.b"
     };
-    let trouble = |rng: &mut SimulationRng| -> Rc<dyn Trouble> {
+    let behavior = |rng: &mut SimulationRng| -> Rc<dyn FaultBehavior> {
         if rng.percent(60) {
             Rc::new(tenants::KillInChange::draw(rng))
         } else {
-            Rc::new(tenants::SpoiltRegistry::draw(rng, copy))
+            Rc::new(tenants::SpoiltRegistry::draw(rng, replica))
         }
     };
     let fault = |rng: &mut SimulationRng| {
@@ -185,36 +194,37 @@
             from,
             until: from + 1,
             relay: 0,
-            trouble: trouble(rng),
+            behavior: behavior(rng),
         }
     };
     (0..rng.between(0, 2)).map(|_| fault(rng)).collect()
 }
 
-/// Up to three faults that strike the store of undeliverable messages, each with whether it may lose records.
-pub fn of_kept(rng: &mut SimulationRng) -> Vec<(Fault, bool)> {
+/// Draws up to three faults of the store of undeliverable messages, each with whether it may lose records.
+pub fn draw_undeliverable_store_faults(rng: &mut SimulationRng) -> Vec<(Fault, bool)> {
     let fault = |rng: &mut SimulationRng| {
         let from = rng.between(2_000, 20_000);
-        let (span, spoils, trouble): (u64, bool, Rc<dyn Trouble>) = match rng.below(10) {
-            0..=6 => (1, false, Rc::new(kept::KillInResend::draw(rng))),
-            7 => (1, true, Rc::new(kept::SpoiltStore::draw(rng))),
-            _ => (rng.between(500, 4_000), true, Rc::new(kept::StoreFull)),
-        };
+        let (span, damages_store, behavior): (u64, bool, Rc<dyn FaultBehavior>) =
+            match rng.below(10) {
+                0..=6 => (1, false, Rc::new(kept::KillInResend::draw(rng))),
+                7 => (1, true, Rc::new(kept::SpoiltStore::draw(rng))),
+                _ => (rng.between(500, 4_000), true, Rc::new(kept::StoreFull)),
+            };
         (
             Fault {
                 from,
                 until: from + span,
                 relay: 0,
-                trouble,
+                behavior,
             },
-            spoils,
+            damages_store,
         )
     };
     (0..rng.between(0, 3)).map(|_| fault(rng)).collect()
 }
 
-/// One to three new versions over the day.
-pub fn of_upgrades(rng: &mut SimulationRng) -> Vec<Fault> {
+/// Draws three upgrades, one after the other.
+pub fn draw_upgrades(rng: &mut SimulationRng) -> Vec<Fault> {
     let mut from = 0;
     let fault = |_| {
         from += rng.between(1_500, 5_000);
@@ -222,30 +232,39 @@
             from,
             until: from + 1,
             relay: 0,
-            trouble: Rc::new(upgrade::NewVersion::draw(rng)),
+            behavior: Rc::new(upgrade::NewVersion::draw(rng)),
         }
     };
     (0..3).map(fault).collect()
 }
 
-/// What staff do: the changes of the day, one or two drains, and up to two files that are not whole.
-pub fn of_staff(rng: &mut SimulationRng, changes: &Changes) -> Vec<Fault> {
+/// Draws the operators' actions: the given changes of the settings, one or two drains, and up to two invalid configuration
+/// files.
+pub fn draw_operator_actions(rng: &mut SimulationRng, changes: &Changes) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut add = |from: u64, until: u64, trouble: Rc<dyn Trouble>| {
+    let mut add = |from: u64, until: u64, behavior: Rc<dyn FaultBehavior>| {
         faults.push(Fault {
             from,
             until,
             relay: 0,
-            trouble,
+            behavior,
         });
     };
-    add(changes.rush.0, changes.rush.1, Rc::new(staff::Rush));
+    add(
+        changes.transient_class.0,
+        changes.transient_class.1,
+        Rc::new(staff::Rush),
+    );
     changes
-        .hardened
+        .non_idempotent_at
         .into_iter()
         .for_each(|at| add(at, at + 1, Rc::new(staff::Hardens)));
-    if let Some((at, most)) = changes.fewer {
-        add(at, at + IN_USE, Rc::new(staff::Fewer(most)));
+    if let Some((at, max_attempts)) = changes.max_attempts_lowered {
+        add(
+            at,
+            at + CONFIG_IN_USE_MS,
+            Rc::new(staff::Fewer(max_attempts)),
+        );
     }
     let mut from = rng.between(1_000, 5_000);
     for _ in 0..rng.between(1, 2) {
@@ -260,22 +279,26 @@
     faults
 }
 
-/// What befalls several relays: each fault of the day strikes one of them, and up to two more strike some apart
-/// from the others.
-pub fn of_fleet(rng: &mut SimulationRng, faults: &mut Vec<Fault>, relays: u64, blocks: &[u16]) {
+/// Assigns each fault of a scenario to one of several relays, and adds up to two that affect all relays or one of them.
+pub fn add_fleet_faults(
+    rng: &mut SimulationRng,
+    faults: &mut Vec<Fault>,
+    relays: u64,
+    destinations: &[u16],
+) {
     for _ in 0..rng.between(0, 2) {
         let from = rng.between(500, 12_000);
         let until = from + rng.between(300, 4_000);
-        let trouble: Rc<dyn Trouble> = match rng.below(4) {
+        let behavior: Rc<dyn FaultBehavior> = match rng.below(4) {
             0 => Rc::new(fleet::KillAll::draw(rng)),
-            1 | 2 => Rc::new(fleet::CutOff(*rng.pick(blocks))),
+            1 | 2 => Rc::new(fleet::CutOff(*rng.pick(destinations))),
             _ => Rc::new(listing::ListSilent),
         };
         faults.push(Fault {
             from,
             until,
             relay: 0,
-            trouble,
+            behavior,
         });
     }
     faults
@@ -284,16 +307,20 @@
     faults.sort_by_key(|fault| fault.from);
 }
 
-/// What befalls a large fleet: one of a restart of most, an outage of destinations with half of the traffic, and a
-/// limit lowered for nine seconds; at times two of them.
-pub fn of_vast(rng: &mut SimulationRng, blocks: &[u16], relays: usize) -> Vec<Fault> {
+/// Draws one or two kinds of faults of a large fleet: a restart of most relays, an outage of destinations with half of the
+/// traffic, or a limit that is lowered for nine seconds.
+pub fn draw_large_fleet_faults(
+    rng: &mut SimulationRng,
+    destinations: &[u16],
+    relays: usize,
+) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut add = |from: u64, span: u64, trouble: Rc<dyn Trouble>| {
+    let mut add = |from: u64, span: u64, behavior: Rc<dyn FaultBehavior>| {
         faults.push(Fault {
             from,
             until: from + span,
             relay: 0,
-            trouble,
+            behavior,
         });
     };
     let first = rng.below(3);
@@ -303,42 +330,52 @@
         match kind {
             0 if relays > 1 => add(from, 1, Rc::new(vast::KillMost::draw(rng))),
             0 | 1 => {
-                let half = &blocks[..blocks.len().div_ceil(2)];
+                let half = &destinations[..destinations.len().div_ceil(2)];
                 half.iter()
-                    .for_each(|block| add(from, 5_000, Rc::new(vast::Down(*block))));
+                    .for_each(|destination| add(from, 5_000, Rc::new(vast::Down(*destination))));
             }
-            _ => add(from, 9_000, Rc::new(vast::Lowered(*rng.pick(blocks)))),
+            _ => add(from, 9_000, Rc::new(vast::Lowered(*rng.pick(destinations)))),
         }
     }
     faults.sort_by_key(|fault| fault.from);
     faults
 }
 
-/// All relays are restarted, a tenth at a time, while up to a third of the hosts leave in steps, never the last of a
-/// destination; discovery moves for most relays, and is late or silent for some.
-pub fn of_rolling(rng: &mut SimulationRng, relays: usize, hosts: usize, each: usize) -> Vec<Fault> {
+/// Draws a rolling restart of all relays, a tenth at a time, while up to a third of the hosts leave in steps, never
+/// the last one of a destination; discovery moves for most relays, and is late or silent for some.
+pub fn draw_rolling_faults(
+    rng: &mut SimulationRng,
+    relays: usize,
+    hosts: usize,
+    hosts_per_destination: usize,
+) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let mut add = |from: u64, span: u64, relay: usize, trouble: Rc<dyn Trouble>| {
+    let mut add = |from: u64, span: u64, relay: usize, behavior: Rc<dyn FaultBehavior>| {
         faults.push(Fault {
             from,
             until: from + span,
             relay,
-            trouble,
+            behavior,
         });
     };
     for relay in 0..relays {
-        let turn = (relay * 10 / relays) as u64;
+        let batch = (relay * 10 / relays) as u64;
         add(
-            2_000 + turn * 1_200 + rng.below(200),
+            2_000 + batch * 1_200 + rng.below(200),
             1,
             relay,
             Rc::new(rolling::Restarted::draw(rng)),
         );
     }
-    let moved = rng.between(4_000, 10_000);
+    let discovery_moves_at = rng.between(4_000, 10_000);
     for relay in 0..relays {
         if rng.percent(70) {
-            add(moved + rng.below(1_000), 1, relay, Rc::new(process::Reload));
+            add(
+                discovery_moves_at + rng.below(1_000),
+                1,
+                relay,
+                Rc::new(process::Reload),
+            );
         }
         match rng.below(10) {
             0 => add(
@@ -359,8 +396,8 @@
     for _ in 0..rng.between(3, 6) {
         let from = rng.between(2_500, 14_000);
         for host in 0..hosts {
-            // One of each destination stays for good: not the first, which idle relays prefer.
-            let stays = (host + 1) % each == 0 || host + 1 == hosts;
+            // One host of each destination always stays: not the first one, which idle relays prefer.
+            let stays = (host + 1) % hosts_per_destination == 0 || host + 1 == hosts;
             if !stays && rng.percent(15) {
                 add(
                     from,
@@ -375,8 +412,8 @@
     faults
 }
 
-/// Two faults that overlap, and up to three more, in the order of their beginnings.
-pub fn draw(rng: &mut SimulationRng, blocks: &[u16], hosts: usize) -> Vec<Fault> {
+/// Draws two faults that overlap and up to three more, ordered by their start.
+pub fn draw(rng: &mut SimulationRng, destinations: &[u16], hosts: usize) -> Vec<Fault> {
     let mut faults = Vec::new();
     let middle = rng.between(4_000, 11_000);
     for number in 0..rng.between(2, 5) {
@@ -393,7 +430,7 @@
             from,
             until,
             relay: 0,
-            trouble: trouble(rng, blocks, hosts),
+            behavior: draw_behavior(rng, destinations, hosts),
         });
     }
     faults.sort_by_key(|fault| fault.from);
--- a/crates/simulator/src/faults/partners.rs
+++ b/crates/simulator/src/faults/partners.rs
@@ -1,214 +1,214 @@
-//! Partners that do badly.
+//! Faults of the partners' hosts, and of the network to them. The first field is the destination.
 
 use std::time::Duration;
 
-use super::{Scene, Target, Trouble};
+use super::{FaultBehavior, FaultContext, Target};
 use crate::history::Observation;
 use crate::machine::AddressFault;
 use crate::peers::host_behavior::Rejection;
 use crate::rng::SimulationRng;
 
-/// A partner's calls fail, so many of a hundred.
+/// This percentage of a partner's calls fail.
 #[derive(Debug)]
 pub(super) struct Fails(u16, u64);
 
 impl Fails {
-    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
-        Fails(at.block, rng.between(50, 100))
+    pub fn draw(rng: &mut SimulationRng, target: &Target) -> Self {
+        Fails(target.destination, rng.between(50, 100))
     }
 }
 
-impl Trouble for Fails {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.host_behavior(self.0, &|behavior| behavior.error_percent = self.1);
-        scene.observe(&Observation::DestinationOutage {
+impl FaultBehavior for Fails {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.update_hosts(self.0, &|behavior| behavior.error_percent = self.1);
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
         });
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| behavior.error_percent = 0);
-        scene.observe(&Observation::DestinationOutage {
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| behavior.error_percent = 0);
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: false,
         });
     }
 }
 
-/// A partner turns all away, and tells no wait.
+/// A partner rejects all calls, without a Retry-After.
 #[derive(Debug)]
 pub(super) struct Shut(pub u16);
 
-impl Trouble for Shut {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.host_behavior(self.0, &|behavior| {
+impl FaultBehavior for Shut {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.update_hosts(self.0, &|behavior| {
             behavior.rejection = Some(Rejection::WithoutWait)
         });
-        scene.observe(&Observation::DestinationOutage {
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
         });
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| behavior.rejection = None);
-        scene.observe(&Observation::DestinationOutage {
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| behavior.rejection = None);
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: false,
         });
     }
 }
 
-/// A partner turns all away, and tells how long.
+/// A partner rejects all calls, with a Retry-After up to the end of the fault.
 #[derive(Debug)]
 pub(super) struct ShutTold(pub u16);
 
-impl Trouble for ShutTold {
-    fn begins(&self, scene: &mut dyn Scene, until: Duration) {
-        scene.host_behavior(self.0, &|behavior| {
+impl FaultBehavior for ShutTold {
+    fn inject(&self, context: &mut dyn FaultContext, until: Duration) {
+        context.update_hosts(self.0, &|behavior| {
             behavior.rejection = Some(Rejection::Until(until))
         });
-        scene.observe(&Observation::DestinationOutage {
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
         });
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        Shut(self.0).ends(scene);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        Shut(self.0).clear(context);
     }
 }
 
-/// A partner says nothing.
+/// A partner does not respond to calls.
 #[derive(Debug)]
 pub(super) struct Hangs(pub u16);
 
-impl Trouble for Hangs {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.host_behavior(self.0, &|behavior| behavior.hangs = true);
-        scene.observe(&Observation::DestinationOutage {
+impl FaultBehavior for Hangs {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.update_hosts(self.0, &|behavior| behavior.hangs = true);
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
         });
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| behavior.hangs = false);
-        scene.observe(&Observation::DestinationOutage {
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| behavior.hangs = false);
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: false,
         });
     }
 }
 
-/// A partner answers a byte at a time.
+/// A partner sends its responses one byte at a time.
 #[derive(Debug)]
 pub(super) struct Trickles(pub u16);
 
-impl Trouble for Trickles {
-    fn garbles(&self) -> Option<u16> {
+impl FaultBehavior for Trickles {
+    fn corrupts_responses_of(&self) -> Option<u16> {
         Some(self.0)
     }
 
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.host_behavior(self.0, &|behavior| behavior.responds_bytewise = true);
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.update_hosts(self.0, &|behavior| behavior.responds_bytewise = true);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| behavior.responds_bytewise = false);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| behavior.responds_bytewise = false);
     }
 }
 
-/// A partner's connections are refused.
+/// A partner refuses connections.
 #[derive(Debug)]
 pub(super) struct Refuses(pub u16);
 
-impl Trouble for Refuses {
-    fn garbles(&self) -> Option<u16> {
+impl FaultBehavior for Refuses {
+    fn corrupts_responses_of(&self) -> Option<u16> {
         Some(self.0)
     }
 
-    fn eats(&self) -> bool {
+    fn may_lose_requests(&self) -> bool {
         true
     }
 
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.address(
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_address_fault(
             self.0,
             AddressFault {
                 refuses: true,
                 ..AddressFault::default()
             },
         );
-        scene.observe(&Observation::DestinationOutage {
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
         });
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.address(self.0, AddressFault::default());
-        scene.observe(&Observation::DestinationOutage {
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.set_address_fault(self.0, AddressFault::default());
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: false,
         });
     }
 }
 
-/// Nothing gets through to a partner and back.
+/// All packets to and from a partner are dropped.
 #[derive(Debug)]
 pub(super) struct BlackHole(pub u16);
 
-impl Trouble for BlackHole {
-    fn garbles(&self) -> Option<u16> {
+impl FaultBehavior for BlackHole {
+    fn corrupts_responses_of(&self) -> Option<u16> {
         Some(self.0)
     }
 
-    fn eats(&self) -> bool {
+    fn may_lose_requests(&self) -> bool {
         true
     }
 
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.address(
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_address_fault(
             self.0,
             AddressFault {
                 silent: true,
                 ..AddressFault::default()
             },
         );
-        scene.observe(&Observation::DestinationOutage {
+        context.observe(&Observation::DestinationOutage {
             destination: self.0,
             is_down: true,
         });
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        Refuses(self.0).ends(scene);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        Refuses(self.0).clear(context);
     }
 }
 
-/// Connections to a partner are reset at any byte, so many of a hundred.
+/// This percentage of connections to a partner are reset, each after an arbitrary byte.
 #[derive(Debug)]
 pub(super) struct Cuts(u16, u64);
 
 impl Cuts {
-    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
-        Cuts(at.block, rng.between(10, 60))
+    pub fn draw(rng: &mut SimulationRng, target: &Target) -> Self {
+        Cuts(target.destination, rng.between(10, 60))
     }
 }
 
-impl Trouble for Cuts {
-    fn garbles(&self) -> Option<u16> {
+impl FaultBehavior for Cuts {
+    fn corrupts_responses_of(&self) -> Option<u16> {
         Some(self.0)
     }
 
-    fn eats(&self) -> bool {
+    fn may_lose_requests(&self) -> bool {
         true
     }
 
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.address(
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_address_fault(
             self.0,
             AddressFault {
                 reset_percent: self.1,
@@ -217,95 +217,95 @@
         );
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.address(self.0, AddressFault::default());
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.set_address_fault(self.0, AddressFault::default());
     }
 }
 
-/// A partner closes kept connections, also as they are used.
+/// A partner closes kept-alive connections, also while a request is on its way.
 #[derive(Debug)]
 pub(super) struct Stale(pub u16);
 
-impl Trouble for Stale {
-    fn garbles(&self) -> Option<u16> {
+impl FaultBehavior for Stale {
+    fn corrupts_responses_of(&self) -> Option<u16> {
         Some(self.0)
     }
 
-    fn eats(&self) -> bool {
+    fn may_lose_requests(&self) -> bool {
         true
     }
 
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.host_behavior(self.0, &|behavior| behavior.closes_after_response = true);
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.update_hosts(self.0, &|behavior| behavior.closes_after_response = true);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| behavior.closes_after_response = false);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| behavior.closes_after_response = false);
     }
 }
 
-/// A partner's answers are spoilt, so many of a hundred.
+/// This percentage of a partner's responses are corrupted.
 #[derive(Debug)]
 pub(super) struct Spoils(u16, u64);
 
 impl Spoils {
-    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
-        Spoils(at.block, rng.between(5, 40))
+    pub fn draw(rng: &mut SimulationRng, target: &Target) -> Self {
+        Spoils(target.destination, rng.between(5, 40))
     }
 }
 
-impl Trouble for Spoils {
-    fn garbles(&self) -> Option<u16> {
+impl FaultBehavior for Spoils {
+    fn corrupts_responses_of(&self) -> Option<u16> {
         Some(self.0)
     }
 
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.host_behavior(self.0, &|behavior| behavior.corruption_percent = self.1);
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.update_hosts(self.0, &|behavior| behavior.corruption_percent = self.1);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| behavior.corruption_percent = 0);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| behavior.corruption_percent = 0);
     }
 }
 
-/// A partner has a limit of so many calls a second and tells waits past it.
+/// A partner limits its calls a second to this number, and sends Retry-After with calls beyond it.
 #[derive(Debug)]
 pub(super) struct Limited(u16, u64);
 
 impl Limited {
-    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
-        Limited(at.block, rng.between(2, 10))
+    pub fn draw(rng: &mut SimulationRng, target: &Target) -> Self {
+        Limited(target.destination, rng.between(2, 10))
     }
 }
 
-impl Trouble for Limited {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.host_behavior(self.0, &|behavior| {
+impl FaultBehavior for Limited {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.update_hosts(self.0, &|behavior| {
             behavior.max_calls_per_second = Some(self.1 as f64)
         });
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| behavior.max_calls_per_second = None);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| behavior.max_calls_per_second = None);
     }
 }
 
-/// A partner is slow, by so many milliseconds.
+/// A partner's responses take this many milliseconds longer.
 #[derive(Debug)]
 pub(super) struct Slow(u16, u64);
 
 impl Slow {
-    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
-        Slow(at.block, rng.between(200, 1_500))
+    pub fn draw(rng: &mut SimulationRng, target: &Target) -> Self {
+        Slow(target.destination, rng.between(200, 1_500))
     }
 }
 
-impl Trouble for Slow {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.slow(self.0, self.1);
+impl FaultBehavior for Slow {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.add_latency(self.0, self.1);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.slow(self.0, 0);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.add_latency(self.0, 0);
     }
 }
--- a/crates/simulator/src/faults/process.rs
+++ b/crates/simulator/src/faults/process.rs
@@ -1,12 +1,12 @@
-//! A relay that is killed, stopped or told to read its configuration again, and a disk that is full.
+//! Faults of one relay process: kills, terminations, reloads of the configuration, and a full or failing disk.
 
 use std::time::Duration;
 
-use super::{Scene, Trouble};
+use super::{FaultBehavior, FaultContext};
 use crate::history::Observation;
 use crate::rng::SimulationRng;
 
-/// SIGKILL after so many more effects, and a start so many milliseconds later.
+/// SIGKILL after a number of further effects, and a restart after a downtime in milliseconds.
 #[derive(Debug)]
 pub(super) struct Kill(u64, u64);
 
@@ -16,21 +16,21 @@
     }
 }
 
-impl Trouble for Kill {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.down_for(Duration::from_millis(self.1));
-        scene.machine().kill_after(scene.process(), self.0);
+impl FaultBehavior for Kill {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_downtime(Duration::from_millis(self.1));
+        context.machine().kill_after(context.process(), self.0);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        // One that has had nothing to do since is killed all the same.
-        if scene.machine().is_kill_pending(scene.process()) {
-            scene.machine().kill(scene.process());
+    fn clear(&self, context: &mut dyn FaultContext) {
+        // An idle process may not have reached the number of effects; it is killed here.
+        if context.machine().is_kill_pending(context.process()) {
+            context.machine().kill(context.process());
         }
     }
 }
 
-/// The same, within the journal's next rewriting.
+/// SIGKILL a number of effects into the next rewriting of the journal, and a restart after a downtime in milliseconds.
 #[derive(Debug)]
 pub(super) struct KillInRewriting(u64, u64);
 
@@ -40,16 +40,16 @@
     }
 }
 
-impl Trouble for KillInRewriting {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.down_for(Duration::from_millis(self.1));
-        scene
+impl FaultBehavior for KillInRewriting {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_downtime(Duration::from_millis(self.1));
+        context
             .machine()
-            .kill_after_create(scene.process(), "journal.new", self.0);
+            .kill_after_create(context.process(), "journal.new", self.0);
     }
 }
 
-/// SIGTERM, and a start after the end.
+/// SIGTERM, and a restart this many milliseconds after the process has ended.
 #[derive(Debug)]
 pub(super) struct Stop(u64);
 
@@ -59,23 +59,23 @@
     }
 }
 
-impl Trouble for Stop {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.stop(Duration::from_millis(self.0));
+impl FaultBehavior for Stop {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.terminate(Duration::from_millis(self.0));
     }
 }
 
-/// SIGHUP with a configuration that names another discovery.
+/// Discovery moves to another address, and SIGHUP makes the relay read the configuration that names it.
 #[derive(Debug)]
 pub(super) struct Reload;
 
-impl Trouble for Reload {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.reload();
+impl FaultBehavior for Reload {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.move_discovery();
     }
 }
 
-/// The disk takes so many more bytes.
+/// The disk is full after this many more bytes.
 #[derive(Debug)]
 pub(super) struct DiskFull(u64);
 
@@ -85,23 +85,23 @@
     }
 }
 
-impl Trouble for DiskFull {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene
+impl FaultBehavior for DiskFull {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context
             .machine()
-            .disk(scene.relay(), |disk| disk.free_bytes = Some(self.0));
-        scene.observe(&Observation::DiskFull(true));
+            .disk(context.relay(), |disk| disk.free_bytes = Some(self.0));
+        context.observe(&Observation::DiskFull(true));
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context
             .machine()
-            .disk(scene.relay(), |disk| disk.free_bytes = None);
-        scene.observe(&Observation::DiskFull(false));
+            .disk(context.relay(), |disk| disk.free_bytes = None);
+        context.observe(&Observation::DiskFull(false));
     }
 }
 
-/// So many of a hundred writes to the disk are short.
+/// This percentage of writes to the disk are short.
 #[derive(Debug)]
 pub(super) struct ShortWrites(u64);
 
@@ -111,16 +111,16 @@
     }
 }
 
-impl Trouble for ShortWrites {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene
+impl FaultBehavior for ShortWrites {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context
             .machine()
-            .disk(scene.relay(), |disk| disk.short_write_percent = self.0);
+            .disk(context.relay(), |disk| disk.short_write_percent = self.0);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context
             .machine()
-            .disk(scene.relay(), |disk| disk.short_write_percent = 0);
+            .disk(context.relay(), |disk| disk.short_write_percent = 0);
     }
 }
--- a/crates/simulator/src/faults/rolling.rs
+++ b/crates/simulator/src/faults/rolling.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::{Scene, Trouble};
+use super::{FaultBehavior, FaultContext};
 use crate::rng::SimulationRng;
 
-/// A relay is stopped or killed, and starts again so many milliseconds after its end.
+/// A relay is terminated or killed, and starts again `down` milliseconds after its end.
 #[derive(Debug)]
 pub(super) struct Restarted {
     stopped: bool,
@@ -13,7 +13,7 @@
 }
 
 impl Restarted {
-    /// After SIGTERM a process that leaves early is down for as long as the others take.
+    /// The downtime after SIGTERM varies, so that a process that exits early is down for as long as slower ones take to exit.
     pub fn draw(rng: &mut SimulationRng) -> Self {
         let stopped = rng.percent(50);
         Restarted {
@@ -27,14 +27,14 @@
     }
 }
 
-impl Trouble for Restarted {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
+impl FaultBehavior for Restarted {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
         let down = Duration::from_millis(self.down);
         if self.stopped {
-            scene.stop(down);
+            context.terminate(down);
         } else {
-            scene.down_for(down);
-            scene.machine().kill(scene.process());
+            context.set_downtime(down);
+            context.machine().kill(context.process());
         }
     }
 }
--- a/crates/simulator/src/faults/staff.rs
+++ b/crates/simulator/src/faults/staff.rs
@@ -1,80 +1,82 @@
-//! Staff at work: drains, and configurations that are read again.
+//! Actions of operators on a live relay: drains, and reloads of valid and invalid configurations.
 
 use std::time::Duration;
 
-use super::{Scene, Trouble};
+use super::{FaultBehavior, FaultContext};
 use crate::history::Observation;
 use crate::operated;
 use crate::rng::SimulationRng;
 
-/// The relay is drained, and put back to work.
+/// The relay is drained, and resumed when the fault ends.
 #[derive(Debug)]
 pub(super) struct Drain;
 
-impl Trouble for Drain {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.drain(true);
+impl FaultBehavior for Drain {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_draining(true);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.drain(false);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.set_draining(false);
     }
 }
 
-/// A class comes, and goes again.
+/// A class is added to the settings, and removed when the fault ends.
 #[derive(Debug)]
 pub(super) struct Rush;
 
-impl Trouble for Rush {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.retune(&|settings| operated::rush(settings, true));
+impl FaultBehavior for Rush {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.reload_settings(&|settings| operated::set_transient_class(settings, true));
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.retune(&|settings| operated::rush(settings, false));
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.reload_settings(&|settings| operated::set_transient_class(settings, false));
     }
 }
 
-/// A class turns unsafe.
+/// A class becomes non-idempotent.
 #[derive(Debug)]
 pub(super) struct Hardens;
 
-impl Trouble for Hardens {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.retune(&operated::harden);
+impl FaultBehavior for Hardens {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.reload_settings(&operated::make_non_idempotent);
     }
 }
 
-/// Messages may have so many attempts, and are counted by that once the configuration is in use.
+/// Lowers the maximum number of attempts to this. The checker applies the new limit once the configuration is in use, when
+/// the fault ends.
 #[derive(Debug)]
 pub(super) struct Fewer(pub usize);
 
-impl Trouble for Fewer {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.retune(&|settings| settings["limits"]["maxAttempts"] = self.0.into());
+impl FaultBehavior for Fewer {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.reload_settings(&|settings| settings["limits"]["maxAttempts"] = self.0.into());
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.observe(&Observation::MaxAttemptsChanged(self.0));
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.observe(&Observation::MaxAttemptsChanged(self.0));
     }
 }
 
-/// The file is not whole when it is read again; later it is as before.
+/// An invalid configuration, corrupted in the way of this number, is reloaded; the valid file is restored when the fault
+/// ends.
 #[derive(Debug)]
 pub(super) struct SpoiltFile(u64);
 
 impl SpoiltFile {
     pub fn draw(rng: &mut SimulationRng) -> Self {
-        SpoiltFile(rng.below(operated::SPOILT))
+        SpoiltFile(rng.below(operated::CONFIG_CORRUPTIONS))
     }
 }
 
-impl Trouble for SpoiltFile {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.spoil_file(self.0);
+impl FaultBehavior for SpoiltFile {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.corrupt_config(self.0);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.mend_file();
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.restore_config();
     }
 }
--- a/crates/simulator/src/faults/tenants.rs
+++ b/crates/simulator/src/faults/tenants.rs
@@ -1,13 +1,13 @@
-//! A registry of tenants that is struck while it is changed, or spoilt on the disk.
+//! Faults of the tenant registry: a kill during a change, and corruption on the disk.
 
 use std::path::Path;
 use std::time::Duration;
 
-use super::{Scene, Trouble};
-use crate::hosted::FOLDER;
+use super::{FaultBehavior, FaultContext};
+use crate::hosted::REGISTRY_DIRECTORY;
 use crate::rng::SimulationRng;
 
-/// SIGKILL so many effects after an administrator's next change is sent.
+/// SIGKILL a number of effects after an administrator's next change is sent, and a restart after a downtime in milliseconds.
 #[derive(Debug)]
 pub(super) struct KillInChange(u64, u64);
 
@@ -17,14 +17,14 @@
     }
 }
 
-impl Trouble for KillInChange {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.down_for(Duration::from_millis(self.1));
-        scene.strike_at_change(self.0);
+impl FaultBehavior for KillInChange {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_downtime(Duration::from_millis(self.1));
+        context.kill_after_next_change(self.0);
     }
 }
 
-/// One copy of the registry is spoilt on the disk: a bit flipped, or its end cut off.
+/// One replica of the registry is corrupted on the disk: a bit is flipped, or the file is truncated.
 #[derive(Debug)]
 pub(super) struct SpoiltRegistry {
     copy: &'static str,
@@ -42,16 +42,16 @@
     }
 }
 
-impl Trouble for SpoiltRegistry {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        let path = Path::new(FOLDER).join(self.copy);
-        scene.machine().disk(scene.relay(), |disk| {
+impl FaultBehavior for SpoiltRegistry {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        let path = Path::new(REGISTRY_DIRECTORY).join(self.copy);
+        context.machine().disk(context.relay(), |disk| {
             if self.cut {
                 disk.truncate(&path, self.at)
             } else {
                 disk.flip_bit(&path, self.at)
             }
         });
-        scene.machine().kill(scene.process());
+        context.machine().kill(context.process());
     }
 }
--- a/crates/simulator/src/faults/traffic.rs
+++ b/crates/simulator/src/faults/traffic.rs
@@ -1,29 +1,29 @@
-//! Clients that hand in more than usual, or misbehave.
+//! Traffic peaks and misbehaving clients.
 
 use std::time::Duration;
 
-use super::{Scene, Target, Trouble};
+use super::{FaultBehavior, FaultContext, Target};
 use crate::rng::SimulationRng;
 
-/// A brand hands in so many more messages for one partner.
+/// Additional messages for one destination; the fields are the destination and the number of messages.
 #[derive(Debug)]
 pub(super) struct Surge(u16, u64);
 
 impl Surge {
-    pub fn draw(rng: &mut SimulationRng, at: &Target) -> Self {
-        Surge(at.block, rng.between(40, 160))
+    pub fn draw(rng: &mut SimulationRng, target: &Target) -> Self {
+        Surge(target.destination, rng.between(40, 160))
     }
 }
 
-impl Trouble for Surge {
-    fn begins(&self, _: &mut dyn Scene, _: Duration) {}
+impl FaultBehavior for Surge {
+    fn inject(&self, _: &mut dyn FaultContext, _: Duration) {}
 
     fn surge(&self) -> Option<(u16, u64)> {
         Some((self.0, self.1))
     }
 }
 
-/// So many clients have a bad habit.
+/// This percentage of messages comes from misbehaving clients.
 #[derive(Debug)]
 pub(super) struct BadClients(u64);
 
@@ -33,10 +33,10 @@
     }
 }
 
-impl Trouble for BadClients {
-    fn begins(&self, _: &mut dyn Scene, _: Duration) {}
+impl FaultBehavior for BadClients {
+    fn inject(&self, _: &mut dyn FaultContext, _: Duration) {}
 
-    fn bad_clients(&self) -> Option<u64> {
+    fn misbehaving_client_percent(&self) -> Option<u64> {
         Some(self.0)
     }
 }
--- a/crates/simulator/src/faults/upgrade.rs
+++ b/crates/simulator/src/faults/upgrade.rs
@@ -1,14 +1,15 @@
-//! A new version that starts beside the one that serves.
+//! An upgrade: a new version starts beside the serving process.
 
 use std::time::Duration;
 
-use super::{Scene, Trouble, Upgrade};
+use super::{FaultBehavior, FaultContext, Upgrade};
 use crate::rng::SimulationRng;
 
-/// Effects of a process within which a kill strikes: its start, its part of the hand-over, and some of its service.
+/// A process is killed within this number of its effects: they cover its start, its part of the hand-over, and some of
+/// its time in service.
 const KILL_WITHIN: u64 = 120;
 
-/// Takes over; at times one of the two is killed meanwhile.
+/// A new version takes over; in some upgrades the old or the new process is killed.
 #[derive(Debug)]
 pub(super) struct NewVersion(Upgrade);
 
@@ -22,8 +23,8 @@
     }
 }
 
-impl Trouble for NewVersion {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.upgrade(self.0);
+impl FaultBehavior for NewVersion {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.start_upgrade(self.0);
     }
 }
--- a/crates/simulator/src/faults/vast.rs
+++ b/crates/simulator/src/faults/vast.rs
@@ -1,12 +1,12 @@
-//! What strikes a large fleet, or the destinations that it shares.
+//! Faults of a large fleet, and of the destinations that its relays share.
 
 use std::time::Duration;
 
 use super::partners::Refuses;
-use super::{Scene, Trouble};
+use super::{FaultBehavior, FaultContext};
 use crate::rng::SimulationRng;
 
-/// SIGKILL to most relays at one instant, so many of a hundred; they come up again after the same time.
+/// SIGKILL to a percentage of the relays at one instant; each restarts after the same downtime, in milliseconds.
 #[derive(Debug)]
 pub(super) struct KillMost(u64, u64);
 
@@ -16,42 +16,42 @@
     }
 }
 
-impl Trouble for KillMost {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.down_for(Duration::from_millis(self.1));
-        scene.kill_some(self.0);
+impl FaultBehavior for KillMost {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.set_downtime(Duration::from_millis(self.1));
+        context.kill_relays(self.0);
     }
 }
 
-/// A destination is away: new connections are refused, and those that are open end at the next call.
+/// A destination is unavailable: new connections are refused, and open ones are closed at the next call.
 #[derive(Debug)]
 pub(super) struct Down(pub u16);
 
-impl Trouble for Down {
-    fn begins(&self, scene: &mut dyn Scene, until: Duration) {
-        scene.host_behavior(self.0, &|behavior| behavior.drops_calls = true);
-        Refuses(self.0).begins(scene, until);
+impl FaultBehavior for Down {
+    fn inject(&self, context: &mut dyn FaultContext, until: Duration) {
+        context.update_hosts(self.0, &|behavior| behavior.drops_calls = true);
+        Refuses(self.0).inject(context, until);
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| behavior.drops_calls = false);
-        Refuses(self.0).ends(scene);
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| behavior.drops_calls = false);
+        Refuses(self.0).clear(context);
     }
 }
 
-/// A destination lowers its limit to a half, and tells so in its reports.
+/// A destination halves its limit, and announces that in its reports.
 #[derive(Debug)]
 pub(super) struct Lowered(pub u16);
 
-impl Trouble for Lowered {
-    fn begins(&self, scene: &mut dyn Scene, _: Duration) {
-        scene.host_behavior(self.0, &|behavior| {
+impl FaultBehavior for Lowered {
+    fn inject(&self, context: &mut dyn FaultContext, _: Duration) {
+        context.update_hosts(self.0, &|behavior| {
             behavior.max_calls_per_second = behavior.max_calls_per_second.map(|limit| limit / 2.0)
         });
     }
 
-    fn ends(&self, scene: &mut dyn Scene) {
-        scene.host_behavior(self.0, &|behavior| {
+    fn clear(&self, context: &mut dyn FaultContext) {
+        context.update_hosts(self.0, &|behavior| {
             behavior.max_calls_per_second = behavior.max_calls_per_second.map(|limit| limit * 2.0)
         });
     }
--- a/crates/simulator/src/hosted.rs
+++ b/crates/simulator/src/hosted.rs
@@ -1,6 +1,6 @@
-//! Days on which the relay hosts tenants: who they are, what administrators do to them, and who floods.
+//! Scenarios in which the relay hosts tenants: the tenants, the administrators' tasks, and floods of messages.
 //!
-//! Drawn on top of a plain day from numbers of their own, so that the plain days stay as they are.
+//! They extend a plain scenario with draws from a random sequence of their own, so that the plain scenarios stay the same.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -14,82 +14,82 @@
 use crate::peers::clients::{ClientBehavior, PlannedMessage};
 use crate::rng::SimulationRng;
 
-/// Where the administration API listens.
-pub const ADMIN: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8700);
-/// The folder of the registry.
-pub const FOLDER: &str = "/tenants";
-/// Where the relay finds its operator file.
-pub const OPERATOR: &str = "/operator.toml";
-/// Tenants of a day.
+/// Address of the administration API.
+pub const ADMIN_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 8700);
+/// Directory of the tenant registry.
+pub const REGISTRY_DIRECTORY: &str = "/tenants";
+/// Path of the relay's operator file.
+pub const OPERATOR_FILE: &str = "/operator.toml";
+/// Number of tenants.
 const TENANTS: u64 = 3;
-/// Administrators of a day.
+/// Number of administrators.
 const ADMINS: u64 = 2;
-/// When their first task may begin, in milliseconds.
+/// Earliest start of an administrator's task, in milliseconds.
 const FIRST_TASK_AT_MS: u64 = 500;
-/// When their last task may begin, in milliseconds.
+/// Latest start of an administrator's task, in milliseconds.
 const LAST_TASK_AT_MS: u64 = 14_500;
 
-/// A tenant at the beginning of a day.
+/// A tenant at the start of a scenario.
 #[derive(Clone, Debug)]
 pub struct TenantPlan {
     /// Its name.
     pub name: String,
-    /// Its weight.
+    /// Its weight in the sharing of queue and calls.
     pub weight: u32,
-    /// What its clients name themselves with.
+    /// The secret with which its clients authenticate.
     pub secret: String,
 }
 
-/// What an administrator does.
+/// A request of an administrator about a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminAction {
-    /// Reads it.
+    /// Reads the tenant.
     Read,
     /// Updates parts of the specification, as JSON.
     Update(String),
-    /// Pauses.
+    /// Pauses the tenant.
     Pause,
-    /// Resumes.
+    /// Resumes the tenant.
     Resume,
-    /// Removes it.
+    /// Removes the tenant.
     Remove {
-        /// Reject its queued messages at once instead of finishing them.
+        /// Reject queued messages at once instead of finishing them.
         reject_queued: bool,
     },
-    /// Creates it anew, with a weight.
+    /// Creates the tenant anew, with a weight.
     Create(u32),
-    /// Sends something malformed, of a kind.
+    /// Sends a malformed request, of the kind with this number.
     SendMalformed(u64),
 }
 
-/// Something that an administrator is to do.
+/// A task of an administrator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdminTask {
-    /// When.
+    /// When the task starts.
     pub at: Duration,
     /// Number of the tenant.
     pub tenant: usize,
-    /// What.
+    /// The request.
     pub action: AdminAction,
-    /// The version that it names is past, or may be.
+    /// Whether the request names a version that may be stale.
     pub uses_stale_version: bool,
-    /// It is sent again with the same idempotency key where no response came.
-    pub insists: bool,
+    /// Whether a request without a response is sent again with the same idempotency key.
+    pub is_retried: bool,
 }
 
-/// What a hosted day has beside a plain one.
+/// The parameters that a hosted scenario adds to a plain one.
 #[derive(Clone, Debug)]
 pub struct Hosted {
-    /// Clients have to name themselves.
-    pub auth: bool,
+    /// Whether clients must authenticate.
+    pub requires_auth: bool,
     /// The tenants.
     pub tenants: Vec<TenantPlan>,
-    /// What administrators do, each by itself.
+    /// The tasks of each administrator.
     pub admins: Vec<Vec<AdminTask>>,
 }
 
 impl Hosted {
-    /// The tenants and administrators of a seed.
+    /// Draws the tenants and the administrators' tasks.
     pub fn draw(rng: &mut SimulationRng) -> Self {
         let tenants: Vec<TenantPlan> = (0..TENANTS)
             .map(|number| TenantPlan {
@@ -98,57 +98,58 @@
                 secret: format!("secret-{number}"),
             })
             .collect();
-        // On every third day nobody changes anything, so that shares are seen for long.
-        let busy = !rng.percent(33);
+        // A third of the scenarios have no changes, so that shares are observed for long.
+        let has_changes = !rng.percent(33);
         let admins = (0..ADMINS)
             .map(|_| {
-                let many = if busy { rng.between(3, 14) } else { 0 };
-                let mut tasks: Vec<AdminTask> = (0..many).flat_map(|_| draw_tasks(rng)).collect();
+                let task_count = if has_changes { rng.between(3, 14) } else { 0 };
+                let mut tasks: Vec<AdminTask> =
+                    (0..task_count).flat_map(|_| draw_tasks(rng)).collect();
                 tasks.sort_by_key(|task| task.at);
                 tasks
             })
             .collect();
         Hosted {
-            auth: rng.percent(50),
+            requires_auth: rng.percent(50),
             tenants,
             admins,
         }
     }
 
-    /// The operator file.
+    /// The contents of the operator file.
     #[must_use]
-    pub fn operator(&self) -> String {
+    pub fn operator_file(&self) -> String {
         let digest = Digest::of(b"token");
         format!(
-            "[tenants]\nfolder = {FOLDER:?}\nauth = {}\nimport = false\nstore_mb = 1\n\
-             [admin]\nlisten = \"{ADMIN}\"\nrequests_per_second = 1000\n\
+            "[tenants]\nfolder = {REGISTRY_DIRECTORY:?}\nauth = {}\nimport = false\nstore_mb = 1\n\
+             [admin]\nlisten = \"{ADMIN_ADDRESS}\"\nrequests_per_second = 1000\n\
              [[admin.tokens]]\nname = \"root\"\nrole = \"admin\"\nsha256 = \"{digest}\"\ntenants = [\"*\"]\n",
-            self.auth
+            self.requires_auth
         )
     }
 
-    /// The registry as it is before the relay's first start.
+    /// The registry file before the relay's first start.
     #[must_use]
     pub fn registry(&self) -> Vec<u8> {
         let tenants = self
             .tenants
             .iter()
             .map(|plan| (plan.name.as_str(), plan.weight, plan.secret.as_str()));
-        registry(tenants)
+        encode_registry(tenants)
     }
 
-    /// The tenant that a client speaks for.
+    /// The tenant of a client.
     #[must_use]
     pub fn tenant_of(&self, client: usize) -> &TenantPlan {
         &self.tenants[client % self.tenants.len()]
     }
 
-    /// Gives each message to its client's tenant, and adds those of the tenants that flood.
-    pub fn fill(
+    /// Assigns each message to its client's tenant, and adds floods of messages of some tenants.
+    pub fn add_traffic(
         &self,
         rng: &mut SimulationRng,
         clients: &mut [Vec<PlannedMessage>],
-        blocks: &[u16],
+        destinations: &[u16],
     ) {
         for (client, plans) in clients.iter_mut().enumerate() {
             let tenant = &self.tenant_of(client).name;
@@ -159,17 +160,17 @@
         let mut number = 0;
         for _ in 0..rng.between(1, 3) {
             let tenant = rng.below(TENANTS) as usize;
-            let block = *rng.pick(blocks);
-            let (from, many) = (rng.between(500, 9_000), rng.between(80, 400));
+            let destination = *rng.pick(destinations);
+            let (from, message_count) = (rng.between(500, 9_000), rng.between(80, 400));
             let until = from + rng.between(1_000, 5_000);
             let kind = rng.below(3);
-            for _ in 0..many {
+            for _ in 0..message_count {
                 number += 1;
                 let senders: Vec<usize> = (0..clients.len())
-                    .filter(|c| c % self.tenants.len() == tenant)
+                    .filter(|client| client % self.tenants.len() == tenant)
                     .collect();
                 let client = *rng.pick(&senders);
-                let (class, idempotency, left) = match kind {
+                let (class, idempotency, time_to_live_ms) = match kind {
                     0 => ("payout", Idempotency::NonIdempotent, 10_000),
                     _ => ("update", Idempotency::Idempotent, 6_000),
                 };
@@ -182,15 +183,15 @@
                     ordering_key: 0,
                     is_ordered: false,
                     non_idempotent_from: None,
-                    destination: block,
-                    time_to_live_ms: left,
+                    destination,
+                    time_to_live_ms,
                     body_bytes: rng.below(300) as usize,
                     behavior: ClientBehavior::Regular,
                 });
             }
         }
-        if self.auth {
-            // Some ask for another's tenant.
+        if self.requires_auth {
+            // Some clients submit messages for another tenant.
             for plan in clients
                 .iter_mut()
                 .flatten()
@@ -204,8 +205,8 @@
     }
 }
 
-/// The text of a registry with these tenants: name, weight and secret of each.
-pub fn registry<'a>(tenants: impl Iterator<Item = (&'a str, u32, &'a str)>) -> Vec<u8> {
+/// Encodes a registry file with these tenants: name, weight and secret of each.
+pub fn encode_registry<'a>(tenants: impl Iterator<Item = (&'a str, u32, &'a str)>) -> Vec<u8> {
     let mut registry = Registry::new(Vec::new());
     for (seq, (name, weight, secret)) in (1..).zip(tenants) {
         let secret = Secret {
@@ -245,24 +246,24 @@
     registry_file::encode_snapshot(&registry, 0)
 }
 
-/// A task, or two that belong together: what is paused or removed comes back, so that the day goes on.
+/// Draws a task, or a pair of them: a paused or removed tenant is resumed or created again later, so that traffic goes on.
 fn draw_tasks(rng: &mut SimulationRng) -> Vec<AdminTask> {
     let at = rng.between(FIRST_TASK_AT_MS, LAST_TASK_AT_MS);
     let tenant = rng.below(TENANTS) as usize;
-    let (uses_stale_version, insists) = (rng.percent(15), rng.percent(50));
-    let one = |at: u64, action| AdminTask {
+    let (uses_stale_version, is_retried) = (rng.percent(15), rng.percent(50));
+    let task = |at: u64, action| AdminTask {
         at: Duration::from_millis(at),
         tenant,
         action,
         uses_stale_version,
-        insists,
+        is_retried,
     };
     let later = |rng: &mut SimulationRng| at + rng.between(50, 3_000);
     match rng.below(20) {
-        0..=3 => vec![one(at, AdminAction::Read)],
+        0..=3 => vec![task(at, AdminAction::Read)],
         4..=7 => {
             let weight = *rng.pick(&[30, 100, 300, 1000]);
-            vec![one(
+            vec![task(
                 at,
                 AdminAction::Update(format!("{{\"weight\":{weight}}}")),
             )]
@@ -275,21 +276,21 @@
             ]);
             let clear = "{\"max_held\":null,\"max_in_flight\":null,\"rate\":null}";
             vec![
-                one(at, AdminAction::Update(format!("{{{set}}}"))),
-                one(later(rng), AdminAction::Update(clear.into())),
+                task(at, AdminAction::Update(format!("{{{set}}}"))),
+                task(later(rng), AdminAction::Update(clear.into())),
             ]
         }
         9..=12 => vec![
-            one(at, AdminAction::Pause),
-            one(later(rng), AdminAction::Resume),
+            task(at, AdminAction::Pause),
+            task(later(rng), AdminAction::Resume),
         ],
         13..=17 => {
             let reject_queued = rng.percent(50);
             vec![
-                one(at, AdminAction::Remove { reject_queued }),
-                one(later(rng), AdminAction::Create(*rng.pick(&[50, 100, 200]))),
+                task(at, AdminAction::Remove { reject_queued }),
+                task(later(rng), AdminAction::Create(*rng.pick(&[50, 100, 200]))),
             ]
         }
-        _ => vec![one(at, AdminAction::SendMalformed(rng.below(4)))],
+        _ => vec![task(at, AdminAction::SendMalformed(rng.below(4)))],
     }
 }
--- a/crates/simulator/src/invariants/accounted_for.rs
+++ b/crates/simulator/src/invariants/accounted_for.rs
@@ -1,4 +1,4 @@
-//! `accounted for`: each undeliverable message has one record, and its state is true.
+//! `accounted for`: each undeliverable message has exactly one record, whose state agrees with what took effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/simulator/src/invariants/call_contents.rs
+++ b/crates/simulator/src/invariants/call_contents.rs
@@ -1,4 +1,5 @@
-//! `call`, `right host`, `unchanged`, `expiry`: a call carries what was submitted, to a host of its destination.
+//! `call`, `right host`, `unchanged`, `expiry`: a call has the expected request line, goes to a host of its destination,
+//! carries the submitted body and key, and announces an expiry within the deadline.
 
 use super::invariant::Invariant;
 use super::tolerance::IN_FLIGHT_TOLERANCE;
@@ -39,14 +40,14 @@
                 format!("{id} came to {host} with another key or body"),
             );
         }
-        // A resend has a deadline of its own.
+        // A resend has its own deadline.
         if !history.limits.undeliverable_are_resent {
             check_expiry(call, request, violations);
         }
     }
 }
 
-/// The relay must not announce that it waits past the deadline.
+/// Checks that the announced expiry does not lie after the deadline.
 fn check_expiry(call: &ReceivedCall, request: &SubmittedRequest, violations: &mut Violations) {
     let remaining = request.deadline.saturating_sub(call.first_byte_at) + IN_FLIGHT_TOLERANCE;
     let max_expiry = remaining.as_millis().max(1);
--- a/crates/simulator/src/invariants/concurrent_calls.rs
+++ b/crates/simulator/src/invariants/concurrent_calls.rs
@@ -24,7 +24,7 @@
         let Some(message) = history.messages.get(id) else {
             return;
         };
-        // A process that is gone has nothing in flight.
+        // A process that has ended has no calls in flight.
         let in_flight = message.calls.iter().find(|other| {
             other.is_in_flight()
                 && other.process == history.process
--- a/crates/simulator/src/invariants/control_socket.rs
+++ b/crates/simulator/src/invariants/control_socket.rs
@@ -1,4 +1,4 @@
-//! `door`: calls to the control socket get a response in time.
+//! `door`: requests to the control socket get a response before the client's timeout.
 
 use super::invariant::Invariant;
 use super::violation::Violations;
--- a/crates/simulator/src/invariants/departing_hosts.rs
+++ b/crates/simulator/src/invariants/departing_hosts.rs
@@ -1,7 +1,7 @@
-//! `leaving`: a host that is announced as leaving gets no new calls, whether or not the relay has read its line.
+//! `leaving`: a host that is announced as leaving gets no new calls, whether or not the relay has read its entry.
 //!
-//! Where lists are pushed, the relay counts as notified of what its discovery agent has from the first moment of a
-//! process on, whether or not a watch is open. What a silence or a moved discovery holds back counts later.
+//! Where lists are pushed, a process counts as notified of the entries of its discovery agent from its start on, whether or
+//! not a watch is open. Entries that are held back because discovery is silent or has moved count as notified later.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 
 /// Time until the relay detects that its watch has fallen silent.
 const SILENT_WATCH_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time from the end of a poll that had to wait until the relay counts as notified.
+/// Time from the end of a delayed poll until the relay counts as notified.
 const DELAYED_POLL_TIME: Duration = Duration::from_secs(2);
-/// Time from SIGHUP until the relay counts as notified of what a moved discovery has.
+/// Time from SIGHUP until the relay counts as notified of the entries of a moved discovery.
 const MOVED_DISCOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// What the relay knows of a host's departure.
+/// When the relay was notified of a host's departure.
 struct Departure {
-    /// When the relay counts as notified though nothing was sent to it.
+    /// When the relay counts as notified even if the entry was not sent to it.
     notified_at: Duration,
-    /// When the host's line was sent to the relay.
+    /// When the host's entry was sent to the relay.
     sent_at: Option<Duration>,
 }
 
@@ -36,11 +36,11 @@
 #[derive(Default)]
 pub struct DepartingHosts {
     departures: BTreeMap<String, Departure>,
-    /// Whether the discovery agent sends nothing now.
+    /// Whether the discovery agent currently sends nothing.
     agent_is_silent: bool,
-    /// When the watch of the process fell silent, which it stays.
+    /// When the current process's watch fell silent. A watch stays silent after the agent sends again.
     watch_silent_since: Option<Duration>,
-    /// Polls that wait for their response, where the relays poll one discovery.
+    /// Number of polls that wait for their response, where the relays poll one discovery.
     pending_polls: usize,
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl DepartingHosts {
-    /// A moment, or the one at which the relay notices that its watch is silent, if that is later.
+    /// The later of `at` and the time at which the relay detects that its watch is silent.
     fn when_watch_works(&self, at: Duration) -> Duration {
         self.watch_silent_since
             .map_or(at, |since| (since + SILENT_WATCH_TIMEOUT).max(at))
@@ -112,7 +112,7 @@
         departure.sent_at.get_or_insert(now);
     }
 
-    /// The next process opens a watch of its own, and what came just before may not have been saved.
+    /// The next process opens its own watch, and entries that were sent just before may not have been saved.
     fn record_process_end(&mut self, now: Duration) {
         self.watch_silent_since = None;
         for departure in self.departures.values_mut() {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The relay counts as notified of what was not sent to it no sooner than at a moment.
+    /// Postpones to `at` the notification of entries that were not sent to the relay.
     fn postpone_unsent(&mut self, at: Duration) {
         let departures = self.departures.values_mut();
         departures
--- a/crates/simulator/src/invariants/double_execution.rs
+++ b/crates/simulator/src/invariants/double_execution.rs
@@ -1,4 +1,4 @@
-//! `no double effect`: no message is executed twice that must not be.
+//! `no double effect`: no message is executed twice unless it is idempotent or its key still holds.
 
 use super::invariant::Invariant;
 use super::tolerance::IN_FLIGHT_TOLERANCE;
@@ -17,7 +17,7 @@
         violations: &mut Violations,
     ) {
         match observation {
-            // A resend is judged by what took effect.
+            // Resends are checked by their effects, in `applied once`.
             Observation::CallReceived { call, .. } if !history.limits.undeliverable_are_resent => {
                 check_call(history, call, violations);
             }
@@ -30,7 +30,7 @@
     }
 }
 
-/// After a call that may have been executed no other may be.
+/// Checks a call that follows one that may have been executed.
 fn check_call(history: &History, call: &ReceivedCall, violations: &mut Violations) {
     let id = &call.message_id;
     let Some(message) = history.messages.get(id) else {
@@ -67,7 +67,7 @@
     )
 }
 
-/// A client may submit a deferred message anew, so it must not have been executed.
+/// Checks that a deferred message was not executed, as its client may submit it again.
 fn check_deferral(history: &History, id: &str, violations: &mut Violations) {
     let message = history.messages.get(id);
     let Some(message) = message.filter(|message| message.notice.is_none()) else {
--- a/crates/simulator/src/invariants/drained_relay.rs
+++ b/crates/simulator/src/invariants/drained_relay.rs
@@ -1,4 +1,4 @@
-//! `drained`: a drained relay sends its clients away, and one that is resumed takes them again.
+//! `drained`: a drained relay closes its client connections and is not ready; a resumed one becomes ready again.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use crate::history::{History, Observation};
 
 const NAME: &str = "drained";
-/// Time from a drain until the relay says that it takes no clients, and holds no connection of one.
+/// Time from the start of a drain until the relay reports that it is not ready, and holds no client connections.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
-/// Time from the end of a drain until the relay says that it takes clients.
+/// Time from the end of a drain until the relay reports that it is ready.
 const RESUME_TIME: Duration = Duration::from_secs(2);
 
 #[derive(Default)]
 pub struct DrainedRelay {
-    /// Since when the relay is drained.
+    /// When the drain was confirmed; none if the relay is not drained.
     drained_since: Option<Duration>,
-    /// Since when it is not drained any more, until it has said that it takes clients.
+    /// When the drain ended; none once the relay has reported that it is ready.
     resumed_since: Option<Duration>,
 }
 
@@ -41,7 +41,7 @@
                 self.drained_since = None;
                 self.resumed_since = Some(history.now);
             }
-            // A new process is not drained, and takes the time of a start.
+            // A new process is not drained, and needs longer to become ready.
             Observation::ProcessTerminated
             | Observation::TerminationRequested
             | Observation::UpgradeStarted(_) => self.resumed_since = None,
--- a/crates/simulator/src/invariants/draining_hosts.rs
+++ b/crates/simulator/src/invariants/draining_hosts.rs
@@ -1,4 +1,4 @@
-//! `drains`: a host that drains or is gone gets no new calls once the relay was sent its line.
+//! `drains`: a draining or removed host gets no new calls once its entry was sent to the relay.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 #[derive(Default)]
 pub struct DrainingHosts {
-    /// When the relay was first sent that a host is not up, by host.
+    /// By host: when the relay was first sent an entry in which it is not up.
     sent_at: BTreeMap<String, Duration>,
 }
 
--- a/crates/simulator/src/invariants/fair_share/calls.rs
+++ b/crates/simulator/src/invariants/fair_share/calls.rs
@@ -1,4 +1,4 @@
-//! Shares of a destination's calls, and of the relay's slots.
+//! Tenants' shares of a destination's calls and of the relay's slots.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,9 +7,9 @@
 use super::weights::Weights;
 use crate::history::{History, Idempotency, Message};
 
-/// Calls that a tenant may be behind its share at a destination: a quantum of 4, and what goes out in a round.
+/// Number of calls that a tenant may be behind its share at a destination: a quantum of 4, and the calls of one round.
 const MAX_CALLS_BEHIND: f64 = 10.0;
-/// Slot time that it may be behind, as seconds of all slots.
+/// Slot time that a tenant may be behind its share, in seconds of all slots.
 const MAX_SLOT_SECONDS_BEHIND: f64 = 0.5;
 /// Fewer calls than this at a destination are no evidence.
 const MIN_CALLS: u64 = 40;
@@ -23,12 +23,12 @@
     all: Duration,
 }
 
-/// What passed at a destination since a tenant has had messages for it without a break.
+/// Progress at a destination since a tenant has continuously had messages for it.
 #[derive(Clone, Copy, Default)]
 struct Progress {
     own_calls: u64,
     all_calls: u64,
-    /// Slot time at the beginning.
+    /// Slot time at the start of that time.
     slot_time_before: SlotTime,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A tenant's messages for a destination that could be sent.
+/// A tenant's sendable messages for a destination.
 #[derive(Default)]
 struct Backlog {
     messages: usize,
@@ -54,11 +54,11 @@
     backlogs: BTreeMap<(u16, String), Backlog>,
     /// Slot time of calls that have ended, by tenant.
     slot_time: BTreeMap<String, Duration>,
-    /// By destination: whether all of its hosts are at fault.
+    /// By destination: whether it is down.
     down: BTreeMap<u16, bool>,
 }
 
-/// Whether a message, once accepted, could be sent at once: nothing holds it back but others.
+/// Whether an accepted message could be sent at once, if other messages did not hold it back.
 fn is_sendable(message: &Message) -> bool {
     message.request.idempotency != Idempotency::NonIdempotent
         && message.request.ordering_key.is_none()
@@ -72,7 +72,7 @@
         self.backlogs.clear();
     }
 
-    /// Counts of what passed begin anew.
+    /// Restarts the counts of progress.
     pub fn restart_counts(&mut self) {
         for backlog in self.backlogs.values_mut() {
             backlog.progress = Progress::default();
@@ -88,17 +88,17 @@
         }
     }
 
-    /// Whether all hosts of a destination are at fault.
+    /// Whether a destination is down.
     pub fn is_down(&self, destination: u16) -> bool {
         self.down.get(&destination).copied().unwrap_or(false)
     }
 
-    /// A call of a tenant has ended, after this time in a slot.
+    /// Records the slot time of a tenant's call that has ended.
     pub fn record_slot_time(&mut self, tenant: &str, slot_time: Duration) {
         *self.slot_time.entry(tenant.into()).or_default() += slot_time;
     }
 
-    /// A message is accepted.
+    /// Records that a message is accepted.
     pub fn record_accepted(&mut self, history: &History, message: &Message) {
         if !is_sendable(message) {
             return;
@@ -113,7 +113,7 @@
         backlog.messages += 1;
     }
 
-    /// A message is sent, or ends without a call.
+    /// Records that a message is sent, or ends without a call.
     pub fn record_left_backlog(&mut self, message: &Message) {
         if message.accepted_at.is_none() || !is_sendable(message) {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// A call of a message came to its destination: describes the tenants with messages for it that are behind.
+    /// Counts a call of a message, and describes the tenants that have messages for its destination and are behind.
     pub fn tenants_behind(
         &mut self,
         history: &History,
@@ -134,7 +134,7 @@
     ) -> Vec<String> {
         let mut behind = Vec::new();
         let destination = message.request.destination;
-        // Where nothing can be rejected to make room, what is held of others goes first.
+        // If the queue is full of messages that cannot be rejected to free capacity, they are sent first.
         let is_full =
             unsheddable(history) + IN_FLIGHT_MESSAGES > history.limits.max_queued_messages * 8 / 10;
         let is_exempt = is_full || self.is_down(destination);
@@ -167,7 +167,7 @@
         behind
     }
 
-    /// Slot time so far, of one tenant and of all; calls in flight count up to now.
+    /// Slot time so far of one tenant and of all tenants. Calls in flight count up to now.
     fn slot_time(&self, history: &History, tenant: &str) -> SlotTime {
         let mut slot_time = SlotTime {
             own: self.slot_time.get(tenant).copied().unwrap_or_default(),
@@ -202,7 +202,7 @@
         && own_slots + max_slots_behind < share * all_slots
 }
 
-/// Messages that may not be rejected to make room for others.
+/// Number of messages that must not be rejected to free capacity for others.
 fn unsheddable(history: &History) -> usize {
     let open = history.open.iter();
     open.filter_map(|id| history.messages.get(id))
--- a/crates/simulator/src/invariants/fair_share/mod.rs
+++ b/crates/simulator/src/invariants/fair_share/mod.rs
@@ -1,8 +1,8 @@
 //! `below its share`: no tenant is below its share of the queue or of a destination's calls while it has messages.
 //!
-//! What the relay holds and what its slots are used for is known here from outside only, so both are taken at their
-//! least favourable for a violation: a tenant holds whatever it submitted and has no known end, and all tenants
-//! that there are count among those who share, also those whose name a younger one has.
+//! The relay's queue and the use of its slots are observed from outside only, so the checker assumes the state in which a
+//! violation is least likely: a tenant holds every message that it submitted and that has no known end, and all existing
+//! tenants count in the sharing, also removed ones whose name a newer tenant has.
 
 mod calls;
 mod queue;
@@ -22,18 +22,19 @@
 
 /// Name of the invariant in reports.
 const NAME: &str = "below its share";
-/// This number of attempts ...
+/// A message with at least this many attempts does not use them up within [`FEW_ATTEMPTS_TIME`], unless its destination is
+/// down.
 const MANY_ATTEMPTS: usize = 12;
-/// ... is not used up within this time, unless their destination is down.
+/// See [`MANY_ATTEMPTS`].
 const FEW_ATTEMPTS_TIME: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 pub struct FairShare {
     weights: Weights,
     calls: CallShares,
-    /// Rejections are not judged before.
+    /// Rejections are not checked before this time.
     settled_at: Duration,
-    /// By tenant: when it last submitted something.
+    /// By tenant: when it last submitted a message.
     last_submissions: BTreeMap<String, Duration>,
 }
 
@@ -100,7 +101,8 @@
         self.calls.restart_counts();
     }
 
-    /// A start, an end or a fault of the disk: what could be sent before is not known to be sendable any more.
+    /// Records a start or an end of a process, or a fault of the disk: the messages of the backlogs may not be sendable any
+    /// more.
     fn record_restart(&mut self, now: Duration) {
         self.unsettle(now);
         self.calls.clear_backlogs();
@@ -152,7 +154,7 @@
             return;
         };
         self.calls.record_left_backlog(message);
-        // Its attempts may be used up, of which those that reach no host are not observed.
+        // A message may have used up its attempts, as those that reach no host are not observed.
         let has_attempts_left = history.limits.max_attempts >= MANY_ATTEMPTS
             && history.now < message.submitted_at + FEW_ATTEMPTS_TIME
             && !self.calls.is_down(message.request.destination);
@@ -170,7 +172,7 @@
         }
     }
 
-    /// A message is rejected once the relay has settled.
+    /// Checks a rejection, unless the relay has not settled yet.
     fn check_rejection(&self, history: &History, message: &Message, violations: &mut Violations) {
         if history.now < self.settled_at {
             return;
--- a/crates/simulator/src/invariants/fair_share/queue.rs
+++ b/crates/simulator/src/invariants/fair_share/queue.rs
@@ -1,4 +1,5 @@
-//! Shares of the queue: who is rejected has its share of it, or something else is full.
+//! Tenants' shares of the queue: a tenant's message is rejected only if the tenant holds its share, or if the queue is full of
+//! messages that cannot be rejected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,26 +8,27 @@
 use super::weights::Weights;
 use crate::history::{History, Message};
 
-/// Time after its last submission for which a tenant counts among those who share the queue.
+/// Time after its last submission for which a tenant counts in the sharing of the queue.
 const RECENT_SUBMISSION: Duration = Duration::from_secs(11);
-/// Responses are read within this time.
+/// Time within which a response is read completely.
 const MAX_RESPONSE_TIME: Duration = Duration::from_secs(6);
-/// A message with less time than this left may be rejected for that.
+/// A message with less time left than this may be rejected because of its deadline.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(100);
 
-/// What the relay may hold at most, with one message that it has rejected.
+/// Upper bounds of what the relay may hold, a rejected message included.
 struct QueueUse<'a> {
-    /// Messages of the rejected one's tenant, and their bytes.
+    /// Messages of the rejected message's tenant, and their bytes.
     own_messages: usize,
     own_bytes: usize,
-    /// Messages that cannot be rejected to make room, and their bytes.
+    /// Messages that cannot be rejected to free capacity, and their bytes.
     fixed_messages: usize,
     fixed_bytes: usize,
-    /// Tenants that may hold something.
+    /// Tenants that may hold messages.
     tenants: BTreeSet<&'a String>,
 }
 
-/// A message is rejected: its tenant must hold its share, or something else must be full. Describes how neither is so.
+/// Checks a rejected message: its tenant must hold its share, or another reason for the rejection must exist. Returns a
+/// description if neither is the case.
 pub(super) fn unfair_rejection(
     history: &History,
     weights: &Weights,
@@ -69,7 +71,7 @@
     })
 }
 
-/// All that the relay may hold, the rejected message included.
+/// Computes what the relay may hold, the rejected message included.
 fn queue_use<'a>(history: &'a History, rejected: &Message) -> QueueUse<'a> {
     let now = history.now;
     let size =
@@ -82,7 +84,7 @@
         tenants: BTreeSet::new(),
     };
     for (id, message) in &history.messages {
-        // A response that trickles in is not read before its end.
+        // A response that arrives slowly is not read before its end.
         let may_be_reading = message
             .delivered_at
             .is_some_and(|at| at + MAX_RESPONSE_TIME > now);
--- a/crates/simulator/src/invariants/fair_share/weights.rs
+++ b/crates/simulator/src/invariants/fair_share/weights.rs
@@ -1,23 +1,23 @@
-//! The tenants' weights, as the administration API last showed them.
+//! The tenants' weights, as the administration API last reported them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::history::TenantSnapshot;
 
-/// A tenant that drains while a younger one has its name shares with the others for this time at most: the longest time
-/// to a deadline, and that for which a submission counts.
+/// Maximum time for which a draining tenant takes part in the sharing while a newer one has its name: the longest time to a
+/// deadline, and the time for which a submission counts.
 const DRAINING_TENANT_TIME: Duration = Duration::from_secs(25);
 
 /// A tenant's claim to a share.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct Claim {
     weight: u64,
-    /// It has caps, may not send, or its state is not known, so that it may be below its share.
+    /// Whether it may be below its share, as it has caps, may not send, or its state is not known.
     is_limited: bool,
 }
 
-/// A tenant that may still drain while a younger one has its name.
+/// A tenant that may still drain while a newer one has its name.
 struct DrainingTenant {
     until: Duration,
     weight: u64,
@@ -32,7 +32,7 @@
 }
 
 impl Weights {
-    /// The tenants that there are at the start, with their weights.
+    /// The tenants at the start, with their weights.
     pub fn new(tenants: &[(String, u64)]) -> Self {
         let claims = tenants.iter().map(|(name, weight)| {
             let claim = Claim {
@@ -56,12 +56,12 @@
         self.claims.keys()
     }
 
-    /// A change had no response: what became of the tenant is not known until it is read.
+    /// Records a change without a response: the tenant's state is not known until it is read.
     pub fn record_timeout(&mut self, tenant: &str) {
         self.claims.entry(tenant.into()).or_default().is_limited = true;
     }
 
-    /// A tenant is shown; whether its claim has changed.
+    /// Records a reported state of a tenant. Returns whether its claim has changed.
     pub fn record_snapshot(
         &mut self,
         now: Duration,
@@ -85,18 +85,18 @@
         earlier != Some(claim)
     }
 
-    /// Whether a tenant may be below its share. One that is not known may be.
+    /// Whether a tenant may be below its share; true for an unknown tenant.
     pub fn is_limited(&self, tenant: &str) -> bool {
         self.claims.get(tenant).is_none_or(|claim| claim.is_limited)
     }
 
-    /// A tenant's share among all, 0 to 1.
+    /// A tenant's share among all tenants, from 0 to 1.
     pub fn share(&self, tenant: &str, now: Duration) -> f64 {
         let all: u64 = self.claims.values().map(|claim| claim.weight).sum();
         self.share_of(tenant, all + self.draining_weight(now))
     }
 
-    /// A tenant's share among itself and those of some names, 0 to 1.
+    /// A tenant's share among itself and the tenants that `names` selects, from 0 to 1.
     pub fn share_among(&self, tenant: &str, now: Duration, names: impl Fn(&String) -> bool) -> f64 {
         let among = self.claims.iter().filter(|(name, _)| names(name));
         let all: u64 = among.map(|(_, claim)| claim.weight).sum();
@@ -109,7 +109,7 @@
         claim.map_or(0.0, |claim| claim.weight as f64 / all as f64)
     }
 
-    /// Weights of the tenants that may still drain, together.
+    /// Sum of the weights of tenants that may still drain.
     fn draining_weight(&self, now: Duration) -> u64 {
         let draining = self.draining.iter().filter(|tenant| tenant.until > now);
         draining.map(|tenant| tenant.weight).sum()
--- a/crates/simulator/src/invariants/invariant.rs
+++ b/crates/simulator/src/invariants/invariant.rs
@@ -1,11 +1,11 @@
-//! What an invariant is.
+//! The interface of invariants.
 
 use super::violation::Violations;
 use crate::history::{History, Observation};
 
-/// An invariant of one relay.
+/// An invariant that is checked for one relay.
 pub trait Invariant {
-    /// Looks at an observation that the history has not recorded yet, and reports what it violates.
+    /// Checks an observation that the history has not recorded yet, and reports violations.
     fn observe(
         &mut self,
         history: &History,
--- a/crates/simulator/src/invariants/malformed_input.rs
+++ b/crates/simulator/src/invariants/malformed_input.rs
@@ -1,4 +1,4 @@
-//! `bad input`: what cannot be parsed gets an error line or a close.
+//! `bad input`: malformed input is rejected with an error line or by closing the connection, except around a restart.
 
 use super::invariant::Invariant;
 use super::violation::Violations;
--- a/crates/simulator/src/invariants/max_attempts.rs
+++ b/crates/simulator/src/invariants/max_attempts.rs
@@ -16,7 +16,7 @@
         let Observation::CallReceived { call, .. } = observation else {
             return;
         };
-        // A resend has attempts of its own.
+        // A resend has its own attempts.
         if history.limits.undeliverable_are_resent {
             return;
         }
--- a/crates/simulator/src/invariants/metrics/expectation.rs
+++ b/crates/simulator/src/invariants/metrics/expectation.rs
@@ -1,4 +1,4 @@
-//! What the metrics of the process that runs may be, by what was observed of each message.
+//! The expected metrics of the running process, by what was observed of each message.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use super::bounds::Bounds;
 use crate::history::{CallOutcome, History, Message, NoticeStatus};
 
-/// A notice that could not be taken is sent again within this time after it can be.
+/// Time after the end of a notice outage within which pending notices are sent again.
 const NOTICE_RETRY_TIME: Duration = Duration::from_secs(1);
 /// A corrupted response is read within this time after its call.
 const CORRUPTED_READ_TIME: Duration = Duration::from_secs(1);
 
-/// How often messages of a class ended in which way.
+/// Ends of a class's messages, by kind of end.
 #[derive(Default)]
 pub(super) struct ClassCounts {
     pub success: Bounds,
@@ -19,13 +19,13 @@
     pub error: Bounds,
 }
 
-/// The circumstances of a report of metrics.
+/// Computes the expected metrics for one report.
 pub(super) struct Expectation<'a> {
     history: &'a History,
     upgraded: &'a BTreeSet<u32>,
-    /// What passed before is certainly counted.
+    /// Events before this time are certainly counted.
     counted_until: Duration,
-    /// Notices may not have been taken yet.
+    /// Whether notices may not have been received yet.
     has_pending_notices: bool,
 }
 
@@ -42,14 +42,14 @@
         }
     }
 
-    /// Counts how a message ended, as far as it counts for the process that runs.
+    /// Counts the ends of a message that the running process counts.
     pub fn count_ends(&self, message: &Message, counts: &mut ClassCounts) {
         self.count_rejections(message, counts);
         self.count_delivery(message, &mut counts.success);
         self.count_notice(message, counts);
     }
 
-    /// Counts the replies that rejected it.
+    /// Counts the replies that rejected a message.
     fn count_rejections(&self, message: &Message, counts: &mut ClassCounts) {
         let started_at = self.history.process_started_at;
         let is_certain = self.is_certain(message);
@@ -60,23 +60,24 @@
             (&mut counts.error, &rejections.failed),
         ];
         for (bounds, received_at) in pairs {
-            // Repeated requests that wait together are rejected once; the first may have come to an earlier process.
+            // Repeated requests that wait at the same time count as one rejection. The first may have reached an earlier
+            // process.
             let mut received_at = received_at.iter().filter(|at| **at >= started_at);
             if let Some(first) = received_at.next() {
                 bounds.count(is_certain && *first < self.counted_until);
                 bounds.allow(received_at.count() as u64);
             }
-            if is_unheard(message) && (is_ours || message.accepted_at.is_none()) {
+            if is_reply_unread(message) && (is_ours || message.accepted_at.is_none()) {
                 bounds.allow(2);
             }
         }
     }
 
-    /// Whether the process that runs has had the message from its first request on, and its client heard all.
+    /// Whether the running process has handled the message since its first request, and its client read all replies.
     fn is_certain(&self, message: &Message) -> bool {
         let started_at = self.history.process_started_at;
         message.process == self.history.process
-            && !is_unheard(message)
+            && !is_reply_unread(message)
             && message
                 .accepted_at
                 .is_none_or(|accepted_at| accepted_at >= started_at)
@@ -91,23 +92,23 @@
             success.count(is_certain && delivered_at < self.counted_until);
             return;
         }
-        // What one of two processes did as it ended, the next one finds in the state directory, and counts.
+        // Of two processes in an upgrade, one counts deliveries of the other that it finds in the state directory.
         let mut calls = message.calls.iter();
         if calls.any(|call| self.upgraded.contains(&call.process)) {
             success.allow(1);
         }
     }
 
-    /// Whether the process that runs has certainly read the one response that delivered a message.
+    /// Whether the running process has certainly read the one response that delivered a message.
     fn is_certain_delivery(&self, message: &Message) -> bool {
         let mut calls = message.calls.iter();
         let is_ours = calls.any(|call| call.process == self.history.process && call.is_delivered());
-        // A response that crosses the relay's own end of the call is none that it has read.
+        // A call that the relay ended itself may have a response that it has not read.
         let possible_responses = message.calls.iter().filter(|call| {
             call.outcome()
                 .is_none_or(|outcome| outcome == CallOutcome::Delivered)
         });
-        !is_unheard(message)
+        !is_reply_unread(message)
             && message.accepted_at.is_some()
             && is_ours
             && !self.may_be_corrupted(message)
@@ -130,14 +131,14 @@
         }
     }
 
-    /// Counts a message that is accepted and has no end.
+    /// Counts a message that is accepted and has not ended.
     pub fn count_held(&self, message: &Message, concurrent: &mut Bounds) {
         let noticed_at = message.notice.map(|notice| notice.at);
         let ended_at = [message.delivered_at, noticed_at]
             .into_iter()
             .flatten()
             .min();
-        // A response that came corrupted, or still comes, has ended nothing.
+        // A response that arrived corrupted or incomplete has not ended the message.
         let has_ended = ended_at.is_some_and(|at| at < self.counted_until)
             && (message.notice.is_some() || !self.may_be_corrupted(message));
         let was_rejected =
@@ -154,11 +155,11 @@
             && ended_at.is_none()
             && !message.is_abandoned
             && !self.has_pending_notices;
-        // One that is about to be ended may be on its way to the platform.
+        // A message past its deadline may have a notice in flight to the platform.
         concurrent.count(is_held && deadline > self.history.now);
     }
 
-    /// Counts the calls of a message that the process that runs has made.
+    /// Counts the calls of a message by the running process.
     pub fn count_calls(&self, message: &Message, dispatches: &mut Bounds) {
         let calls = message.calls.iter();
         calls
@@ -166,7 +167,7 @@
             .for_each(|call| dispatches.count(call.last_byte_at < self.counted_until));
     }
 
-    /// Whether a response to a message may not have reached the relay as it was sent.
+    /// Whether a response to a message may have been corrupted on its way to the relay.
     fn may_be_corrupted(&self, message: &Message) -> bool {
         let corrupted = &self.history.limits.corrupted_responses;
         corrupted.iter().any(|(destination, from)| {
@@ -177,7 +178,7 @@
     }
 }
 
-/// Whether the client does not know what the relay replied.
-fn is_unheard(message: &Message) -> bool {
+/// Whether the client did not read the relay's reply.
+fn is_reply_unread(message: &Message) -> bool {
     message.is_abandoned || message.accepted_at.is_none() && message.rejections.is_empty()
 }
--- a/crates/simulator/src/invariants/metrics/mod.rs
+++ b/crates/simulator/src/invariants/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! `figures`: the metrics that a process reports agree with what passed on sockets.
+//! `figures`: the metrics that a process reports agree with what was observed on sockets.
 
 mod bounds;
 mod expectation;
@@ -13,10 +13,10 @@
 use super::violation::Violations;
 use crate::history::{History, Observation};
 
-/// What passed less than this before a report may not be in its metrics yet.
+/// Events less than this before a report may not be in its metrics yet.
 const REPORT_DELAY: Duration = Duration::from_millis(500);
 
-/// When configuration files were read since the process started.
+/// When valid and invalid configuration files were reloaded since the process started.
 #[derive(Default)]
 struct Reloads {
     valid: Vec<Duration>,
@@ -25,7 +25,7 @@
 
 #[derive(Default)]
 pub struct Metrics {
-    /// When the process was ready.
+    /// When the process became ready.
     ready_at: Option<Duration>,
     /// Processes that took part in an upgrade, whose metrics are not checked.
     upgraded: BTreeSet<u32>,
@@ -67,7 +67,7 @@
 }
 
 impl Metrics {
-    /// Whether all that a process counts was observed.
+    /// Whether everything that a process counts was observed.
     fn is_comparable(&self, history: &History, process: u32, requested_at: Duration) -> bool {
         let is_settled = self
             .ready_at
@@ -102,7 +102,7 @@
     }
 }
 
-/// Metrics by name; what cannot be parsed is left out, and missed.
+/// Metrics by name. Those that cannot be parsed are left out, and so are reported as missing.
 fn parse(text: &str) -> BTreeMap<&str, u64> {
     let lines = text.lines();
     let pairs = lines.filter_map(|line| line.strip_prefix("relay.")?.split_once('='));
@@ -111,11 +111,11 @@
         .collect()
 }
 
-/// A metric and what it may be.
+/// A metric and its expected range.
 struct Expected {
     name: String,
     bounds: Bounds,
-    /// Percent that it may be off.
+    /// Tolerance in percent.
     tolerance_percent: u64,
 }
 
@@ -132,7 +132,7 @@
         let value = reported.get(name.as_str());
         let is_expected = match value {
             Some(value) => bounds.contain(*value, expected.tolerance_percent),
-            // A process that never had the class in its settings does not count it.
+            // A process that never had the transient class in its settings does not report it.
             None => {
                 let class = name.split_once('.').map(|(_, class)| class);
                 class.is_some() && class == history.limits.transient_class
@@ -143,7 +143,7 @@
     })
 }
 
-/// What the metrics about messages may be.
+/// The expected metrics about messages.
 fn expected_metrics(
     history: &History,
     upgraded: &BTreeSet<u32>,
@@ -188,7 +188,7 @@
     by_class.chain(of_all).collect()
 }
 
-/// How a count of reloads disagrees with the files that were read.
+/// Describes how a count of reloads disagrees with the reloads that were requested.
 fn reload_mismatch(
     name: &str,
     read_at: &[Duration],
--- a/crates/simulator/src/invariants/mod.rs
+++ b/crates/simulator/src/invariants/mod.rs
@@ -1,7 +1,7 @@
-//! What must hold of every run, one invariant a file, judged over the [`History`] alone.
+//! The invariants that every run must satisfy, one in each file. They are checked by the [`History`] alone.
 //!
-//! Each invariant is shown every observation round its relay before the history records it. The names under which
-//! violations are reported are a part of the tool's output and stay as they are.
+//! Each invariant receives every observation of its relay before the history records it. The names under which violations are
+//! reported are a part of the tool's output and must not change.
 
 mod accounted_for;
 mod call_contents;
@@ -35,8 +35,8 @@
 pub use invariant::Invariant;
 pub use violation::{Violation, Violations};
 
-/// All invariants of one relay. Of several violations of one moment the first is reported, so the order is that of
-/// what says most.
+/// All invariants of one relay. If an observation violates several, only the first is reported, so the most informative ones
+/// come first.
 #[must_use]
 pub fn all() -> Vec<Box<dyn Invariant>> {
     vec![
--- a/crates/simulator/src/invariants/ordered_delivery.rs
+++ b/crates/simulator/src/invariants/ordered_delivery.rs
@@ -1,4 +1,4 @@
-//! `order`: where their class is ordered, messages of one ordering key go one at a time, in the order accepted.
+//! `order`: in an ordered class, messages with the same ordering key are sent one at a time, in the order of their acceptance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 const NAME: &str = "order";
 
-/// A message in the order of its key.
+/// A message in the sequence of its ordering key.
 struct Accepted {
     id: String,
     /// The process that accepted it.
@@ -19,9 +19,9 @@
 
 #[derive(Default)]
 pub struct OrderedDelivery {
-    /// By ordering key: messages in the order accepted.
+    /// By ordering key: messages in the order of their acceptance.
     sequences: BTreeMap<u64, Vec<Accepted>>,
-    /// Messages that a later one of their key was sent before the end of: none of them may go again.
+    /// Messages that had not ended when a later one of their key was sent. They must not be sent again.
     overtaken: BTreeSet<String>,
 }
 
@@ -66,7 +66,7 @@
         violations: &mut Violations,
     ) {
         let id = &call.message_id;
-        // A restart accepts the messages of its journal in their order again, and nobody observes it.
+        // The order in which a restarted process recovers messages from its journal is not observed.
         let message = history.messages.get(id);
         let message = message.filter(|message| message.process == history.process);
         let Some(message) = message else { return };
@@ -97,7 +97,7 @@
                     format!("{id} went before the rest after {earlier_id} was over"),
                 );
             }
-            // The place of one that its client did not wait for is not known.
+            // The position of a message whose client did not wait for the reply is not known.
             if !earlier.is_finished() && !earlier.is_abandoned && !message.is_abandoned {
                 self.overtaken.insert(earlier_id.clone());
             }
@@ -108,11 +108,11 @@
     }
 }
 
-/// When the last call of a message ended without a response, so that it might still be running.
+/// When the last call of a message ended without a response, in which case it may still be executing.
 fn uncertain_end(message: &Message) -> Option<Duration> {
     let last: &Call = message.calls.last()?;
     let closed_at = last.closed_at.filter(|_| last.response.is_none())?;
-    // A host that nothing gets through to hears late of a call's end; the message's was no earlier.
+    // A host behind a network fault observes the end of a call late. The call had ended when the message did.
     Some(
         message
             .notice
--- a/crates/simulator/src/invariants/process_exit.rs
+++ b/crates/simulator/src/invariants/process_exit.rs
@@ -1,4 +1,4 @@
-//! `crash`: a process ends by itself only when it was asked to terminate, and without an error.
+//! `crash`: a process exits only after it was asked to terminate, and without an error.
 
 use super::invariant::Invariant;
 use super::violation::Violations;
--- a/crates/simulator/src/invariants/recovered_messages.rs
+++ b/crates/simulator/src/invariants/recovered_messages.rs
@@ -1,4 +1,4 @@
-//! `still tried`: of the messages that a start recovers and that had no call yet, no more than half end without one.
+//! `still tried`: of the messages that a start recovers without a previous call, no more than half end without a call.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,38 +7,39 @@
 use super::violation::Violations;
 use crate::history::{History, Observation, SubmittedRequest, TenantChange};
 
-/// A message with less time than this left at the start may end before discovery has confirmed its hosts and its turn
-/// has come.
+/// A message with less time left than this at the start may end before discovery has confirmed its hosts and the relay has
+/// got to it.
 const MIN_REMAINING_TIME: Duration = Duration::from_secs(2);
-/// So few uncalled messages are no evidence: one destination without hosts, or one Retry-After, may explain all.
+/// Up to this number of messages without a call are no evidence: one destination without hosts, or one Retry-After, may
+/// explain all of them.
 const MAX_UNEXPLAINED: usize = 4;
-/// A message that ends within this of its deadline ends at it.
+/// A message that ends less than this before its deadline counts as ended at the deadline.
 const AT_DEADLINE: Duration = Duration::from_millis(100);
 
 /// An outage of a destination.
 struct Outage {
     from: Duration,
-    /// When it ended; none while it goes on.
+    /// When it ended; none while it lasts.
     until: Option<Duration>,
 }
 
 #[derive(Default)]
 pub struct RecoveredMessages {
-    /// Messages that some start recovered without a call and that are open, and the time of that start.
+    /// Open messages that a start recovered without a previous call, each with the time of that start.
     pending: BTreeMap<String, Duration>,
-    /// How many of them were attempted.
+    /// Number of such messages that were called.
     attempted: usize,
-    /// How many of them ended without an attempt.
+    /// Number of such messages that ended without a call and without an explanation.
     unattempted: usize,
-    /// Destinations of the hosts that were called.
+    /// By host that was called: its destination.
     hosts: BTreeMap<String, u16>,
-    /// Hosts that the relay was notified are not up.
+    /// Hosts that are not up by the last entry that discovery listed or sent.
     hosts_down: BTreeSet<String>,
-    /// Outages by destination, in order.
+    /// By destination: outages in order.
     outages: BTreeMap<u16, Vec<Outage>>,
-    /// Tenants whose removal was requested, which ends all that they have.
+    /// Tenants whose removal was requested, which ends all of their messages.
     removed_tenants: BTreeSet<String>,
-    /// Writes to the disk failed at some time, so that calls could not be made.
+    /// Whether the disk was full at some time, so that calls could not be made.
     disk_was_full: bool,
 }
 
@@ -143,9 +144,9 @@
         request: &SubmittedRequest,
         recovered_at: Duration,
     ) -> bool {
-        // One that ends at its deadline after a destination refused all connections for most of the remaining time could
-        // not reach it, or only with a burst as it came back warming up; and a tenant may flood destinations with more
-        // than they take. One that ends early counts all the same.
+        // A message that ends at its deadline may not have been able to reach a destination that was down for most of the
+        // remaining time, or only in a burst while the destination was warming up after its return. A tenant may also flood
+        // destinations beyond their capacity. Neither explains an end before the deadline.
         let is_at_deadline = history.now + AT_DEADLINE >= request.deadline;
         let could_not_reach = is_at_deadline
             && (!history.limits.tenants.is_empty()
@@ -156,7 +157,7 @@
             || !self.has_host(request.destination)
     }
 
-    /// Whether a destination has a host that may be called, as far as the relay was notified.
+    /// Whether a destination has a host that may be called, by what the relay was notified of.
     fn has_host(&self, destination: u16) -> bool {
         let mut hosts = self.hosts.iter().filter(|(_, at)| **at == destination);
         hosts.any(|(host, _)| !self.hosts_down.contains(host))
--- a/crates/simulator/src/invariants/retry_after.rs
+++ b/crates/simulator/src/invariants/retry_after.rs
@@ -1,4 +1,4 @@
-//! `waits`: a destination whose response asked the relay to wait gets no calls before the wait is over.
+//! `waits`: a destination that sent Retry-After gets no calls before the wait is over.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use super::violation::Violations;
 use crate::history::{CallId, CallOutcome, History, Observation, ReceivedCall};
 
-/// Calls that come so soon after the response were on their way.
+/// Calls that arrive within this time after the response were already in flight.
 const REACTION_TIME: Duration = Duration::from_millis(100);
 
 struct Wait {
@@ -19,7 +19,7 @@
 
 #[derive(Default)]
 pub struct RetryAfter {
-    /// The wait that binds last, by destination.
+    /// By destination: the wait that ends last.
     waits: BTreeMap<u16, Wait>,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl RetryAfter {
-    /// A second response while a wait binds may lengthen it; what came before was on its way.
+    /// Records the wait of a response. A second response during a wait may lengthen it.
     fn record_response(&mut self, history: &History, id: &CallId) {
         let Some((message, call)) = history.call(id) else {
             return;
--- a/crates/simulator/src/invariants/returning_destinations.rs
+++ b/crates/simulator/src/invariants/returning_destinations.rs
@@ -1,5 +1,5 @@
-//! `not pushed over`: a destination that is back from an outage gets no more calls than it has capacity for while it warms up, from
-//! all relays together, where most of it comes from those that noticed the outage.
+//! `not pushed over`: a destination that has returned from an outage gets no more calls, from all relays together, than it has
+//! capacity for while it warms up. Checked only where most of the calls come from relays that detected the outage.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -10,34 +10,34 @@
 
 /// Name of the invariant in reports.
 const NAME: &str = "not pushed over";
-/// After a shorter outage a destination has its whole capacity.
+/// After a shorter outage a destination has its full capacity at once.
 const MIN_OUTAGE: Duration = Duration::from_secs(1);
 
 /// An outage of a destination.
 struct Outage {
-    /// When all of its hosts were at fault.
+    /// When it began.
     from: Duration,
-    /// When that ended.
+    /// When it ended; none while it lasts.
     until: Option<Duration>,
-    /// Relays that noticed it.
+    /// Relays that detected it.
     noticed_by: BTreeSet<usize>,
 }
 
-/// A call, from a relay of this number.
+/// A call of a relay.
 struct RecentCall {
     at: Duration,
     relay: usize,
 }
 
-/// What a destination that is back takes.
+/// Number of calls that a returned destination can take.
 struct Budget {
-    /// Calls count from then on.
+    /// Start of the window in which calls count.
     from: Duration,
-    /// Number of calls.
+    /// Maximum number of calls in the window.
     max_calls: f64,
 }
 
-/// The invariant, the only one that is about all relays together.
+/// The invariant. It is the only one that is checked for all relays together.
 #[derive(Default)]
 pub struct ReturningDestinations {
     outages: BTreeMap<u16, Outage>,
@@ -46,7 +46,7 @@
 }
 
 impl ReturningDestinations {
-    /// Looks at what passed round the relay of a number; `histories` has those of all relays, in order.
+    /// Checks an observation of relay number `relay`. `histories` yields those of all relays, in order.
     pub fn observe<'h>(
         &mut self,
         mut histories: impl Iterator<Item = &'h History>,
@@ -78,7 +78,7 @@
             {
                 self.record_failure(history, relay, id);
             }
-            // One that nobody submitted is a violation of its own.
+            // A call of a message that was never submitted violates `call`.
             Observation::CallReceived { call, .. }
                 if history.messages.contains_key(&call.message_id) =>
             {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// What a relay noticed just before its process ended may not have been saved.
+    /// An outage that a relay detected just before its process ended may not have been saved.
     fn record_process_end(&mut self, history: &History, relay: usize) {
         for outage in self.outages.values_mut() {
             let is_unsaved = outage
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A relay notices an outage by a call that fails.
+    /// Records that a relay detects an outage by a failed call.
     fn record_failure(&mut self, history: &History, relay: usize, id: &CallId) {
         let Some(message) = history.messages.get(&id.message_id) else {
             return;
@@ -173,7 +173,7 @@
     }
 }
 
-/// What a destination takes that has returned from an outage and still warms up.
+/// The budget of a destination that has returned from an outage and is still warming up; none otherwise.
 fn budget(history: &History, outage: &Outage, destination: u16, at: Duration) -> Option<Budget> {
     let limits = &history.limits;
     if outage.noticed_by.is_empty() {
@@ -191,10 +191,10 @@
     }
     let capacity = limits.capacity.get(&destination)?;
     let mean_share = (share(from) + share(at)) / 2.0;
-    // The budget is that of a whole window, also while less has passed.
+    // The budget covers a whole window, even if less time has passed since the return.
     let window_s = limits.overload_window.as_secs_f64();
     let expected = limits.overload_factor * capacity * mean_share * window_s;
-    // Room for chance: two calls, and two standard deviations of what comes at random.
+    // Tolerance for random arrivals: two calls, and two standard deviations.
     Some(Budget {
         from,
         max_calls: expected + 2.0 + 2.0 * expected.sqrt(),
--- a/crates/simulator/src/invariants/single_effect.rs
+++ b/crates/simulator/src/invariants/single_effect.rs
@@ -1,4 +1,4 @@
-//! `applied once`: whatever is sent again, by whomever, takes effect once.
+//! `applied once`: a message that is not idempotent takes effect at most once, whoever sends it again.
 
 use super::invariant::Invariant;
 use super::violation::Violations;
--- a/crates/simulator/src/invariants/single_end.rs
+++ b/crates/simulator/src/invariants/single_end.rs
@@ -1,4 +1,4 @@
-//! `one end`: a message ends once, and nothing of it goes on after that.
+//! `one end`: a message ends once, and is not called after that.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::history::{CallId, History, Message, NoticeStatus, Observation, ReceivedCall};
 
 const NAME: &str = "one end";
-/// Time from the relay's reading of a 200 after which a notice was decided on later than that.
+/// A notice that arrives later than this after the relay has read a 200 was decided on after the delivery.
 const NOTICE_DECISION_TIME: Duration = Duration::from_secs(1);
 
-/// A process has read a 200.
+/// A delivery of which a process has read the 200.
 struct KnownDelivery {
     at: Duration,
     process: u32,
@@ -20,7 +20,7 @@
 
 #[derive(Default)]
 pub struct SingleEnd {
-    /// The first delivery of each message that a process knew of.
+    /// By message: the first delivery of which a process has read the response.
     deliveries: BTreeMap<String, KnownDelivery>,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The first delivery of a message, if the process that runs knows of it.
+    /// When the running process read the first delivery of a message; none if it did not.
     fn known_delivery(&self, history: &History, id: &str) -> Option<Duration> {
         let delivery = self.deliveries.get(id)?;
         (delivery.process == history.process).then_some(delivery.at)
@@ -68,7 +68,8 @@
         let Some(message) = history.messages.get(id) else {
             return;
         };
-        // A call that was given up may have a 200 after all; what a resend may do is judged by what took effect.
+        // The call of an undeliverable message may get a 200 after all. Resends are checked by their effects, in
+        // `applied once`.
         let may_be_resent = history.limits.undeliverable_are_resent
             && message
                 .notice
@@ -111,7 +112,7 @@
             }
             return;
         }
-        // What was given up may be delivered by a resend before its notice is taken.
+        // A resend may deliver an undeliverable message before its notice is received.
         if history.limits.undeliverable_are_resent {
             return;
         }
@@ -126,7 +127,7 @@
     }
 }
 
-/// Whether the relay cannot have decided on the notice that comes now before it knew of the delivery.
+/// Whether the relay had not decided on the arriving notice before it read the delivery.
 fn was_undecided(history: &History, message: &Message, delivered_at: Duration) -> bool {
     let was_held_back = history
         .notice_outages
--- a/crates/simulator/src/invariants/tenants/admission.rs
+++ b/crates/simulator/src/invariants/tenants/admission.rs
@@ -1,4 +1,4 @@
-//! `admission`, `another's`: a closed tenant's messages are not accepted, and none is for another tenant.
+//! `admission`, `another's`: messages of a closed tenant are not accepted, and a client cannot submit for another tenant.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 enum Bar {
     /// Its tenant is paused or removed.
     TenantClosed,
-    /// Its client is another tenant's.
+    /// Its client belongs to another tenant.
     Impersonated,
 }
 
@@ -33,14 +33,14 @@
 }
 
 impl Admission {
-    /// A request is sent, for a tenant that is closed since a moment, if it is.
+    /// Records a request. `closed_since` is the time since which its tenant is closed; none if it is open.
     pub fn record_request(
         &mut self,
         history: &History,
         request: &SubmittedRequest,
         closed_since: Option<Duration>,
     ) {
-        // The first request decides.
+        // Only the first request of a message counts.
         if history.messages.contains_key(&request.id) {
             return;
         }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A tenant may accept messages again.
+    /// Allows messages of a tenant again.
     pub fn reopen(&mut self, history: &History, tenant: &str) {
         let is_of_tenant = |id: &String| {
             let message = history.messages.get(id);
