--- a/crates/simulator/tests/caught.rs
+++ b/crates/simulator/tests/caught.rs
@@ -1,5 +1,5 @@
-//! The checker can fail: with one guard taken out, by the seam or by the configuration that the relay reads, the
-//! rule that the guard keeps is seen broken within a bounded number of seeds.
+//! The checker detects violations: with one safeguard disabled, by a planted fault or in the configuration that the relay
+//! reads, the invariant that it protects is violated within a bounded number of seeds.
 
 mod support;
 
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn a_journal_that_keeps_no_messages_loses_them() {
+fn journal_without_accepted_records_is_reported_as_lost_messages() {
     caught_with_fault("nothing lost", PlantedFault::DropAcceptedRecords);
 }
 
 #[test]
-fn a_journal_that_keeps_no_attempts_lets_payouts_go_twice() {
+fn journal_without_attempt_records_is_reported_as_double_effects() {
     caught_with_fault("no double effect", PlantedFault::DropAttemptRecords);
 }
 
@@ -55,32 +55,32 @@
 }
 
 #[test]
-fn drains_that_are_not_heard_of_are_not_kept() {
+fn calls_to_draining_hosts_are_reported() {
     caught_with_fault("drains", PlantedFault::HideDraining);
 }
 
 #[test]
-fn waits_that_are_not_heard_of_are_not_heeded() {
+fn calls_before_the_end_of_retry_after_are_reported() {
     caught_with_fault("waits", PlantedFault::HideBackoff);
 }
 
 #[test]
-fn calls_that_are_led_to_another_host_are_seen() {
+fn calls_to_a_host_of_another_destination_are_reported() {
     caught_with_fault("right host", PlantedFault::MisrouteConnections);
 }
 
 #[test]
-fn a_slow_clock_ends_messages_too_late() {
+fn messages_that_a_slow_clock_ends_late_are_reported() {
     caught_with_fault("nothing lost", PlantedFault::SlowClock);
 }
 
 #[test]
-fn notices_that_get_lost_are_missed() {
+fn lost_notices_are_reported() {
     caught_with_fault("at once", PlantedFault::DropNotifications);
 }
 
 #[test]
-fn unsafe_classes_that_pass_for_safe_go_twice() {
+fn non_idempotent_classes_configured_as_idempotent_are_reported_as_double_effects() {
     misconfigured("no double effect", |config| {
         classes(config)
             .filter(|c| c["effect"] == "fragile")
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn keys_that_are_thought_to_be_remembered_for_ever_outlive_their_window() {
+fn keyed_classes_with_too_long_a_window_are_reported_as_double_effects() {
     misconfigured("no double effect", |config| {
         classes(config)
             .filter(|c| c["effect"] == "dedup")
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn attempts_without_a_bound_are_counted() {
+fn attempts_beyond_the_maximum_are_reported() {
     misconfigured("attempts", |config| {
         config["settings"]["limits"]["maxAttempts"] = 200.into();
         classes(config).for_each(|c| c["aim"] = 1000.into());
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn classes_that_pass_for_unordered_lose_their_order() {
+fn ordered_classes_configured_as_unordered_are_reported() {
     misconfigured("order", |config| {
         classes(config).for_each(|c| c["fifoByKey"] = false.into())
     });
@@ -121,11 +121,11 @@
 }
 
 #[test]
-fn a_disk_that_passes_for_larger_is_overfilled() {
+fn state_beyond_the_disk_limit_is_reported() {
     misconfigured("disk", |config| config["limits"]["disk_mb"] = 50.0.into());
 }
 
 #[test]
-fn what_a_restart_finds_untried_and_never_calls_is_missed() {
+fn recovered_messages_that_are_never_called_are_reported() {
     caught_with_fault("still tried", PlantedFault::ClockAhead);
 }
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,16 +1,17 @@
-//! Days on which three to five relays share the work, and some are struck apart from the others. Long ranges are
-//! the tool's (`run --days fleet`).
+//! Scenarios with three to five relays, some with faults of single relays. Long ranges of seeds are played with
+//! `run --days fleet`.
 
 mod support;
 
 use simulator::script::{ScenarioKind, Script};
 use simulator::world::{play, Options};
 
-/// Pushes a returning destination over by a fifth of a call; `regressions.rs` plays it, and `KNOWN-RED.txt` lists it.
+/// Exceeds the budget of a returning destination by a fifth of a call; `regressions.rs` plays it, and `KNOWN-RED.txt` lists
+/// it.
 const OPEN: u64 = 20;
 
 #[test]
-fn all_rules_hold_on_the_first_seeds() {
+fn all_invariants_hold_on_the_first_seeds() {
     support::hold(
         ScenarioKind::Fleet,
         (0..200).filter(|seed| *seed != OPEN),
@@ -19,8 +20,8 @@
 }
 
 #[test]
-fn a_day_has_several_relays_that_are_struck_apart_and_a_seed_gives_it_again() {
-    let day = |seed| {
+fn scenarios_have_several_relays_with_their_own_faults_and_are_reproducible() {
+    let play_seed = |seed| {
         play(
             &Script::draw_fleet(seed),
             Options {
@@ -30,8 +31,10 @@
         )
     };
     let (first, again) = (
-        day(3),
-        std::thread::spawn(move || day(3)).join().expect("played"),
+        play_seed(3),
+        std::thread::spawn(move || play_seed(3))
+            .join()
+            .expect("played"),
     );
     assert_eq!(first.digest, again.digest);
     let script = Script::draw_fleet(3);
@@ -42,16 +45,16 @@
         .filter(|line| line.contains("process") && line.contains("starts"))
         .count();
     assert!(starts >= script.relays, "{starts}");
-    let struck: std::collections::BTreeSet<usize> = (0..40)
+    let affected: std::collections::BTreeSet<usize> = (0..40)
         .flat_map(|seed| Script::draw_fleet(seed).faults)
         .map(|fault| fault.relay)
         .collect();
-    assert!(struck.len() >= 4, "{struck:?}");
+    assert!(affected.len() >= 4, "{affected:?}");
 }
 
-/// Each relay keeps to the budget as far as it can tell, and all together break it.
+/// Relays that are configured as the only one each keep to the budget, but together they exceed it.
 #[test]
-fn relays_that_think_they_are_alone_push_a_returning_destination_over_together() {
+fn relays_without_siblings_together_overload_a_returning_destination() {
     let alone = |config: &mut serde_json::Value| config["settings"]["siblings"] = 1.into();
     let options = Options {
         misconfigure: Some(alone),
--- a/crates/simulator/tests/hosted.rs
+++ b/crates/simulator/tests/hosted.rs
@@ -1,5 +1,5 @@
-//! Days on which administrators change tenants under traffic: a fixed range of seeds, and each rule of theirs seen
-//! broken by a planted fault. Long ranges are the tool's (`run --days hosted`).
+//! Scenarios in which administrators change tenants under traffic: a fixed range of seeds, and a test for each invariant of
+//! tenants that it detects a planted fault. Long ranges of seeds are played with `run --days hosted`.
 
 mod support;
 
@@ -8,19 +8,20 @@
 use simulator::script::{ScenarioKind, Script};
 use simulator::world::{play, Options};
 
-/// Days that broke a rule once: lines of the registry took the room of ends (7735), what was owed before a restart went out
-/// at once (1196 to 9962), an outage was seen too late (4013, 1857), and the checker forgot that a tenant which drains has a share (4884, 6444, 8760).
+/// Seeds of fixed failures: registry records used the disk space reserved for ends (7735), messages queued before a restart
+/// were sent all at once (1196 to 9962), an outage was detected too late (4013, 1857), and the checker ignored the share of a
+/// draining tenant (4884, 6444, 8760).
 const MENDED: [u64; 16] = [
     4013, 1857, 7735, 1196, 2768, 3598, 3932, 4664, 5568, 5803, 6432, 7120, 9962, 4884, 6444, 8760,
 ];
 
 #[test]
-fn all_rules_hold_on_the_first_seeds() {
+fn all_invariants_hold_on_the_first_seeds() {
     support::hold(ScenarioKind::Hosted, (0..260).chain(MENDED), 50);
 }
 
 #[test]
-fn a_seed_gives_the_same_day_again() {
+fn scenarios_are_reproducible() {
     let digest = |seed| play(&Script::draw_hosted(seed), Options::default()).digest;
     let first: Vec<String> = (0..4).map(digest).collect();
     let again = std::thread::spawn(move || (0..4).rev().map(digest).collect::<Vec<String>>());
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_registry_that_keeps_nothing_forgets_what_was_answered() {
+fn registry_that_drops_changes_is_reported() {
     caught(
         "registry",
         200,
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_removal_that_ends_nothing_is_seen_by_what_stays() {
+fn removal_that_does_not_end_messages_is_reported() {
     caught(
         "abandoned",
         200,
@@ -86,8 +87,8 @@
 }
 
 #[test]
-fn clients_that_need_no_name_speak_for_others() {
-    // The world has clients that speak for another, and the relay asks nobody for a name.
+fn messages_for_another_tenant_are_reported_without_authentication() {
+    // Some clients submit messages for another tenant, and the relay does not authenticate them.
     caught("another's", 200, Options::default(), |script| {
         script
             .hosted
--- a/crates/simulator/tests/kept.rs
+++ b/crates/simulator/tests/kept.rs
@@ -1,5 +1,5 @@
-//! Days on which what is given up is kept and sent again: a fixed range of seeds, and each rule of theirs seen broken
-//! by a planted fault. Long ranges are the tool's (`run --days kept`).
+//! Scenarios in which undeliverable messages are stored and resent: a fixed range of seeds, and a test for each of their
+//! invariants that it detects a planted fault. Long ranges of seeds are played with `run --days kept`.
 
 mod support;
 
@@ -7,22 +7,22 @@
 use simulator::script::{ScenarioKind, Script};
 use simulator::world::{play, Options};
 
-/// Days that broke a rule once: a store that opened as it was before its newest change hid a resend (1836), one that
-/// was spoilt while a resend was out stayed shut (61, 183), a resend came while the last call was being called off
-/// (3992), a kill within a start was taken for an end by itself (2708).
+/// Seeds of fixed failures: a store that opened in the state before its newest change hid a resend (1836), one that was
+/// corrupted during a resend stayed closed (61, 183), a resend was made while the last call was being cancelled (3992), and a
+/// kill during a start was taken for an exit (2708).
 const MENDED: [u64; 5] = [1836, 61, 183, 3992, 2708];
 
-/// A kill fell on a burst of calls that were in the journal and had reached no host: the payouts among them failed at the
-/// restart.
+/// Seed of a kill during a burst of calls that were in the journal but had not reached a host: the payouts among them failed at
+/// the restart.
 const CALLS_CUT_OFF_BEFORE_THEIR_FIRST_BYTE: u64 = 191;
 
 #[test]
-fn all_rules_hold_on_the_first_seeds() {
+fn all_invariants_hold_on_the_first_seeds() {
     support::hold(ScenarioKind::Kept, (0..200).chain(MENDED), 20);
 }
 
 #[test]
-fn payouts_cut_off_before_their_first_byte_are_still_tried() {
+fn payouts_killed_before_their_first_byte_are_tried_again() {
     support::hold(
         ScenarioKind::Kept,
         [CALLS_CUT_OFF_BEFORE_THEIR_FIRST_BYTE],
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn resends_are_made_and_partners_words_close_records() {
+fn records_are_closed_by_resends_and_by_partners_status_pages() {
     let counts = (0..20).map(|seed| play(&Script::draw_kept(seed), Options::default()).counts);
     let (resent, before) = counts.fold((0, 0), |sum, c| {
         (sum.0 + c.resent, sum.1 + c.applied_before)
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_day_again() {
+fn scenarios_are_reproducible() {
     support::same_again(ScenarioKind::Kept, 0..4);
 }
 
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn operators_who_attest_what_is_not_so_make_a_second_effect() {
+fn false_attestations_are_reported_as_second_effects() {
     caught("applied once", MisbehavingAdmin::AttestsFalsely);
 }
 
 #[test]
-fn a_record_that_is_missing_is_noticed() {
+fn missing_record_is_reported() {
     caught("accounted for", MisbehavingAdmin::OmitsRecord);
 }
--- a/crates/simulator/tests/operated.rs
+++ b/crates/simulator/tests/operated.rs
@@ -1,5 +1,5 @@
-//! Days on which staff drain and retune the relay and ask for its figures. Long ranges are the tool's
-//! (`run --days operated`).
+//! Scenarios in which operators drain and reconfigure the relay and read its metrics. Long ranges of seeds are played with
+//! `run --days operated`.
 
 mod support;
 
@@ -8,20 +8,21 @@
 use simulator::world::{play, Options};
 
 #[test]
-fn all_rules_hold_on_the_first_seeds() {
+fn all_invariants_hold_on_the_first_seeds() {
     support::hold(ScenarioKind::Operated, 0..200, 20);
 }
 
-/// A new version died with calls out, and the old one let the next of their keys go at once.
+/// Guards against a violation of the order: a new version died with calls in flight, and the old one sent the next messages of
+/// their keys at once.
 #[test]
-fn days_that_broke_the_order_hold() {
+fn order_holds_when_a_new_version_dies_with_calls_in_flight() {
     support::hold(ScenarioKind::Operated, [450, 9602], 20);
 }
 
-/// The days are about something: relays are drained and are back, take new settings and turn files down, classes come
-/// and go, and all that beside upgrades.
+/// The scenarios cover what they are meant to: relays are drained and resumed, load new settings and reject invalid files, and
+/// classes are added and removed, all of it during upgrades too.
 #[test]
-fn staff_get_something_done() {
+fn scenarios_cover_drains_reloads_and_upgrades() {
     let traced = Options {
         traced: true,
         ..Options::default()
@@ -32,13 +33,13 @@
         "configuration: reload_rejected",
         "upgrade: handed_over",
     ];
-    let (mut seen, mut rushed) = ([0; 4], 0);
+    let (mut seen, mut transient) = ([0; 4], 0);
     for seed in 0..40 {
         let trace = play(&Script::draw_operated(seed), traced).trace.join("\n");
         for (seen, line) in seen.iter_mut().zip(lines) {
             *seen += u32::from(trace.contains(line));
         }
-        rushed += trace
+        transient += trace
             .lines()
             .filter(|line| line.contains(" r0") && line.ends_with("is answered +OK"))
             .count();
@@ -47,11 +48,11 @@
         seen[0] >= 35 && seen[1] >= 25 && seen[2] >= 15 && seen[3] >= 15,
         "{seen:?}"
     );
-    assert!(rushed >= 400, "{rushed}");
+    assert!(transient >= 400, "{transient}");
 }
 
 #[test]
-fn a_seed_gives_the_same_day_again() {
+fn scenarios_are_reproducible() {
     support::same_again(ScenarioKind::Operated, 0..4);
 }
 
@@ -64,18 +65,19 @@
 }
 
 #[test]
-fn connections_that_stay_open_in_a_drain_are_seen() {
+fn connections_that_stay_open_in_a_drain_are_reported() {
     caught("drained", PlantedFault::KeepClientsOpen);
 }
 
 #[test]
-fn figures_that_hide_deliveries_are_seen() {
+fn metrics_that_hide_deliveries_are_reported() {
     caught("figures", PlantedFault::ZeroDeliveryMetrics);
 }
 
-/// A relay that reads its old file sends again what may not be any more, and counts files that it should turn down.
+/// A relay that keeps reading its old configuration resends messages of a class that has become non-idempotent, and counts
+/// invalid files as successful reloads.
 #[test]
-fn settings_that_are_not_taken_are_seen() {
+fn stale_configuration_is_reported() {
     caught("no double effect", PlantedFault::StaleConfiguration);
     caught("figures", PlantedFault::StaleConfiguration);
 }
--- a/crates/simulator/tests/regressions.rs
+++ b/crates/simulator/tests/regressions.rs
@@ -1,14 +1,14 @@
-//! Simulated days that broke a rule, a test for each family of failures, named for what a caller sees. Those that still
-//! fail stand in `KNOWN-RED.txt` at the root.
+//! Scenarios that violated an invariant, with a test for each family of failures. Those that still fail are listed in
+//! `KNOWN-RED.txt` at the root.
 
 mod support;
 
 use simulator::script::ScenarioKind;
 
-/// Messages that every day delivers at least, so that no day passes for lack of traffic.
+/// Minimum number of delivered messages, so that no scenario passes for lack of traffic.
 const MIN_DELIVERED: u64 = 20;
 
-fn days_hold(kind: ScenarioKind, seeds: impl IntoIterator<Item = u64>) {
+fn invariants_hold(kind: ScenarioKind, seeds: impl IntoIterator<Item = u64>) {
     support::hold(kind, seeds, MIN_DELIVERED);
 }
 
@@ -16,53 +16,53 @@
 /// of which no host had received a byte.
 #[test]
 fn payouts_waiting_for_a_connection_are_not_failed_by_a_kill() {
-    days_hold(ScenarioKind::Kept, [980_508]);
-    days_hold(ScenarioKind::Fleet, [982_584]);
-    days_hold(ScenarioKind::Plain, [972_377]);
+    invariants_hold(ScenarioKind::Kept, [980_508]);
+    invariants_hold(ScenarioKind::Fleet, [982_584]);
+    invariants_hold(ScenarioKind::Plain, [972_377]);
 }
 
 /// Guards against an outage that counts as over when the first of two overlapping faults ends: a call in a black hole was
 /// taken for one that had ended.
 #[test]
 fn messages_of_a_removed_tenant_end_while_their_call_hangs() {
-    days_hold(ScenarioKind::Hosted, [953_879]);
+    invariants_hold(ScenarioKind::Hosted, [953_879]);
 }
 
 /// Guards against the loss of a tenant's change that was answered, where both replicas are corrupted and the disk fills.
 #[test]
 fn answered_tenant_change_survives_corrupt_replicas_and_a_full_disk() {
-    days_hold(ScenarioKind::Hosted, [931_994]);
+    invariants_hold(ScenarioKind::Hosted, [931_994]);
 }
 
 /// Guards against recovered messages that are answered `deferred` without a call.
 #[test]
 fn recovered_messages_are_called_before_they_are_given_up_after_a_restart() {
-    days_hold(ScenarioKind::Kept, [980_819]);
+    invariants_hold(ScenarioKind::Kept, [980_819]);
 }
 
-/// The same around an upgrade or a drain.
+/// Guards against recovered messages that are answered `deferred` without a call around an upgrade or a drain.
 #[test]
 fn recovered_messages_are_called_before_they_are_given_up_around_an_upgrade() {
-    days_hold(ScenarioKind::Operated, [980_503, 981_254]);
-    days_hold(ScenarioKind::Upgraded, [981_641]);
+    invariants_hold(ScenarioKind::Operated, [980_503, 981_254]);
+    invariants_hold(ScenarioKind::Upgraded, [981_641]);
 }
 
 /// Guards against calls beyond the budget of a returning destination.
 #[test]
 fn returning_destination_gets_no_call_beyond_its_budget() {
-    days_hold(ScenarioKind::Hosted, [980_723, 980_862, 983_463, 952_960]);
-    days_hold(ScenarioKind::Fleet, [20, 981_151, 983_419, 952_858]);
-    days_hold(ScenarioKind::Operated, [208]);
+    invariants_hold(ScenarioKind::Hosted, [980_723, 980_862, 983_463, 952_960]);
+    invariants_hold(ScenarioKind::Fleet, [20, 981_151, 983_419, 952_858]);
+    invariants_hold(ScenarioKind::Operated, [208]);
 }
 
 /// Guards against the rejection of a tenant's message while the tenant is below its share of the queue.
 #[test]
 fn tenant_below_its_share_is_accepted() {
-    days_hold(ScenarioKind::Hosted, [951_643, 953_729]);
+    invariants_hold(ScenarioKind::Hosted, [951_643, 953_729]);
 }
 
 /// Guards against a `dispatches` metric that counts calls which were not made.
 #[test]
 fn dispatches_metric_counts_only_calls_that_were_made() {
-    days_hold(ScenarioKind::Operated, [980_908]);
+    invariants_hold(ScenarioKind::Operated, [980_908]);
 }
--- a/crates/simulator/tests/rolling.rs
+++ b/crates/simulator/tests/rolling.rs
@@ -1,5 +1,5 @@
-//! Rolling restarts of a fleet while hosts are replaced. Long ranges, and fleets of full size, are the tool's
-//! (`run --days rolling`).
+//! Rolling restarts of a fleet while hosts leave. Long ranges of seeds and fleets of full size are played with
+//! `run --days rolling`.
 
 mod support;
 
@@ -8,18 +8,17 @@
 use simulator::world::{play, Options};
 
 #[test]
-fn no_host_announced_as_leaving_gets_anything_on_the_first_seeds() {
+fn leaving_hosts_get_no_calls_on_the_first_seeds() {
     support::hold(ScenarioKind::Rolling, 0..40, 500);
 }
 
 #[test]
-fn a_seed_gives_its_day_again() {
+fn scenarios_are_reproducible() {
     support::same_again(ScenarioKind::Rolling, 4..6);
 }
 
-/// Both kinds of discovery are played, hosts leave, and all relays are restarted.
 #[test]
-fn a_day_holds_what_it_is_about() {
+fn scenarios_cover_both_kinds_of_discovery_leaving_hosts_and_restarts() {
     let scripts: Vec<Script> = (0..2)
         .map(|seed| Script::draw_kind(ScenarioKind::Rolling, seed))
         .collect();
@@ -45,9 +44,10 @@
     }
 }
 
-/// A drain that reads as none: what a process was to hear at its start counts as told, though it was not sent then.
+/// Draining entries are hidden from the relay. A process counts as notified at its start of the entries of its discovery agent,
+/// even if they were not sent then.
 #[test]
-fn hosts_that_left_while_a_process_was_down_are_seen_to_be_called() {
+fn calls_to_hosts_that_left_during_a_restart_are_reported() {
     let options = Options {
         planted_fault: Some(PlantedFault::HideDraining),
         ..Options::default()
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_day_can_be_drawn_for_any_number_of_relays_and_hosts() {
+fn scenarios_can_be_drawn_for_any_number_of_relays_and_hosts() {
     let script = Script::draw_rolling(1, Some(350), Some(400));
     assert_eq!((script.relays, script.hosts.len()), (350, 400));
     let mut addresses: Vec<_> = script.hosts.iter().map(|host| host.address).collect();
@@ -65,5 +65,5 @@
     let all = addresses.len();
     addresses.sort();
     addresses.dedup();
-    assert_eq!(addresses.len(), all, "no two have one address");
+    assert_eq!(addresses.len(), all, "all addresses are different");
 }
--- a/crates/simulator/tests/same.rs
+++ b/crates/simulator/tests/same.rs
@@ -1,18 +1,18 @@
-//! The same seed gives the same day, whatever else the process plays.
+//! The same seed gives the same scenario, whatever else the process plays.
 
 use simulator::script::Script;
 use simulator::world::{play, Options, Report};
 
-fn day(seed: u64) -> Report {
+fn play_seed(seed: u64) -> Report {
     play(&Script::draw(seed), Options::default())
 }
 
 #[test]
 fn a_seed_gives_the_same_digest_on_other_threads_and_in_another_order() {
-    let first: Vec<String> = (0..12).map(|seed| day(seed).digest).collect();
+    let first: Vec<String> = (0..12).map(|seed| play_seed(seed).digest).collect();
     let threads: Vec<_> = (0..12)
         .rev()
-        .map(|seed| std::thread::spawn(move || day(seed).digest))
+        .map(|seed| std::thread::spawn(move || play_seed(seed).digest))
         .collect();
     let again: Vec<String> = threads
         .into_iter()
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn a_day_is_as_large_as_it_should_be() {
+fn scenarios_have_enough_messages_and_overlapping_faults() {
     for seed in 0..12 {
-        let (script, report) = (Script::draw(seed), day(seed));
+        let (script, report) = (Script::draw(seed), play_seed(seed));
         assert!(
             script.message_count() >= 200 && script.faults.len() >= 2,
             "{seed}"
@@ -46,9 +46,9 @@
     }
 }
 
-/// A script is cut down to what still breaks the same rule, and what is left breaks it.
+/// A script is reduced to what the violation needs, and the reduced script still violates the same invariant.
 #[test]
-fn a_breach_is_cut_down_to_what_it_takes() {
+fn shrunk_script_is_smaller_and_violates_the_same_invariant() {
     let misconfigure = Some(
         (|config: &mut serde_json::Value| {
             config["limits"]["disk_mb"] = 50.0.into();
@@ -62,7 +62,7 @@
         .map(Script::draw)
         .find(|script| play(script, options).violation_text.is_some());
     let whole = whole.expect("a seed that overfills its disk");
-    let small = simulator::commands::shrink::shrink(whole.clone(), options).expect("a breach");
+    let small = simulator::commands::shrink::shrink(whole.clone(), options).expect("a violation");
     assert!(
         small.script.message_count() < whole.message_count(),
         "{}",
--- a/crates/simulator/tests/soak.rs
+++ b/crates/simulator/tests/soak.rs
@@ -1,14 +1,14 @@
-//! A long day on which the same faults come again and again: nothing in the relay grows with the time that it runs.
+//! A long run in which the same faults recur: no table of the relay grows with the time that it runs.
 
 use std::collections::BTreeMap;
 
 use simulator::script::Script;
 use simulator::world::{play, Options, Report};
 
-/// Days of 16 seconds one after the other: half an hour.
+/// Number of repetitions of a scenario of 16 seconds: half an hour.
 const TIMES: u64 = 115;
 
-/// For each table what it held at each look, and its bound, as the log has them.
+/// By table: its size and its bound in each log line.
 fn levels(report: &Report) -> BTreeMap<String, Vec<(usize, usize)>> {
     let mut levels: BTreeMap<String, Vec<(usize, usize)>> = BTreeMap::new();
     for line in &report.trace {
@@ -56,7 +56,7 @@
         assert!(looks.len() as u64 > TIMES, "{name}: {} looks", looks.len());
         let past: Vec<_> = looks.iter().filter(|(has, most)| has > most).collect();
         assert!(past.is_empty(), "{name} is past its bound: {past:?}");
-        // What the first third of the day came to, the last does not go far beyond.
+        // The maximum of the last third may exceed that of the first third by half, and by 8 entries.
         let third = looks.len() / 3;
         let (first, last) = (most(&looks[..third]), most(&looks[2 * third..]));
         println!("{name}: {first} at most in the first third, {last} in the last");
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn nothing_grows_over_half_an_hour() {
+fn tables_do_not_grow_over_half_an_hour() {
     let threads = [1, 4].map(|seed| std::thread::spawn(move || holds(seed)));
     threads
         .into_iter()
-        .for_each(|thread| thread.join().expect("it holds"));
+        .for_each(|thread| thread.join().expect("all assertions hold"));
 }
--- a/crates/simulator/tests/support/mod.rs
+++ b/crates/simulator/tests/support/mod.rs
@@ -1,10 +1,10 @@
-//! What tests that play ranges of seeds share; not each of them uses all.
+//! Helpers of tests that play ranges of seeds. Not every test uses all of them.
 #![allow(dead_code)]
 
 use simulator::script::{ScenarioKind, Script};
 use simulator::world::{play, Options};
 
-/// Plays seeds on two threads: each breaks no rule, and has more than `least` messages delivered.
+/// Plays seeds on two threads, and asserts that each violates no invariant and delivers more than `least` messages.
 pub fn hold(kind: ScenarioKind, seeds: impl IntoIterator<Item = u64>, least: u64) {
     let mut halves = [Vec::new(), Vec::new()];
     seeds
@@ -28,7 +28,8 @@
         .for_each(|thread| thread.join().expect("no rule is broken"));
 }
 
-/// Plays the seeds, each script changed, until the rule is broken, and tells how many that took.
+/// Plays the seeds with changed scripts until the invariant is violated, prints the number of seeds, and panics if none
+/// violates it.
 pub fn seeds_until(
     kind: ScenarioKind,
     rule: &str,
@@ -50,7 +51,7 @@
     println!("{rule}: caught with {} seeds", seed + 1);
 }
 
-/// Plays each seed twice: the days are the same, step by step.
+/// Plays each seed twice, and asserts that the digests are equal.
 pub fn same_again(kind: ScenarioKind, seeds: std::ops::Range<u64>) {
     let digest = |seed| play(&Script::draw_kind(kind, seed), Options::default()).digest;
     let first: Vec<String> = seeds.clone().map(digest).collect();
--- a/crates/simulator/tests/tool.rs
+++ b/crates/simulator/tests/tool.rs
@@ -1,4 +1,4 @@
-//! The program: what it prints and how it ends.
+//! The program: its output and exit codes.
 
 use std::process::{Command, Output};
 
@@ -41,7 +41,7 @@
 
 #[test]
 fn runs_and_replays_give_the_same_digests_with_any_number_of_jobs() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a directory");
     let play = |jobs: &str| {
         let file = folder.path().join(jobs);
         let path = file.to_string_lossy().into_owned();
@@ -70,31 +70,33 @@
 }
 
 #[test]
-fn a_seed_that_breaks_nothing_is_not_cut_down() {
+fn seed_without_a_violation_is_not_shrunk() {
     let output = tool(&["shrink", "20"]);
     assert!(output.status.success());
     assert_eq!(text(&output.stdout).trim(), "seed 20 breaks no rule");
 }
 
 #[test]
-fn the_demo_ends_by_itself_with_all_rules_kept_and_leaves_nothing_behind() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn demo_ends_by_itself_without_violations_and_removes_its_files() {
+    let folder = tempfile::tempdir().expect("a directory");
     let mut command = Command::new(env!("CARGO_BIN_EXE_relay-simulator"));
     let output = command
         .arg("demo")
         .env("TMPDIR", folder.path())
         .output()
         .expect("runs");
-    let told = text(&output.stdout);
-    assert!(output.status.success(), "{told}{}", text(&output.stderr));
+    let stdout = text(&output.stdout);
+    assert!(output.status.success(), "{stdout}{}", text(&output.stderr));
     assert!(
-        told.contains("Without an end: 0.") && told.contains("No rule was broken"),
-        "{told}"
+        stdout.contains("Without an end: 0.") && stdout.contains("No rule was broken"),
+        "{stdout}"
     );
     assert!(
-        told.contains("partner 2 breaks") && told.contains("SIGKILL"),
-        "{told}"
+        stdout.contains("partner 2 breaks") && stdout.contains("SIGKILL"),
+        "{stdout}"
     );
-    let left = std::fs::read_dir(folder.path()).expect("a folder").count();
+    let left = std::fs::read_dir(folder.path())
+        .expect("a directory")
+        .count();
     assert_eq!(left, 0);
 }
--- a/crates/simulator/tests/upgraded.rs
+++ b/crates/simulator/tests/upgraded.rs
@@ -1,5 +1,5 @@
-//! Days on which new versions take over: two processes of one relay on one folder, either of them killed at any step.
-//! Long ranges are the tool's (`run --days upgraded`).
+//! Scenarios with upgrades: two processes of one relay on one state directory, either of which may be killed at any step.
+//! Long ranges of seeds are played with `run --days upgraded`.
 
 mod support;
 
@@ -7,21 +7,21 @@
 use simulator::script::{ScenarioKind, Script};
 use simulator::world::{play, Options};
 
-/// Days that broke a rule once: what had waited in the shared port was given too much time (267, 299), or was taken on
-/// for a client that had gone (112, 284); an old process left though the new one had just died (275).
-/// The world's own fault: a new configuration was told only to the process that was yet to take over, so that the
-/// other's notices went to a discovery that had moved (3194 and after).
+/// Seeds of fixed failures: requests that had waited in the shared port got too long a deadline (267, 299), or were accepted for
+/// a client that had disconnected (112, 284); an old process exited although the new one had just died (275).
+/// A fault of the simulator: a reload was sent only to the process that had not taken over yet, so that notices of the other
+/// one went to a discovery that had moved (3194 and after).
 const MENDED: [u64; 12] = [
     267, 299, 112, 284, 275, 3194, 3806, 5473, 5940, 6676, 9298, 10114,
 ];
 
 #[test]
-fn all_rules_hold_on_the_first_seeds() {
+fn all_invariants_hold_on_the_first_seeds() {
     support::hold(ScenarioKind::Upgraded, (0..200).chain(MENDED), 20);
 }
 
-/// The days are about something: most see all goes across, many a process that starts as after a crash, and some one
-/// that takes everything back.
+/// The scenarios cover what they are meant to: most have a complete hand-over, many a process that starts as after a
+/// crash, and some an old process that takes everything back.
 #[test]
 fn processes_hand_over_die_and_take_back() {
     let traced = Options {
@@ -44,13 +44,13 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_day_again() {
+fn scenarios_are_reproducible() {
     support::same_again(ScenarioKind::Upgraded, 0..4);
 }
 
-/// Two processes that both believe to own the folder have a second effect, or lose what the other took on.
+/// Two processes that both own the state directory cause second effects, or lose messages that the other one accepted.
 #[test]
-fn two_owners_are_caught() {
+fn two_owners_of_the_state_directory_are_reported() {
     let options = Options {
         planted_fault: Some(PlantedFault::ShareLocks),
         ..Options::default()
--- a/crates/simulator/tests/vast.rs
+++ b/crates/simulator/tests/vast.rs
@@ -1,4 +1,4 @@
-//! Days of a hundred relays. Long ranges are the tool's (`run --days vast`).
+//! Scenarios with a hundred relays. Long ranges of seeds are played with `run --days vast`.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use simulator::vast::Vast;
 use simulator::world::{play, Options, Report};
 
-fn day(seed: u64, misconfigure: Option<fn(&mut Value)>) -> (Script, Report) {
+fn play_seed(seed: u64, misconfigure: Option<fn(&mut Value)>) -> (Script, Report) {
     let script = Script::draw_kind(ScenarioKind::Vast, seed);
     let report = play(
         &script,
@@ -19,11 +19,11 @@
     (script, report)
 }
 
-/// The figures that are past their bounds on a day.
-fn over(seed: u64, misconfigure: Option<fn(&mut Value)>) -> Vec<&'static str> {
-    let (script, report) = day(seed, misconfigure);
+/// Names of the ratios that exceed their bounds in a scenario.
+fn exceeded_bounds(seed: u64, misconfigure: Option<fn(&mut Value)>) -> Vec<&'static str> {
+    let (script, report) = play_seed(seed, misconfigure);
     let Some(vast) = &script.vast else {
-        panic!("no day of a large fleet")
+        panic!("not a scenario of a large fleet")
     };
     let figures = vast.ratios(&script, &report.counts).into_iter();
     figures
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn all_rules_and_bounds_hold_on_the_first_seeds() {
+fn all_invariants_and_bounds_hold_on_the_first_seeds() {
     support::hold(ScenarioKind::Vast, 0..6, 1000);
 }
 
 #[test]
-fn a_seed_gives_its_day_again() {
-    let (script, first) = day(3, None);
-    let again = std::thread::spawn(|| day(3, None).1)
+fn scenarios_are_reproducible() {
+    let (script, first) = play_seed(3, None);
+    let again = std::thread::spawn(|| play_seed(3, None).1)
         .join()
         .expect("played");
     assert_eq!(first.digest, again.digest);
@@ -51,24 +51,26 @@
     );
 }
 
-/// Without the even part of a limit each relay asks for all of it; without the spread of calls for the list all ask
-/// again and again.
+/// Relays without siblings each use the whole limit instead of an equal part, and poll the host list too often as their polls
+/// are not spread.
 #[test]
-fn relays_that_think_they_are_alone_spend_the_limits_and_the_calls_for_lists() {
+fn relays_without_siblings_exceed_the_bounds_of_rejections_and_polls() {
     let alone: fn(&mut Value) = |config| config["settings"]["siblings"] = 1.into();
-    let over: Vec<_> = (0..6).flat_map(|seed| over(seed, Some(alone))).collect();
+    let over: Vec<_> = (0..6)
+        .flat_map(|seed| exceeded_bounds(seed, Some(alone)))
+        .collect();
     assert!(over.contains(&"few refusals"), "{over:?}");
     assert!(over.contains(&"few calls for lists"), "{over:?}");
 }
 
 #[test]
-fn connections_that_are_not_kept_are_seen() {
+fn short_lived_connections_are_reported() {
     let closes: fn(&mut Value) = |config| config["settings"]["limits"]["idleClose"] = 20_000.into();
-    assert_eq!(over(0, Some(closes)), ["few connections"]);
+    assert_eq!(exceeded_bounds(0, Some(closes)), ["few connections"]);
 }
 
 #[test]
-fn a_day_can_be_drawn_for_any_number_of_relays_with_the_same_load() {
+fn scenarios_can_be_drawn_for_any_number_of_relays_with_the_same_load() {
     let sizes = [1, 3, 30, 100].map(|relays| Script::draw_vast(5, relays));
     let first = sizes[0].message_count();
     assert!(sizes.iter().all(|script| script.message_count() == first));
