--- a/crates/admin/src/audit.rs
+++ b/crates/admin/src/audit.rs
@@ -53,7 +53,7 @@
     let parameters = parameters.parsed()?;
     let request = TenantRequest::Audit {
         before: decode_numeric_cursor(parameters.cursor)?,
-        most: page_size(parameters.limit)?,
+        limit: page_size(parameters.limit)?,
         scope: principal.scope,
         tenant: parameters.tenant,
     };
--- a/crates/admin/src/tenants/handlers.rs
+++ b/crates/admin/src/tenants/handlers.rs
@@ -59,7 +59,7 @@
     let parameters = parameters.parsed()?;
     let request = TenantRequest::Page {
         after: decode_cursor(parameters.cursor)?,
-        most: page_size(parameters.limit)?,
+        limit: page_size(parameters.limit)?,
         scope: principal.scope,
     };
     let TenantResponse::Page(tenants, has_more) = state.relay.request_tenants(request).await?
--- a/crates/admin/src/undeliverable/batches/handlers.rs
+++ b/crates/admin/src/undeliverable/batches/handlers.rs
@@ -82,8 +82,8 @@
         stop_after: new.stop_after.unwrap_or(DEFAULT_LIMITS.stop_after),
     };
     let location = format!("/v1/undeliverable-batches/{}", spec.name);
-    let who = request.principal.name.clone();
-    let plan = UndeliverableRequest::Plan { spec, who };
+    let operator = request.principal.name.clone();
+    let plan = UndeliverableRequest::Plan { spec, operator };
     let UndeliverableResponse::Batch(batch) = state.relay.request_undeliverable(plan).await? else {
         return Err(Problem::unexpected_response());
     };
--- a/crates/admin/src/undeliverable/records/actions.rs
+++ b/crates/admin/src/undeliverable/records/actions.rs
@@ -130,7 +130,7 @@
     let action_request = UndeliverableRequest::RecordAction {
         id,
         action,
-        who: request.principal.name.clone(),
+        operator: request.principal.name.clone(),
         version,
     };
     let response = state.relay.request_undeliverable(action_request).await?;
--- a/crates/admin/src/undeliverable/records/read.rs
+++ b/crates/admin/src/undeliverable/records/read.rs
@@ -85,7 +85,7 @@
     let request = UndeliverableRequest::Page {
         filter: filter.for_principal(&principal, record_state)?,
         before,
-        most: page_size(limit)?,
+        limit: page_size(limit)?,
     };
     let UndeliverableResponse::Page(page) = state.relay.request_undeliverable(request).await?
     else {
--- a/crates/control/src/lifecycle.rs
+++ b/crates/control/src/lifecycle.rs
@@ -3,41 +3,44 @@
 
 use std::time::Duration;
 
-/// Time after `drain` at which open connections begin to close between requests. The load balancer asks for readiness
-/// ten times a second and stops new connections 0.2 s after a negative answer; until then connections stay open.
+/// Time after `drain` at which open connections begin to close between requests. The load balancer checks readiness
+/// ten times a second and opens no new connections from 0.2 s after a negative reply; until then connections stay open.
 pub const DRAIN_CLOSE_DELAY: Duration = Duration::from_millis(500);
-/// Time after `drain` at which new messages are rejected. 4 s after the command no message may be younger than 2 s.
+/// Time after `drain` at which new messages are rejected. Requirement: 4 s after the command, no message may be younger
+/// than 2 s.
 pub const DRAIN_REJECT_DELAY: Duration = Duration::from_millis(1500);
-/// Shortest time from SIGTERM to the exit of an idle process, as new connections may still be on the way.
+/// Shortest time from SIGTERM to the exit of an idle process, because new connections may still arrive.
 pub const STOP_MIN_DURATION: Duration = Duration::from_millis(500);
-/// Time after SIGTERM at which new messages are rejected, and by which the last call has ended. A connection closes behind
-/// the answer to its next request: its client has nothing under way just then that the close could cut off.
+/// Time after SIGTERM at which new messages are rejected, and by which the last call has ended. From then on, a
+/// connection closes after the reply to its next request, when its client has no request in flight that could be cut
+/// off.
 pub const STOP_REJECT_DELAY: Duration = Duration::from_millis(3300);
-/// Time after SIGTERM at which the remaining connections close too, on which no request has come since.
+/// Time after SIGTERM at which the remaining connections close, which have received no request since
+/// [`STOP_REJECT_DELAY`].
 pub const STOP_CLOSE_DELAY: Duration = Duration::from_millis(3500);
-/// Longest time from SIGTERM to the exit. SIGKILL follows 3.7 s after SIGTERM, and a process may be held up for 0.15 s.
+/// Longest time from SIGTERM to the exit. SIGKILL follows 3.7 s after SIGTERM, and a process may be delayed by 0.15 s.
 pub const STOP_MAX_DURATION: Duration = Duration::from_millis(3550);
-/// Time from the start of a hand-over in which requests that have begun may be completed. Then the remaining ones are
-/// rejected, and everything is handed over.
+/// Time from the start of a hand-over during which requests that have begun may be completed. After that time, the
+/// remaining requests are rejected and everything is handed over.
 pub const HANDOVER_GRACE: Duration = Duration::from_millis(300);
 
-/// The state of a process.
+/// The lifecycle state of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleState {
-    /// It does not accept clients yet.
+    /// The process does not accept clients yet.
     Starting,
-    /// It accepts clients.
+    /// The process accepts clients.
     Serving,
-    /// An operator drains it; it is to serve again.
+    /// An operator has drained the process and is expected to resume it.
     Draining,
-    /// Another process takes over, and this one finishes its calls.
+    /// Another process is taking over, and this one finishes its calls.
     HandingOver,
-    /// It received SIGTERM.
+    /// The process has received SIGTERM.
     Stopping,
 }
 
 impl LifecycleState {
-    /// Its name in replies on the control socket.
+    /// The name of the state in replies on the control socket.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -61,16 +64,16 @@
     Resume,
     /// Another process requests the state directory.
     HandoverRequested,
-    /// That process has exited, or the handover failed: this process owns everything again.
+    /// The requesting process has exited, or the hand-over failed: this process owns everything again.
     Reclaimed,
     /// SIGTERM.
     Stop,
-    /// A process that stops has nothing left to do.
+    /// A stopping process has nothing left to do.
     Idle,
 }
 
 impl LifecycleEvent {
-    /// Its name in the log.
+    /// The name of the event in the log.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -85,12 +88,12 @@
     }
 }
 
-/// What open connections do.
+/// How open connections are treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionStage {
     /// They stay open.
     Open,
-    /// They stay open for one more request, which is rejected, and close behind its answer.
+    /// They stay open for one more request, which is rejected, and close after the reply to it.
     LastRequest,
     /// They close between requests; requests that have arrived are served.
     Closing,
@@ -99,9 +102,9 @@
 }
 
 impl ConnectionStage {
-    /// Whether a connection closes while no request is open on it.
+    /// Whether connections without an open request are closed.
     #[must_use]
-    pub fn closes_quiet_connections(self) -> bool {
+    pub fn closes_idle_connections(self) -> bool {
         matches!(self, ConnectionStage::Closing | ConnectionStage::Refusing)
     }
 
@@ -115,17 +118,18 @@
     }
 }
 
-/// The state machine. Moments are durations since any fixed start.
+/// The state machine of the lifecycle. Times are durations since an arbitrary fixed origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     state: LifecycleState,
-    /// When the state was entered.
+    /// Time at which the state was entered.
     since: Duration,
-    /// An operator drained the relay. A successor inherits this.
+    /// An operator has drained the relay. A successor inherits this.
     is_drained: bool,
-    /// Another process takes over, or has taken over.
+    /// Another process is taking over or has taken over.
     has_successor: bool,
-    /// The process stops and has nothing left to do: connections that wait at the port are served, and no more accepted.
+    /// The process is stopping and has nothing left to do: connections that are already waiting at the port are served,
+    /// and no further ones are accepted.
     is_idle: bool,
 }
 
@@ -148,7 +152,8 @@
         self.state
     }
 
-    /// Handles an event. False if the event changes nothing: the process is in that state already, or past it.
+    /// Handles an event. Returns false if the event changes nothing because the process is already in the resulting
+    /// state or past it.
     ///
     /// Stopping is final. A drain outlasts a hand-over: the successor is drained too.
     pub fn handle(&mut self, event: LifecycleEvent, now: Duration) -> bool {
@@ -170,12 +175,12 @@
         true
     }
 
-    /// The state that an event leads to; `None` if it changes nothing.
+    /// The state that results from an event; `None` if the event changes nothing.
     fn next_state(&self, event: LifecycleEvent) -> Option<LifecycleState> {
         match (self.state, event) {
             (LifecycleState::Starting, LifecycleEvent::Started)
             | (LifecycleState::HandingOver, LifecycleEvent::Reclaimed) => {
-                Some(self.working_state())
+                Some(self.serving_or_draining())
             }
             (LifecycleState::Serving, LifecycleEvent::Drain) => Some(LifecycleState::Draining),
             (LifecycleState::Draining, LifecycleEvent::Resume) => Some(LifecycleState::Serving),
@@ -189,7 +194,7 @@
         }
     }
 
-    fn working_state(&self) -> LifecycleState {
+    fn serving_or_draining(&self) -> LifecycleState {
         if self.is_drained {
             LifecycleState::Draining
         } else {
@@ -202,8 +207,8 @@
         self.is_drained = is_drained;
     }
 
-    /// Whether everything is to be handed over now: another process takes over, and the clients have disconnected or have had
-    /// [`HANDOVER_GRACE`].
+    /// Whether everything is to be handed over now: another process is taking over, and the clients have disconnected,
+    /// [`HANDOVER_GRACE`] has passed, or this process is stopping.
     #[must_use]
     pub fn should_start_handover(&self, now: Duration, clients: usize) -> bool {
         let is_grace_over =
@@ -217,13 +222,14 @@
         self.is_drained
     }
 
-    /// Whether the process accepts clients: the answer to `ready` and to `PING`.
+    /// Whether the process accepts clients. This determines the replies to `ready` and to `PING`.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state == LifecycleState::Serving
     }
 
-    /// Whether new connections are accepted. A drained process goes on, to answer the load balancer's readiness check negatively.
+    /// Whether new connections are accepted. A drained process continues to accept them, so that it can reply to the
+    /// load balancer's readiness checks that it is not ready.
     #[must_use]
     pub fn accepts_connections(&self, now: Duration) -> bool {
         if self.has_successor {
@@ -238,7 +244,7 @@
         }
     }
 
-    /// What open connections do now.
+    /// How open connections are treated now.
     #[must_use]
     pub fn stage(&self, now: Duration) -> ConnectionStage {
         let elapsed = self.time_in_state(now);
@@ -260,7 +266,8 @@
         }
     }
 
-    /// Whether the process exits now. An idle one has no open calls, no clients and nothing left to do.
+    /// Whether the process exits now. `is_idle` means that the process has no open calls, no clients and nothing left
+    /// to do.
     #[must_use]
     pub fn should_exit(&self, now: Duration, is_idle: bool) -> bool {
         let min_duration = if self.has_successor {
@@ -274,19 +281,20 @@
         may_exit || self.must_exit(now)
     }
 
-    /// Whether the process exits now whatever is left to do.
+    /// Whether the process exits now even if it has work left to do.
     #[must_use]
     pub fn must_exit(&self, now: Duration) -> bool {
         self.state == LifecycleState::Stopping && self.time_in_state(now) >= STOP_MAX_DURATION
     }
 
-    /// The moment by which the last call must have ended, if the process stops.
+    /// The time by which the last call must have ended; `None` unless the process is stopping.
     #[must_use]
-    pub fn time_left_for_calls(&self) -> Option<Duration> {
+    pub fn call_deadline(&self) -> Option<Duration> {
         (self.state == LifecycleState::Stopping).then_some(self.since + STOP_REJECT_DELAY)
     }
 
-    /// Whether time alone may change the answers, so that they have to be asked for again.
+    /// Whether the results of the other methods may change without an event, as time passes, so that the caller has to
+    /// query them again.
     #[must_use]
     pub fn is_in_transition(&self) -> bool {
         matches!(
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The largest number of classes that are listed. A class that is removed from the settings stays, so that its counters
-/// do; beyond this bound the removed classes with the fewest messages are dropped.
+/// Maximum number of classes that are listed. A class that is removed from the settings stays in the list, so that its
+/// counters are kept; above this maximum the removed classes with the fewest messages are dropped.
 pub const MAX_CLASSES: usize = 256;
 
 /// How a message ended, or why it was not accepted.
@@ -20,7 +20,7 @@
     Other,
 }
 
-/// Messages of one class by their end.
+/// Numbers of messages of one class, by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ClassCounters {
     success: u64,
@@ -36,12 +36,12 @@
     }
 }
 
-/// Numbers of hosts, as the host list and the delivery policy have them.
+/// Numbers of hosts according to the host list and the delivery policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostCounts {
     /// Hosts in the list, including those that drain.
     pub listed: usize,
-    /// Those of them that the relay currently sends nothing to.
+    /// Listed hosts to which the relay currently sends nothing.
     pub disabled: usize,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Metrics {
-    /// All classes of the settings, at 0.
+    /// Creates the metrics of a process that starts, with the counters of all classes of the settings at 0.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a String>) -> Self {
         let mut metrics = Metrics::default();
         metrics.set_classes(classes);
@@ -116,8 +116,8 @@
         self.messages.ended = self.messages.accepted;
     }
 
-    /// Records a message that was not accepted. A class that was never in the settings is not counted, as its name is
-    /// the client's.
+    /// Records a message that was not accepted. A class that was never in the settings is not counted, because its
+    /// name was chosen by the client.
     pub fn record_rejected(&mut self, class: &str, end: MessageEnd) {
         self.count(class, end);
     }
@@ -155,8 +155,8 @@
         }
     }
 
-    /// The metrics as the control socket shows them, one `relay.name=value` a line. Dispatches and hosts are counted
-    /// elsewhere.
+    /// Formats the metrics for the control socket, one `relay.name=value` per line. Dispatches and hosts are counted
+    /// elsewhere and passed in.
     #[must_use]
     pub fn render(&self, dispatches: u64, hosts: HostCounts) -> String {
         let mut text = String::new();
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -2,15 +2,15 @@
 
 use std::fmt;
 
-/// The longest command in bytes, without its line break.
+/// Maximum length of a line in bytes, without its line break.
 pub const MAX_LINE_LENGTH: usize = 64;
 
 /// A command of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Asks whether the process accepts clients.
+    /// Queries whether the process accepts clients.
     Ready,
-    /// Asks for the metrics.
+    /// Queries the metrics.
     ShowStat,
     /// Drains the relay.
     Drain,
@@ -27,7 +27,7 @@
         Command::Resume,
     ];
 
-    /// Its name on the wire.
+    /// The name of the command on the wire.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -45,29 +45,29 @@
     }
 }
 
-/// Why a line is rejected. The message is the reply's text.
+/// The reason for which a line is rejected. Its message is sent in the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
     /// The line has more than [`MAX_LINE_LENGTH`] bytes.
     #[error("the line is too long")]
     TooLong,
-    /// The line is no command.
+    /// The line is not a command.
     #[error("unknown call")]
     UnknownCommand,
 }
 
-/// The first line of what a connection has sent so far.
+/// The result of parsing the first line of the input that a connection has sent so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParsedLine {
     /// The line is not complete yet.
     Partial,
     /// A command.
     Command(Command),
-    /// A line that is no command.
+    /// The line is not a command, for this reason.
     Invalid(LineError),
 }
 
-/// Parses the first line. White space around the command and a carriage return are ignored, and so is all that follows
+/// Parses the first line. White space around the command and a carriage return are ignored, and so is everything after
 /// the line.
 pub fn parse_line(text: &[u8]) -> ParsedLine {
     let line_end = text.iter().position(|byte| *byte == b'\n');
--- a/crates/control/tests/lifecycle.rs
+++ b/crates/control/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle: a table of every state with every event, and what changes as time passes.
+//! Tests of the lifecycle: every event in every state, and the changes as time passes.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     LifecycleEvent::Stop,
 ];
 
-/// A process that reached a state by the fewest events.
+/// Creates a lifecycle that has reached a state through the fewest events.
 fn lifecycle_in(state: LifecycleState) -> Lifecycle {
     let mut lifecycle = Lifecycle::default();
     let events: &[LifecycleEvent] = match state {
@@ -40,7 +40,7 @@
 #[test]
 fn every_event_in_every_state_leads_to_the_state_of_the_table() {
     use LifecycleState::*;
-    // Columns as in EVENTS; none where an event changes nothing.
+    // Columns as in EVENTS; `None` where an event changes nothing.
     let table: [(LifecycleState, [Option<LifecycleState>; 6]); 5] = [
         (
             Starting,
@@ -98,7 +98,7 @@
     let lifecycle = lifecycle_in(LifecycleState::Draining);
     assert!(
         !lifecycle.is_ready() && lifecycle.accepts_connections(Duration::from_secs(60)),
-        "it answers the load balancer's question with no"
+        "it still accepts the load balancer's connections and replies that it is not ready"
     );
     assert_eq!(
         lifecycle.stage(DRAIN_CLOSE_DELAY - MILLISECOND),
@@ -111,9 +111,10 @@
     );
     assert!(
         !lifecycle.should_exit(Duration::from_secs(3600), true),
-        "a drain ends no process"
+        "a drain does not end the process"
     );
-    // The load balancer asks every 0.1 s and stops 0.2 s after a no; 4 s after the command no message may be under 2 s old.
+    // The load balancer checks readiness every 0.1 s and opens no connections from 0.2 s after a negative reply; 4 s
+    // after the command no message may be younger than 2 s.
     assert!(
         DRAIN_CLOSE_DELAY > Duration::from_millis(300)
             && DRAIN_REJECT_DELAY + Duration::from_millis(400) < Duration::from_secs(2)
@@ -129,7 +130,7 @@
     assert!(new.handle(LifecycleEvent::Started, MILLISECOND));
     assert_eq!(new.state(), LifecycleState::Draining);
     assert!(new.handle(LifecycleEvent::Resume, MILLISECOND) && new.is_ready());
-    // If the successor dies, the old process is drained as before.
+    // If the successor dies, the old process is drained again.
     assert!(old.handle(LifecycleEvent::Reclaimed, MILLISECOND));
     assert_eq!(old.state(), LifecycleState::Draining);
 }
@@ -149,7 +150,7 @@
             && !lifecycle.should_start_handover(HANDOVER_GRACE - MILLISECOND, 1)
     );
     assert!(lifecycle.should_start_handover(HANDOVER_GRACE, 1));
-    // On SIGTERM in between it hands over at once, and exits as soon as it is idle.
+    // On SIGTERM during the grace time it hands over at once, and exits as soon as it is idle.
     let mut lifecycle = lifecycle;
     assert!(lifecycle.handle(LifecycleEvent::Stop, MILLISECOND));
     assert!(
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn stopping_process_serves_on_and_exits_before_sigkill() {
+fn stopping_process_keeps_serving_and_exits_before_sigkill() {
     let lifecycle = lifecycle_in(LifecycleState::Stopping);
     assert!(
         lifecycle.accepts_connections(STOP_REJECT_DELAY - MILLISECOND)
@@ -182,7 +183,7 @@
     assert_eq!(lifecycle.stage(STOP_CLOSE_DELAY), ConnectionStage::Refusing);
     assert!(
         !lifecycle.should_exit(STOP_MIN_DURATION - MILLISECOND, true),
-        "new connections may still be on the way"
+        "new connections may still arrive"
     );
     assert!(
         lifecycle.should_exit(STOP_MIN_DURATION, true)
@@ -191,13 +192,13 @@
     );
     assert!(
         STOP_MAX_DURATION + Duration::from_millis(150) <= Duration::from_millis(3700),
-        "SIGKILL comes then, and the process may be held up"
+        "SIGKILL follows 3.7 s after SIGTERM, and the process may be delayed by 0.15 s"
     );
-    assert_eq!(lifecycle.time_left_for_calls(), Some(STOP_REJECT_DELAY));
+    assert_eq!(lifecycle.call_deadline(), Some(STOP_REJECT_DELAY));
 }
 
 #[test]
-fn process_that_stops_while_drained_holds_no_connection_open() {
+fn process_that_stops_while_drained_keeps_no_connection_open() {
     let mut lifecycle = lifecycle_in(LifecycleState::Draining);
     assert!(lifecycle.handle(LifecycleEvent::Stop, MILLISECOND));
     assert_eq!(lifecycle.stage(MILLISECOND), ConnectionStage::Refusing);
--- a/crates/control/tests/metrics.rs
+++ b/crates/control/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics: the counters add up after any sequence of events.
+//! Tests of the metrics: the counters are consistent after any sequence of events.
 
 use control::metrics::MAX_CLASSES;
 use control::{HostCounts, MessageEnd, Metrics};
@@ -8,7 +8,7 @@
     list.iter().map(|name| name.to_string()).collect()
 }
 
-/// The value of a metric as the control socket shows it.
+/// The value of a metric in the text that the control socket returns.
 fn metric(text: &str, name: &str) -> Option<u64> {
     let line = text
         .lines()
@@ -101,7 +101,7 @@
         for (name, value) in totals {
             prop_assert_eq!(metric(&text, name), Some(value));
         }
-        prop_assert_eq!(metric(&text, "success.no class"), None, "its name is the client's");
+        prop_assert_eq!(metric(&text, "success.no class"), None, "its name was chosen by the client");
     }
 }
 
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The line protocol: every command, cut at every byte, and lines that are no command.
+//! Tests of the line protocol: every command, truncated at every byte, and lines that are not commands.
 
 use control::protocol::{parse_line, MAX_LINE_LENGTH};
 use control::{Command, LineError, ParsedLine};
@@ -17,7 +17,7 @@
                 );
             }
             assert_eq!(parse_line(text.as_bytes()), ParsedLine::Command(command));
-            // What follows the line is ignored.
+            // Input after the line is ignored.
             assert_eq!(
                 parse_line(format!("{text}more").as_bytes()),
                 ParsedLine::Command(command)
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn line_that_is_no_command_is_rejected_at_once() {
+fn line_that_is_not_a_command_is_rejected_at_once() {
     let long = vec![b'a'; MAX_LINE_LENGTH + 1];
     for text in [
         &b"\n"[..],
--- a/crates/membership/src/host_membership/mod.rs
+++ b/crates/membership/src/host_membership/mod.rs
@@ -1,7 +1,7 @@
 //! Which hosts may be called, and whether the host list behind that decision is confirmed.
 //!
-//! The event loop asks when it chooses a host, and the host connections ask again just before the first byte of a
-//! call is written.
+//! The event loop checks this when it chooses a host, and the host connections check it again just before the first
+//! byte of a call is written.
 
 #[cfg(test)]
 mod tests;
@@ -31,12 +31,12 @@
 /// of that instance's address, and 6 s after an event that it was not sent.
 const STALE_LIST_ACCEPTED_AFTER: Duration = Duration::from_secs(10);
 
-/// What decides whether a list that discovery has sent may be applied.
+/// The properties of a list from discovery that decide whether it may be applied.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedList {
     /// The list's version.
     pub version: u64,
-    /// Whether it is a full snapshot, and not only the changes since an earlier version.
+    /// Whether the list is a full snapshot, and not only the changes since an earlier version.
     pub is_full: bool,
 }
 
@@ -63,7 +63,7 @@
 pub struct HostMembership {
     confirmation: Confirmation,
     ready_hosts: BTreeSet<HostId>,
-    /// When discovery began to send only lists older than the current one.
+    /// When discovery began to send only lists older than the current one; `None` while its lists are current.
     stale_since: Option<Instant>,
     /// When to poll discovery.
     pub poll_schedule: PollSchedule,
@@ -73,7 +73,7 @@
     /// Creates the state of a process that starts with the list its predecessor cached.
     ///
     /// `last_contact` is the time since a predecessor last heard from discovery, or `None` if there was none, in which
-    /// case the list is the one that the platform passed at start.
+    /// case the list is the one that the platform provided at start.
     ///
     /// In poll mode events bind the relay only some seconds after they happen, so a list that was confirmed recently
     /// serves until the first poll can be answered. Without this, calls of all relays would wait for a discovery service
@@ -163,7 +163,7 @@
     /// that were announced already. Its list is reported as older until it has lagged for
     /// [`STALE_LIST_ACCEPTED_AFTER`]; then a full snapshot is accepted, so that the drains it announces
     /// itself are not ignored permanently.
-    pub fn judge_list(
+    pub fn check_freshness(
         &mut self,
         received: ReceivedList,
         current_version: u64,
--- a/crates/membership/src/host_membership/tests.rs
+++ b/crates/membership/src/host_membership/tests.rs
@@ -74,23 +74,23 @@
     let (mut membership, now) = (push_membership(), Instant::now());
     let accepted_at = now + STALE_LIST_ACCEPTED_AFTER;
     let just_before = accepted_at - Duration::from_millis(1);
-    let mut judge = |version, current, is_full, at| {
-        membership.judge_list(ReceivedList { version, is_full }, current, at)
+    let mut check = |version, current, is_full, at| {
+        membership.check_freshness(ReceivedList { version, is_full }, current, at)
     };
-    assert_eq!(judge(8, 8, false, now), ListFreshness::Current);
-    assert_eq!(judge(7, 8, true, now), ListFreshness::Older);
+    assert_eq!(check(8, 8, false, now), ListFreshness::Current);
+    assert_eq!(check(7, 8, true, now), ListFreshness::Older);
     assert_eq!(
-        judge(7, 8, false, accepted_at),
+        check(7, 8, false, accepted_at),
         ListFreshness::Older,
         "an incremental list is never accepted"
     );
-    assert_eq!(judge(7, 8, true, just_before), ListFreshness::Older);
-    assert_eq!(judge(7, 8, true, accepted_at), ListFreshness::Current);
+    assert_eq!(check(7, 8, true, just_before), ListFreshness::Older);
+    assert_eq!(check(7, 8, true, accepted_at), ListFreshness::Current);
     // The next stale period starts with its own first list.
-    assert_eq!(judge(6, 7, true, accepted_at), ListFreshness::Older);
-    assert_eq!(judge(7, 7, true, accepted_at), ListFreshness::Current);
+    assert_eq!(check(6, 7, true, accepted_at), ListFreshness::Older);
+    assert_eq!(check(7, 7, true, accepted_at), ListFreshness::Current);
     assert_eq!(
-        judge(6, 7, true, now + STALE_LIST_ACCEPTED_AFTER * 2),
+        check(6, 7, true, now + STALE_LIST_ACCEPTED_AFTER * 2),
         ListFreshness::Older
     );
 }
--- a/crates/membership/src/poll_schedule/mod.rs
+++ b/crates/membership/src/poll_schedule/mod.rs
@@ -13,14 +13,14 @@
 
 use crate::{DiscoveryMode, DiscoverySettings};
 
-/// A watch that delivers nothing for this long is dead, whatever the state of its connection: a heartbeat arrives every
+/// A watch that delivers nothing for this long counts as dead, even if its connection is open: a heartbeat is due every
 /// [`HEARTBEAT_INTERVAL`].
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// The platform counts a relay as notified of an event this long after the relay's watch fell silent.
 const NOTIFIED_AFTER_SILENCE: Duration = Duration::from_secs(6);
 
-/// Discovery sends an empty line this often while nothing changes, so a confirmation may be this old.
+/// Interval at which discovery sends an empty line while nothing changes. A confirmation may therefore be this old.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The least time that has to remain for discovery's response, its transfer and the relay's own processing.
@@ -37,8 +37,9 @@
 
 /// Push mode: the response timeout is at most this fraction of the drain grace.
 ///
-/// With [`PUSH_BACKOFF_GRACE_FRACTION`], whose backoff is jittered up to three halves, an agent that recovers is heard
-/// within 0.375 + 1.5 × 0.125 = 0.5625 of the grace. The remainder is for the relay's own processing.
+/// With [`PUSH_BACKOFF_GRACE_FRACTION`], whose backoff is jittered by a factor of up to 1.5, the relay receives the
+/// response of an agent that recovers within 0.375 + 1.5 × 0.125 = 0.5625 of the grace. The remainder is for the
+/// relay's own processing.
 const PUSH_RESPONSE_GRACE_FRACTION: f64 = 0.375;
 
 /// Push mode: the backoff is at most this fraction of the drain grace.
@@ -75,8 +76,8 @@
 
 /// Paces one relay's polls of discovery.
 ///
-/// After a start or an outage that all replicas see at the same time, they would poll discovery together. Those that gave
-/// up early would leave polls behind that are answered for nobody, and those that were rejected would return together.
+/// After a start or an outage that affects all replicas at the same time, they would poll discovery together. Replicas
+/// with a short timeout would abandon polls that discovery still answers, and rejected replicas would retry together.
 /// Delays therefore grow with the number of replicas and are jittered.
 pub struct PollSchedule {
     mode: DiscoveryMode,
@@ -119,9 +120,9 @@
         self.mode == DiscoveryMode::Push
     }
 
-    /// In poll mode, how long ago a list may have been confirmed to serve a process that starts.
+    /// In poll mode, the maximum age of a list's confirmation with which a starting process may use the list.
     ///
-    /// Until its first poll is answered, no event that came after that confirmation binds the process yet.
+    /// Within this age, no event after that confirmation binds the process before its first poll is answered.
     pub(crate) fn confirmation_lifetime(settings: &DiscoverySettings) -> Duration {
         let grace = settings.drain_grace;
         let binds_after = NOTIFIED_AFTER_SILENCE + grace;
@@ -178,7 +179,8 @@
 
     /// How long to wait before the next poll. The backoff doubles with each call until [`record_success`] resets it.
     ///
-    /// A single relay waits for exactly the backoff; one of several draws between half and three halves of it.
+    /// A single relay waits for exactly the backoff; with several replicas the delay is random, between 0.5 and 1.5
+    /// times the backoff.
     ///
     /// [`record_success`]: PollSchedule::record_success
     pub fn next_delay(&mut self) -> Duration {
@@ -213,7 +215,8 @@
     }
 
     /// In poll mode, the longest backoff after a watch fell silent that still leaves time for a response before the
-    /// events that the watch missed bind the relay. The factor compensates for jitter, which adds up to a half.
+    /// events that the watch missed bind the relay. The factor compensates for jitter, which adds up to half of
+    /// the backoff.
     fn max_backoff_before_events_bind(&self) -> Duration {
         (NOTIFIED_AFTER_SILENCE + self.drain_grace)
             .saturating_sub(WATCH_SILENCE_TIMEOUT + RESPONSE_MARGIN)
--- a/crates/membership/src/poll_schedule/tests.rs
+++ b/crates/membership/src/poll_schedule/tests.rs
@@ -37,13 +37,13 @@
     assert_eq!(schedule.next_delay(), POLL_BACKOFF_MIN);
 }
 
-/// What a hundred replicas ask of a discovery service that answers one poll after the other.
+/// Load that a hundred replicas put on a discovery service that answers one poll after the other.
 struct PollLoad {
     polls: usize,
     last_response_at: Duration,
 }
 
-/// Plays replicas that all send their first poll, or lose their watch, at the same instant.
+/// Simulates replicas that all send their first poll, or lose their watch, at the same instant.
 ///
 /// Discovery spends 80 ms on each poll, and rejects one that would wait longer than 4 s.
 fn simulate_poll_load(first_delay: fn(&mut PollSchedule) -> Duration) -> PollLoad {
@@ -72,7 +72,7 @@
             due.push((now + schedule.next_delay(), number));
             continue;
         }
-        // A replica that has given up is answered all the same.
+        // Discovery answers a poll even if its replica has timed out.
         idle_at = response_at;
         if wait > schedule.response_timeout() {
             let gave_up_at = now + schedule.response_timeout();
@@ -80,7 +80,10 @@
         } else {
             load.last_response_at = load.last_response_at.max(response_at);
         }
-        assert!(load.polls < 1000, "replicas keep discovery busy in vain");
+        assert!(
+            load.polls < 1000,
+            "discovery is busy with polls that time out"
+        );
     }
     load
 }
@@ -100,7 +103,7 @@
     }
 }
 
-/// From the last heartbeat before a watch fell silent to the response on the next one.
+/// Covers the time from the last heartbeat before a watch fell silent to the response on the next watch.
 #[test]
 fn silent_watch_is_replaced_before_missed_events_bind() {
     for replicas in [1, 2, 100, 300, 1024, 100_000] {
--- a/crates/relay-events/src/lib.rs
+++ b/crates/relay-events/src/lib.rs
@@ -1,6 +1,6 @@
 //! Typed requests and events between the relay's front ends, its connections and its event loop.
 //!
-//! The packages that exchange them import this one, and it imports none of them.
+//! The crates that exchange them depend on this one, and it depends on none of them.
 
 pub mod tenants;
 pub mod undeliverable;
@@ -17,11 +17,11 @@
 
 use tenants::{LoginRequest, TenantCall};
 
-/// How far ahead [`Clock::instant`] goes at most, in microseconds: a day.
+/// Maximum time from now to a result of [`Clock::instant`], in microseconds: one day.
 const MAX_TIMER_DELAY: Micros = 86_400_000_000;
 
-/// Unix time that is never stepped: it starts once, and the monotonic clock counts from there. All stored moments are of
-/// this clock, and a later process on the same machine continues it.
+/// Unix time that is never stepped: it is set once and advances with the monotonic clock. All stored times are readings
+/// of this clock, and a later process on the same machine continues it.
 #[derive(Clone)]
 pub struct Clock<R> {
     runtime: R,
@@ -46,8 +46,8 @@
         self.unix + (self.runtime.now() - self.start).as_micros() as Micros
     }
 
-    /// Converts a Unix time in microseconds. A time in the past of the clock's start becomes the start; one that is
-    /// more than a day ahead becomes a day ahead, as timers have a bounded range.
+    /// Converts a Unix time in microseconds. A time before the clock's start becomes the start; a time more than a day
+    /// ahead of now becomes a day ahead, because timers have a bounded range.
     pub fn instant(&self, at: Micros) -> Instant {
         let latest = (self.now() - self.unix) + MAX_TIMER_DELAY;
         self.start + Duration::from_micros(at.saturating_sub(self.unix).min(latest))
@@ -88,27 +88,27 @@
 
 /// A message that a client submits.
 pub struct EnqueueRequest {
-    /// The name that its client gives it.
+    /// Name of the message, chosen by its client.
     pub name: String,
     /// Messages with the same key are delivered in order.
     pub ordering_key: Option<u64>,
-    /// Name of its class.
+    /// Name of the message's class.
     pub class: String,
-    /// Name of its tenant.
+    /// Name of the message's tenant.
     pub tenant: String,
-    /// The destination that it is to be delivered to.
+    /// The destination to deliver the message to.
     pub destination: u16,
-    /// Until when it may be delivered, in Unix time in microseconds.
+    /// Latest time at which the message may be delivered, as Unix time in microseconds.
     pub deadline: Micros,
     /// The key by which a host recognises a repeated call.
     pub idempotency_key: Option<String>,
-    /// Whether the client submitted it before.
+    /// Whether the client has submitted the message before.
     pub is_resubmitted: bool,
-    /// The content.
+    /// The content of the message.
     pub body: Bytes,
-    /// The session of its client, if authenticated.
+    /// The session of the client; `None` if the client has not authenticated.
     pub login: Option<Session>,
-    /// Channel for the reply; none if nobody waits for it.
+    /// Channel for the reply; `None` if nothing waits for it.
     pub reply: Option<oneshot::Sender<Reply>>,
 }
 
@@ -120,7 +120,7 @@
     CallCompleted(CompletedCall),
     /// Discovery has sent a host list or a change of it.
     HostListReceived(HostList),
-    /// Discovery has confirmed that the list in force is the latest.
+    /// Discovery has confirmed that the current host list is the latest.
     HostListConfirmed,
     /// The platform has accepted the notifications of these messages.
     NotificationsAccepted(Vec<MessageId>),
@@ -128,7 +128,7 @@
     Tenants(TenantCall),
     /// A client authenticates.
     Login(LoginRequest),
-    /// A front end's request about undeliverable messages, or a partner's answer about one.
+    /// A front end's request about undeliverable messages, or a partner's response about one.
     Undeliverable(undeliverable::UndeliverableEvent),
 }
 
@@ -141,17 +141,17 @@
     pub id: MessageId,
     /// Index of the attempt, from zero.
     pub attempt: u8,
-    /// The host.
+    /// The host that was called.
     pub host: HostId,
-    /// How it ended.
+    /// How the call ended.
     pub outcome: AttemptOutcome,
-    /// Whether the host says that the message needs no further attempt.
+    /// Whether the host reported that the message needs no further attempt.
     pub is_final: bool,
-    /// The load report in the host's answer, unparsed.
+    /// The load report in the host's response, unparsed; `None` if it contains none.
     pub load_report: Option<String>,
-    /// Duration in microseconds.
+    /// Duration of the call in microseconds.
     pub elapsed: Micros,
-    /// Whether a connection was opened for it, successfully or not.
+    /// Whether opening a connection for the call was attempted, successfully or not.
     pub opened_connection: bool,
 }
 
@@ -162,14 +162,14 @@
 pub enum DeliveryFailure {
     /// The relay makes no further attempt; an earlier one may have been executed.
     Undeliverable,
-    /// The client may submit it again after this time in milliseconds.
+    /// The client may submit the message again after this time in milliseconds.
     Deferred(u64),
 }
 
 /// A host list, or a change of one.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostList {
-    /// Its version.
+    /// The version of the list.
     #[serde(rename = "seq", default)]
     pub version: u64,
     /// Whether this is a full snapshot that replaces the list; otherwise the entries change it.
@@ -189,24 +189,24 @@
     /// The address for connections to it.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// Name of its zone.
+    /// Name of the host's zone.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Name of its kind.
+    /// Name of the host's kind.
     #[serde(rename = "class", default)]
     pub kind: String,
-    /// The destination that it belongs to.
+    /// The destination that the host serves.
     #[serde(rename = "block")]
     pub destination: u16,
-    /// Whether it is ready, draining or removed; draining if absent or unknown.
+    /// Whether the host is ready, draining or removed; draining if absent or unknown.
     #[serde(rename = "health", with = "health", default = "health::unknown")]
     pub state: HostState,
-    /// Its weight within the destination.
+    /// The host's weight within the destination.
     #[serde(rename = "share", default)]
     pub weight: f32,
 }
 
-/// Listing states on the wire: `up`, `draining` and `removed`.
+/// Encoding of host states on the wire: `up`, `draining` and `removed`.
 mod health {
     use policy::types::HostState;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -220,7 +220,7 @@
         word.serialize(serializer)
     }
 
-    /// Treats a state that is not known here as draining: only a host that is listed as up gets new calls.
+    /// Reads an unknown state as draining: only a host that is listed as `up` receives new calls.
     pub fn deserialize<'a, D: Deserializer<'a>>(deserializer: D) -> Result<HostState, D::Error> {
         Ok(
             match serde_json::Value::deserialize(deserializer)?.as_str() {
--- a/crates/relay-events/src/tenants.rs
+++ b/crates/relay-events/src/tenants.rs
@@ -16,8 +16,8 @@
     Page {
         /// Only names after this one.
         after: Option<String>,
-        /// Page size.
-        most: usize,
+        /// Maximum number of tenants in the page.
+        limit: usize,
         /// Only tenants that this scope covers.
         scope: Scope,
     },
@@ -27,8 +27,8 @@
     Audit {
         /// Only entries before this sequence number.
         before: Option<u64>,
-        /// Page size.
-        most: usize,
+        /// Maximum number of entries in the page.
+        limit: usize,
         /// Only entries about tenants that this scope covers.
         scope: Scope,
         /// Only entries about this tenant.
@@ -38,12 +38,12 @@
     RegistryReport,
 }
 
-/// A tenant as front ends show it.
+/// The view of a tenant that front ends show.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantView {
     /// The tenant.
     pub tenant: Tenant,
-    /// Earlier versions of the same name that still drain.
+    /// Earlier versions of the tenant that are still draining.
     pub draining: Vec<Version>,
 }
 
@@ -72,7 +72,7 @@
     pub tenants: usize,
     /// Sequence number of the last change.
     pub seq: u64,
-    /// Changes that were lost to damage of the files.
+    /// Changes that were lost because files were damaged.
     pub lost_changes: u64,
     /// Changes that are not in the audit log yet.
     pub unlogged_changes: usize,
@@ -92,22 +92,22 @@
         /// Whether this repeats the response to an earlier request with the same idempotency key.
         is_replay: bool,
     },
-    /// The tenant was as requested already.
+    /// Nothing was changed, because the tenant was already as requested.
     Unchanged(Box<TenantView>),
     /// The tenant.
     Found(Box<TenantView>),
     /// A page of tenants, and whether more follow.
     Page(Vec<TenantView>, bool),
-    /// Usage of the tenant and of its draining versions, and since when it is counted, in milliseconds since the Unix
-    /// epoch.
+    /// Usage of the tenant and of its draining versions, and the time from which it is counted, in milliseconds since
+    /// the Unix epoch.
     UsageReport(Vec<UsageReport>, u64),
     /// A page of audit entries, and whether older ones are available.
     Audit(Vec<Entry>, bool),
     /// The state of the registry.
     RegistryReport(RegistryReport),
-    /// The request was refused, or there is nothing to show.
+    /// The request was refused, or there is nothing to return.
     Refused(RegistryError),
-    /// Nothing was changed, as the change could not be written to disk, for this reason.
+    /// Nothing was changed, because the change could not be written to disk for this reason.
     NotPersisted(String),
 }
 
@@ -123,8 +123,8 @@
 pub struct LoginRequest {
     /// The tenant's name.
     pub name: String,
-    /// The secret.
+    /// The secret, as the client sent it.
     pub secret: Vec<u8>,
-    /// Channel for the session; none if name or secret is wrong.
+    /// Channel for the session; `None` is sent if the name or the secret is wrong.
     pub reply: oneshot::Sender<Option<Session>>,
 }
--- a/crates/relay-events/src/undeliverable.rs
+++ b/crates/relay-events/src/undeliverable.rs
@@ -1,4 +1,4 @@
-//! Requests of front ends about undeliverable messages, the responses, and the answers of partners.
+//! Requests of front ends about undeliverable messages, the responses, and the responses of partners.
 
 use tokio::sync::oneshot;
 use undeliverable::batch::{self, Batch, BatchCommand, BatchSpec};
@@ -9,17 +9,17 @@
 /// An operator's action on a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordAction {
-    /// Claim it for the operator who asks.
+    /// Claim the record for the operator who makes the request.
     Claim,
-    /// Release the claim.
+    /// Release the operator's claim.
     Release,
-    /// Send it again.
+    /// Send the message again.
     Resend,
-    /// Record what the operator states about the message's effect.
+    /// Record the operator's statement about the message's effect.
     Attest(ExecutionClaim),
     /// Ask the partner whether the message took effect.
     QueryPartner,
-    /// Close it without another attempt.
+    /// Close the record without another attempt.
     Discard,
 }
 
@@ -28,12 +28,12 @@
 pub enum UndeliverableRequest {
     /// List records, the newest first.
     Page {
-        /// Which records.
+        /// The conditions that the records have to meet.
         filter: Filter,
         /// Only records before this one.
         before: Option<RecordId>,
-        /// Page size.
-        most: usize,
+        /// Maximum number of records in the page.
+        limit: usize,
     },
     /// Show one record.
     Find(RecordId),
@@ -49,19 +49,19 @@
         id: RecordId,
         /// The action.
         action: RecordAction,
-        /// The operator who asks.
-        who: String,
+        /// Name of the operator who makes the request.
+        operator: String,
         /// Precondition: the record's current version.
         version: Option<u32>,
     },
     /// List all batches.
     Batches,
-    /// Plan a batch: counts what it would do, and does nothing yet.
+    /// Plan a batch: count what it would do, without doing any of it yet.
     Plan {
         /// The batch.
         spec: BatchSpec,
-        /// The operator who asks.
-        who: String,
+        /// Name of the operator who makes the request.
+        operator: String,
     },
     /// Run, pause or cancel a batch.
     BatchCommand {
@@ -74,27 +74,27 @@
     },
 }
 
-/// A record as front ends show it.
+/// The view of a record that front ends show.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordView {
     /// The record's number.
     pub id: RecordId,
     /// The record.
     pub record: Record,
-    /// What is missing before it can be resent; none if it could be resent now.
+    /// What is missing before the message can be resent; `None` if it could be resent now.
     pub blocked: Option<ResendBlocked>,
 }
 
 /// The state of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoreReport {
-    /// Totals of what it holds.
+    /// Totals of the store's content.
     pub totals: StoreTotals,
     /// Undeliverable messages that could not be stored.
     pub unstored_messages: u64,
     /// Resends in flight.
     pub resends_in_flight: usize,
-    /// Why the store cannot be written now; none if it can.
+    /// Why the store cannot be written now; `None` if it can.
     pub error: Option<String>,
 }
 
@@ -105,7 +105,7 @@
     Page(Page),
     /// One record.
     Found(Box<RecordView>),
-    /// A body.
+    /// The body of a message.
     Body(Vec<u8>),
     /// Number of records by value.
     Counts(Vec<(String, u64)>),
@@ -137,13 +137,13 @@
 pub enum UndeliverableEvent {
     /// A front end's request.
     UndeliverableCall(UndeliverableCall),
-    /// A query to a partner, whether a message took effect, has ended.
+    /// A query to a partner about whether a message took effect has ended.
     PartnerQueryCompleted {
         /// The record.
         id: RecordId,
         /// When the query was sent, in Unix time in microseconds.
         queried_at: Micros,
-        /// The partner's statement; none if there was no valid answer.
+        /// The partner's statement; `None` if there was no valid response.
         claim: Option<ExecutionClaim>,
     },
 }
--- a/crates/relay/src/client_connections/connection.rs
+++ b/crates/relay/src/client_connections/connection.rs
@@ -284,7 +284,7 @@
             biased;
             ready = self.stream.readable() => WaitOutcome::Readable(ready),
             () = async {
-                let _ = policy.wait_for(|policy| policy.stage.closes_quiet_connections()).await;
+                let _ = policy.wait_for(|policy| policy.stage.closes_idle_connections()).await;
                 if wait.awaits_first_request {
                     runtime.sleep_until(grace_end).await;
                 }
--- a/crates/relay/src/control_socket/shared_state.rs
+++ b/crates/relay/src/control_socket/shared_state.rs
@@ -175,7 +175,7 @@
 
     /// The time left until the last call must have ended; `None` if the process is not stopping.
     pub fn time_left_for_calls(&self) -> Option<Duration> {
-        let deadline = self.lifecycle.borrow().time_left_for_calls()?;
+        let deadline = self.lifecycle.borrow().call_deadline()?;
         Some(deadline.saturating_sub(self.uptime()))
     }
 
--- a/crates/relay/src/discovery_client/watch.rs
+++ b/crates/relay/src/discovery_client/watch.rs
@@ -263,7 +263,7 @@
         let freshness = self
             .members
             .borrow_mut()
-            .judge_list(received, self.version, now);
+            .check_freshness(received, self.version, now);
         self.is_unconfirmed = false;
         if freshness == ListFreshness::Current {
             self.version = list.version;
--- a/crates/relay/src/tenant_service/requests.rs
+++ b/crates/relay/src/tenant_service/requests.rs
@@ -23,13 +23,15 @@
         match request {
             TenantRequest::Change(command) => self.change(*command, events),
             TenantRequest::Find(name) => self.find(&name),
-            TenantRequest::Page { after, most, scope } => {
-                self.tenant_page(after.as_deref(), most, &scope)
-            }
+            TenantRequest::Page {
+                after,
+                limit,
+                scope,
+            } => self.tenant_page(after.as_deref(), limit, &scope),
             TenantRequest::UsageReport(name) => self.usage_report(&name, load),
             TenantRequest::Audit {
                 before,
-                most,
+                limit,
                 scope,
                 tenant,
             } => {
@@ -37,7 +39,7 @@
                     scope.covers(&entry.tenant)
                         && tenant.as_ref().is_none_or(|name| entry.tenant == *name)
                 };
-                self.audit_page(before, most, is_selected)
+                self.audit_page(before, limit, is_selected)
             }
             TenantRequest::RegistryReport => TenantResponse::RegistryReport(self.registry_report()),
         }
--- a/crates/relay/src/undeliverable_service/requests.rs
+++ b/crates/relay/src/undeliverable_service/requests.rs
@@ -42,9 +42,9 @@
             UndeliverableRequest::Page {
                 filter,
                 before,
-                most,
+                limit,
             } => {
-                let page = |store: &Store| store.page(&filter, before, most);
+                let page = |store: &Store| store.page(&filter, before, limit);
                 self.query_store(page, UndeliverableResponse::Page)
             }
             UndeliverableRequest::Find(id) => view_record(&mut self.resender, id, now),
@@ -58,21 +58,21 @@
             UndeliverableRequest::RecordAction {
                 id: record,
                 action,
-                who,
+                operator,
                 version,
             } => {
                 let request = ActionRequest {
                     record,
                     action,
-                    operator: who,
+                    operator,
                     version,
                     now,
                 };
                 self.carry_out(&request, load, resends)
             }
             UndeliverableRequest::Batches => UndeliverableResponse::Batches(self.batches.list()),
-            UndeliverableRequest::Plan { spec, who } => {
-                self.batches.plan(spec, &who, &mut self.resender, now)
+            UndeliverableRequest::Plan { spec, operator } => {
+                self.batches.plan(spec, &operator, &mut self.resender, now)
             }
             UndeliverableRequest::BatchCommand {
                 name,
--- a/crates/runtime/src/address.rs
+++ b/crates/runtime/src/address.rs
@@ -14,7 +14,7 @@
     Unix(PathBuf),
 }
 
-/// Why a text is no [`Address`].
+/// Why a text cannot be parsed as an [`Address`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddressError {
     /// The path of a Unix socket is empty or relative.
@@ -26,7 +26,7 @@
 }
 
 impl Address {
-    /// Whether it is reachable from this machine only.
+    /// Whether the address is reachable from this machine only.
     pub fn is_local(&self) -> bool {
         match self {
             Address::Tcp(address) => address.ip().is_loopback(),
--- a/crates/runtime/src/boot_time.rs
+++ b/crates/runtime/src/boot_time.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-/// Names one run of a machine's kernel: another one has another name.
+/// Identifies one boot of a machine's kernel. Every boot has a different identifier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootId(pub String);
 
-/// A reading of the machine's monotonic clock. Readings of one boot can be compared, whichever process took them, and no
-/// change of the wall clock moves them.
+/// A reading of the machine's monotonic clock. Readings of the same boot can be compared, even if different processes
+/// took them, and changes of the wall clock don't affect them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootTime {
-    /// The boot that the reading counts from.
+    /// The boot during which the clock was read.
     pub boot: BootId,
-    /// The monotonic time since then; only differences have a meaning.
+    /// The time on the monotonic clock. Only differences between readings of the same boot are meaningful.
     pub elapsed: Duration,
 }
--- a/crates/runtime/src/inherited_listener.rs
+++ b/crates/runtime/src/inherited_listener.rs
@@ -9,17 +9,17 @@
 /// The lowest descriptor that can be inherited; those below are standard input, output and error.
 const FIRST_DESCRIPTOR: i32 = 3;
 
-/// A listener on a duplicate of the inherited descriptor, which itself stays open.
+/// Creates a listener on a duplicate of the inherited descriptor. The inherited descriptor stays open.
 ///
 /// # Errors
-/// `InvalidInput` if the descriptor is not open or is no listening socket.
+/// `InvalidInput` if the descriptor is not open or is not a listening socket.
 pub(crate) fn duplicate_listener(descriptor: i32) -> io::Result<TcpListener> {
     if descriptor < FIRST_DESCRIPTOR || !is_open(descriptor) {
         return Err(invalid_input("it is not open"));
     }
     let socket = Socket::from(duplicate(descriptor)?);
     if !socket.is_listener().unwrap_or(false) {
-        return Err(invalid_input("it is no listening socket"));
+        return Err(invalid_input("it is not a listening socket"));
     }
     socket.set_nonblocking(true)?;
     TcpListener::from_std(socket.into())
@@ -33,8 +33,8 @@
     io::Error::new(io::ErrorKind::InvalidInput, reason)
 }
 
-/// The standard library has no safe way to an inherited descriptor: its safe functions name only standard input, output
-/// and error, and a socket cannot be opened by its path under `/proc`.
+/// The standard library has no safe function that accesses an inherited descriptor: its safe functions cover only
+/// standard input, output and error, and a socket cannot be opened by its path under `/proc`.
 #[allow(unsafe_code)]
 fn duplicate(descriptor: i32) -> io::Result<OwnedFd> {
     // SAFETY: the caller has just found the descriptor open, no code of this process closes a descriptor that it has not
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operating system as the relay sees it: time, timers, tasks, sockets, files, signals, environment variables and
-//! the log.
+//! The relay's interface to the operating system: time, timers, tasks, sockets, files, signals, environment variables
+//! and the log.
 //!
 //! Everything goes through the trait [`Runtime`], so that the same code runs on a machine ([`OsRuntime`]) and in a
 //! simulation whose clock, network and disk are scripted. The traits are static: on a machine each call compiles to
-//! tokio's own. Random numbers are no part of this, as the relay draws all of them from the configured seed. For the
+//! tokio's own. Random numbers are not included, because the relay draws all of them from the configured seed. For the
 //! same reason every `select!` in the relay is `biased`: an unbiased one draws random numbers that a simulation cannot
 //! repeat.
 
--- a/crates/runtime/src/os/boot_time.rs
+++ b/crates/runtime/src/os/boot_time.rs
@@ -7,16 +7,16 @@
 
 use crate::boot_time::{BootId, BootTime};
 
-/// Holds the name of the running kernel's boot.
+/// Contains the identifier of the current boot.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
 /// Reads the clock that [`std::time::Instant`] counts on.
 ///
-/// An `Instant` has no stored form, so this is the one place where the time does not come through the standard library:
+/// An `Instant` has no stored form, so this is the only place that does not read the time through the standard library:
 /// it makes the same call of the C library, `clock_gettime(CLOCK_MONOTONIC)`, as the standard library does.
 ///
 /// # Errors
-/// The boot's name cannot be read, or the system has no such clock.
+/// The boot's identifier cannot be read, or the system has no such clock.
 pub(super) fn read() -> io::Result<BootTime> {
     let boot = std::fs::read_to_string(BOOT_ID_FILE)?;
     let elapsed = clock_gettime(ClockId::CLOCK_MONOTONIC)?;
--- a/crates/runtime/src/os/listener.rs
+++ b/crates/runtime/src/os/listener.rs
@@ -10,7 +10,7 @@
 use super::OsStream;
 use crate::Listener;
 
-/// Mode of a Unix socket: any user who may connect may administer the relay, so only its owner may.
+/// File mode of a Unix socket. Any user who can connect can administer the relay, so only the owner may connect.
 const OWNER_ONLY: u32 = 0o600;
 
 /// A listener of the operating system.
@@ -39,7 +39,7 @@
     }
 }
 
-/// Listens at a Unix socket that only its owner may use.
+/// Listens on a Unix socket that only its owner may use.
 pub(super) async fn listen_unix(path: &Path) -> io::Result<UnixListener> {
     let bind = || -> io::Result<UnixListener> {
         let listener = UnixListener::bind(path)?;
@@ -48,7 +48,8 @@
     };
     match bind() {
         Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
-            // A killed process leaves its socket behind. Any other file of that name is not touched.
+            // A killed process leaves its socket behind, which is replaced. A socket that another process listens on,
+            // and a file that is not a socket, are not touched.
             let is_socket =
                 std::fs::symlink_metadata(path).is_ok_and(|meta| meta.file_type().is_socket());
             if !is_socket || UnixStream::connect(path).await.is_ok() {
--- a/crates/runtime/src/os/mod.rs
+++ b/crates/runtime/src/os/mod.rs
@@ -25,7 +25,7 @@
 
 use listener::listen_unix;
 
-/// The operating system, through tokio. It must be used within the `LocalSet` of a current-thread runtime.
+/// Access to the operating system through tokio. It must be used within the `LocalSet` of a current-thread runtime.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OsRuntime;
 
--- a/crates/runtime/src/os/signals.rs
+++ b/crates/runtime/src/os/signals.rs
@@ -31,7 +31,7 @@
             Some(()) = self.terminate.recv() => Signal::Stop,
             Some(()) = self.interrupt.recv() => Signal::Stop,
             Some(()) = self.hangup.recv() => Signal::Reload,
-            // Without any signal left to come, waiting forever is better than a busy loop.
+            // No handler can receive any more signals: waiting forever avoids a busy loop.
             else => std::future::pending().await,
         }
     }
--- a/crates/runtime/src/os/stream.rs
+++ b/crates/runtime/src/os/stream.rs
@@ -33,12 +33,13 @@
     };
 }
 
-/// Repeats a transfer until it moves bytes, fails, or finds the socket drained or full.
+/// Repeats a transfer until it moves bytes or fails. Returns `Pending` if the socket's receive buffer is empty or its
+/// send buffer is full.
 ///
-/// Only `WouldBlock` says that a socket is drained or full, and makes tokio wait for the next edge of its readiness. The
-/// methods of tokio's own `AsyncRead` and `AsyncWrite` also take a short transfer for that, which nothing but epoll's
-/// manual page promises: a transfer that was short for another reason would wait for an edge that never comes. One more
-/// system call each time that a socket runs dry is the price.
+/// Only `WouldBlock` is taken to mean an empty or full buffer, and makes tokio wait for the next readiness edge.
+/// Tokio's own `AsyncRead` and `AsyncWrite` also treat a short transfer like that, which only epoll's manual page
+/// guarantees: after a transfer that was short for another reason, the task would wait for an edge that never occurs.
+/// The cost is one additional system call each time that a buffer becomes empty or full.
 macro_rules! transfer {
     ($stream:expr, $cx:expr, $poll_ready:ident, $try_transfer:expr) => {
         loop {
@@ -51,7 +52,8 @@
     };
 }
 
-/// Whether a transfer moved nothing and is to be retried: after `WouldBlock` once ready again, after a signal at once.
+/// Whether a transfer moved nothing and is to be retried: after `WouldBlock` once the socket is ready again, after an
+/// interruption by a signal at once.
 fn is_retriable(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/runtime/src/os/task.rs
+++ b/crates/runtime/src/os/task.rs
@@ -19,7 +19,7 @@
     }
 
     async fn join(&mut self) {
-        // An aborted task gives an error, and has ended all the same.
+        // The error of an aborted task is ignored, because that task has ended too.
         drop((&mut self.0).await);
     }
 }
--- a/crates/runtime/src/runtime.rs
+++ b/crates/runtime/src/runtime.rs
@@ -8,9 +8,9 @@
 
 use crate::{Address, BootTime, Elapsed, File, Listener, RandomAccessFile, Signals, Stream, Task};
 
-/// The system that a relay runs on.
+/// The operating system, real or simulated, that a relay runs on.
 pub trait Runtime: Clone + 'static {
-    /// A task that was started.
+    /// The handle of a task that was started.
     type Task: Task;
     /// A connection.
     type Stream: Stream;
@@ -22,14 +22,15 @@
     type RandomAccessFile: RandomAccessFile;
     /// The signals sent to this process.
     type Signals: Signals;
-    /// A lock on a file. It is held until this is dropped or the process ends, in whatever way.
+    /// A lock on a file. The lock is held until this value is dropped or the process ends for any reason.
     type Lock: 'static;
 
-    /// The current moment of a monotonic clock. Only differences of two moments have a meaning.
+    /// The current time of a monotonic clock. Only the difference between two readings is meaningful.
     fn now(&self) -> Instant;
 
-    /// The time since the Unix epoch, by a clock that may be set at any moment: for display, and where no other clock is
-    /// left. Spans are measured by [`now`](Self::now), and across processes by [`boot_time`](Self::boot_time).
+    /// The time since the Unix epoch, from a clock that may be set at any time. It is for display, and for use where no
+    /// other clock is available. Durations are measured with [`now`](Self::now), and across processes with
+    /// [`boot_time`](Self::boot_time).
     fn unix_time(&self) -> Duration;
 
     /// A reading of the monotonic clock that a later process on the same machine can compare with its own.
@@ -38,30 +39,30 @@
     /// The system's clock cannot be read.
     fn boot_time(&self) -> io::Result<BootTime>;
 
-    /// Completes at a moment. Timers of the same moment may complete in any order.
+    /// Completes at an instant. Timers for the same instant may complete in any order.
     fn sleep_until(&self, at: Instant) -> impl Future<Output = ()>;
 
     /// Starts a task on this thread. It ends with the process; dropping the returned handle does not end it.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) -> Self::Task;
 
-    /// Opens a connection. There is no timeout: an address that does not respond may never complete.
+    /// Opens a connection. There is no timeout: if the address does not respond, the future may never complete.
     ///
     /// # Errors
-    /// As the socket's.
+    /// Any error of the socket.
     fn connect(&self, to: impl Into<Address>) -> impl Future<Output = io::Result<Self::Stream>>;
 
-    /// Listens at an address. A Unix socket is accessible to its owner only, and replaces one that no process listens
-    /// at any more.
+    /// Listens on an address. A Unix socket is accessible to its owner only, and replaces an existing socket that no
+    /// process listens on.
     ///
     /// # Errors
-    /// As the socket's, such as `AddrInUse`.
+    /// Any error of the socket, such as `AddrInUse`.
     fn listen(&self, at: impl Into<Address>) -> impl Future<Output = io::Result<Self::Listener>>;
 
     /// The listening TCP socket that the process inherited as a descriptor. Other processes share it: dropping the
     /// listener closes this process's copy and never shuts the socket down, and the descriptor can be used again.
     ///
     /// # Errors
-    /// `InvalidInput` if the descriptor is not open or is no listening socket.
+    /// `InvalidInput` if the descriptor is not open or is not a listening socket.
     fn inherited_listener(&self, descriptor: i32) -> io::Result<Self::Listener>;
 
     /// Locks a file, which is created if missing; `None` while the lock is held elsewhere.
@@ -73,40 +74,41 @@
     /// Opens a file for reading and writing, and creates it if missing.
     ///
     /// # Errors
-    /// As the file system's.
+    /// Any error of the file system.
     fn open(&self, path: &Path) -> io::Result<Self::File>;
 
     /// Creates an empty file for writing, in place of an existing one.
     ///
     /// # Errors
-    /// As the file system's.
+    /// Any error of the file system.
     fn create(&self, path: &Path) -> io::Result<Self::File>;
 
     /// Opens a file for access at any position, and creates it if missing.
     ///
     /// # Errors
-    /// `WouldBlock` if it is open elsewhere; else as the file system's.
+    /// `WouldBlock` if the file is open elsewhere; otherwise any error of the file system.
     fn open_random_access(&self, path: &Path) -> io::Result<Self::RandomAccessFile>;
 
     /// Reads a complete file.
     ///
     /// # Errors
-    /// As the file system's, such as `NotFound`.
+    /// Any error of the file system, such as `NotFound`.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
 
     /// Renames a file atomically, replacing an existing one.
     ///
     /// # Errors
-    /// As the file system's.
+    /// Any error of the file system.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// As the file system's, such as `NotFound`.
+    /// Any error of the file system, such as `NotFound`.
     fn remove(&self, path: &Path) -> io::Result<()>;
 
-    /// Handles signals from now on. Without this call each of them ends the process.
+    /// Installs handlers for the signals of [`Signal`](crate::Signal). Without this call each of these signals ends the
+    /// process.
     ///
     /// # Errors
     /// The handlers cannot be installed.
@@ -123,7 +125,7 @@
         self.sleep_until(self.now() + duration)
     }
 
-    /// Runs a future until a moment. A future that completes at that very moment counts as in time.
+    /// Runs a future until an instant. A future that completes at exactly that instant counts as in time.
     ///
     /// # Errors
     /// [`Elapsed`] if the future has not completed by then.
@@ -153,10 +155,10 @@
         self.timeout_at(self.now() + duration, future)
     }
 
-    /// Writes bytes to a file, in place of its content. This is not atomic.
+    /// Replaces the content of a file. This is not atomic.
     ///
     /// # Errors
-    /// As the file system's; a part may then be written.
+    /// Any error of the file system; some of the bytes may have been written.
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
         self.create(path)?.write_all(bytes)
     }
--- a/crates/runtime/src/stream.rs
+++ b/crates/runtime/src/stream.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// What a connection has received and the relay has not read yet.
+/// The state of the input that a connection has received and the relay has not read yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PendingInput {
     /// Nothing.
@@ -22,29 +22,30 @@
     /// Sends small writes at once, without waiting for more (`TCP_NODELAY`).
     ///
     /// # Errors
-    /// As the socket's.
+    /// Any error of the socket.
     fn set_nodelay(&self) -> io::Result<()>;
 
     /// Completes when there may be something to read.
     ///
     /// # Errors
-    /// As the socket's.
+    /// Any error of the socket.
     fn readable(&self) -> impl Future<Output = io::Result<()>>;
 
-    /// Reads what has arrived, and returns the number of bytes: 0 at the end of the stream.
+    /// Reads the bytes that have arrived, and returns their number: 0 at the end of the stream.
     ///
     /// # Errors
     /// `WouldBlock` if nothing has arrived.
     fn try_read_buf(&self, into: &mut BytesMut) -> io::Result<usize>;
 
-    /// Copies what has arrived without reading it, so that it arrives again, and returns the number of bytes: 0 at the end
-    /// of the stream. At most the free capacity of `into` is copied.
+    /// Copies the bytes that have arrived without consuming them, so that a later read returns them again, and returns
+    /// their number: 0 at the end of the stream. At most the free capacity of `into` is copied.
     ///
     /// # Errors
     /// `WouldBlock` if nothing has arrived.
     fn try_peek_buf(&self, into: &mut BytesMut) -> io::Result<usize>;
 
-    /// What has arrived, asked of the socket itself: the runtime may not have noticed it yet.
+    /// The state of the unread input. It is queried from the socket itself, because the async runtime may not have been
+    /// notified of it yet.
     fn pending_input(&self) -> PendingInput;
 }
 
@@ -56,6 +57,6 @@
     /// Accepts the next connection.
     ///
     /// # Errors
-    /// As the socket's, such as for want of descriptors; a later call may succeed.
+    /// Any error of the socket, such as a lack of file descriptors; a later call may succeed.
     fn accept(&self) -> impl Future<Output = io::Result<Self::Stream>>;
 }
--- a/crates/runtime/src/task.rs
+++ b/crates/runtime/src/task.rs
@@ -2,11 +2,12 @@
 
 use std::future::Future;
 
-/// A task that was started. Dropping the handle does not end the task.
+/// The handle of a task. Dropping the handle does not end the task.
 pub trait Task: 'static {
-    /// Ends the task at its current `await`. What the task holds is dropped soon afterwards, not by this call.
+    /// Ends the task at its current `await`. The values that the task owns are dropped soon afterwards, not by this
+    /// call.
     fn abort(&self);
 
-    /// Completes once the task has ended and what it held is dropped.
+    /// Completes once the task has ended and the values that it owned are dropped.
     fn join(&mut self) -> impl Future<Output = ()>;
 }
--- a/crates/runtime/src/transient.rs
+++ b/crates/runtime/src/transient.rs
@@ -1,4 +1,4 @@
-//! Errors that may not occur at the next attempt.
+//! Transient errors, which may not recur at the next attempt.
 
 use std::io;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use crate::Runtime;
 
-/// The pause between two tries.
+/// Delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// For how long an operation is tried again. The platform waits 30 s for a relay to be ready.
+/// Time for which an operation is retried. The platform waits 30 s for a relay to be ready.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Repeats an operation that a start cannot do without, while it fails with a transient error.
+/// Repeats an operation that the relay needs in order to start, as long as it fails with a transient error.
 ///
 /// # Errors
 /// The first error that is not transient, or the last one after 20 s.
@@ -31,8 +31,8 @@
     }
 }
 
-/// Whether an error of a system call says that the system is short of something, or failed for the moment, rather than
-/// that the call is wrong.
+/// Whether an error of a system call indicates a lack of resources or a temporary failure of the system, rather than an
+/// invalid call.
 #[must_use]
 pub fn is_transient(error: &io::Error) -> bool {
     let Some(number) = error.raw_os_error() else {
--- a/crates/runtime/tests/local.rs
+++ b/crates/runtime/tests/local.rs
@@ -1,4 +1,5 @@
-//! Listeners of the operating system: who may use a Unix socket, and which existing one is replaced.
+//! Tests of listeners on Unix sockets: access rights and the replacement of abandoned sockets. Also tests of the
+//! parsing of addresses.
 
 use std::io::ErrorKind;
 use std::os::unix::fs::PermissionsExt;
@@ -50,11 +51,11 @@
         assert_eq!(mode & 0o777, 0o600);
         let second = OsRuntime.listen(at.clone()).await.map(|_| ());
         assert_eq!(second.expect_err("taken").kind(), ErrorKind::AddrInUse);
-        // The listener is gone, and its socket is left.
+        // Dropping the listener leaves the socket's file in place.
         drop(first);
         assert!(path.exists());
         OsRuntime.listen(at).await.expect("bound again");
-        // A file that is no socket is not touched.
+        // A file that is not a socket is not touched.
         std::fs::write(&file, "text").expect("a file");
         let taken = OsRuntime
             .listen(Address::Unix(file.clone()))
