--- a/crates/runtime/src/address.rs
+++ b/crates/runtime/src/address.rs
@@ -18,10 +18,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddressError {
     /// The path of a Unix socket is empty or relative.
-    #[error("{0:?} is no absolute path of a socket")]
+    #[error("{0:?} is not the absolute path of a socket")]
     RelativePath(String),
     /// The text is not an IP address with a port.
-    #[error("{0:?} is no address and port")]
+    #[error("{0:?} is not an IP address with a port")]
     InvalidSocketAddress(String),
 }
 
--- a/crates/runtime/tests/local.rs
+++ b/crates/runtime/tests/local.rs
@@ -92,12 +92,12 @@
         (
             "unix:run",
             AddressError::RelativePath("run".into()),
-            r#""run" is no absolute path of a socket"#,
+            r#""run" is not the absolute path of a socket"#,
         ),
         (
             "localhost:80",
             AddressError::InvalidSocketAddress("localhost:80".into()),
-            r#""localhost:80" is no address and port"#,
+            r#""localhost:80" is not an IP address with a port"#,
         ),
     ];
     for (text, error, message) in cases {
--- a/crates/tenancy/src/secret.rs
+++ b/crates/tenancy/src/secret.rs
@@ -9,7 +9,7 @@
 
 use crate::spec::SpecError;
 
-/// Maximum secrets of a tenant: one in use, its successor during a rotation, and some for individual clients.
+/// Maximum number of secrets of a tenant: one in use, its successor during a rotation, and some for individual clients.
 pub const MAX_SECRETS: usize = 8;
 /// Maximum length of a secret, in bytes.
 pub const MAX_SECRET_BYTES: usize = 256;
--- a/crates/undeliverable/tests/store_tables.rs
+++ b/crates/undeliverable/tests/store_tables.rs
@@ -469,7 +469,7 @@
     fs::remove_dir_all(directory).expect("removed");
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     let digits: Vec<char> = text.chars().collect();
     let pairs = digits.chunks(2).map(|two| two.iter().collect::<String>());
     pairs
@@ -496,13 +496,13 @@
             ["records", id, value] => {
                 let definition: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
                 let mut table = writing.open_table(definition).expect("a table");
-                let (id, value): (u64, _) = (id.parse().expect("a number"), unhex(value));
+                let (id, value): (u64, _) = (id.parse().expect("a number"), decode_hex(value));
                 table.insert(id, value.as_slice()).map(drop).expect("put");
             }
             ["batches", name, value] => {
                 let definition: TableDefinition<&str, &[u8]> = TableDefinition::new("batches");
                 let mut table = writing.open_table(definition).expect("a table");
-                let (name, value) = (name.trim_matches('"'), unhex(value));
+                let (name, value) = (name.trim_matches('"'), decode_hex(value));
                 table.insert(name, value.as_slice()).map(drop).expect("put");
             }
             _ => {}
