--- a/crates/relay-events/src/tenants.rs
+++ b/crates/relay-events/src/tenants.rs
@@ -43,7 +43,7 @@
 pub struct TenantView {
     /// The tenant.
     pub tenant: Tenant,
-    /// Earlier versions of the tenant that are still draining.
+    /// Earlier versions with the same name that are still draining.
     pub draining: Vec<Version>,
 }
 
--- a/crates/runtime/src/file.rs
+++ b/crates/runtime/src/file.rs
@@ -38,7 +38,7 @@
     /// Any error of the file system.
     fn set_length(&self, length: u64) -> io::Result<()>;
 
-    /// Flushes all writes to disk, so that they survive a crash of the machine.
+    /// Flushes all writes to disk, and returns once they would survive a crash of the machine.
     ///
     /// # Errors
     /// Any error of the file system; the writes since the last successful call may then be lost.
