--- a/crates/runtime/src/address.rs
+++ b/crates/runtime/src/address.rs
@@ -14,19 +14,19 @@
     Unix(PathBuf),
 }
 
-/// Why a text is no [`Address`].
+/// Why a text cannot be parsed as an [`Address`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AddressError {
     /// The path of a Unix socket is empty or relative.
-    #[error("{0:?} is no absolute path of a socket")]
+    #[error("{0:?} is not the absolute path of a socket")]
     RelativePath(String),
     /// The text is not an IP address with a port.
-    #[error("{0:?} is no address and port")]
+    #[error("{0:?} is not an IP address with a port")]
     InvalidSocketAddress(String),
 }
 
 impl Address {
-    /// Whether it is reachable from this machine only.
+    /// Whether the address is reachable from this machine only.
     pub fn is_local(&self) -> bool {
         match self {
             Address::Tcp(address) => address.ip().is_loopback(),
