--- a/crates/relay/tests/admin/durability.rs
+++ b/crates/relay/tests/admin/durability.rs
@@ -4,9 +4,10 @@
 
 /// Of concurrent changes to one version exactly one succeeds, and the audit log names the author of each change.
 #[test]
-fn of_200_concurrent_changes_one_wins_at_each_version() {
-    let (mut scene, address) = hosted(Vec::new(), "import = false", "connections = 256");
-    scene.start();
+fn exactly_one_of_200_concurrent_changes_succeeds_per_version() {
+    let (mut test_bed, address) =
+        new_with_tenants(Vec::new(), "import = false", "connections = 256");
+    test_bed.start();
     let api = Api::new(&address, Some(&token("root")));
     assert_eq!(api.create("acme", json!({})).status, 201);
     let won = Arc::new(Mutex::new(BTreeMap::new()));
@@ -74,8 +75,8 @@
 
 /// Answered 2xx, it holds after the restart; not answered, it is there whole or not at all.
 #[test]
-fn a_change_holds_over_sigkill_once_it_is_answered() {
-    let (mut scene, api) = started(Vec::new(), "import = false");
+fn acknowledged_changes_survive_sigkill() {
+    let (mut test_bed, api) = started(Vec::new(), "import = false");
     for n in 0..4 {
         assert_eq!(
             api.create(&format!("t{n}"), json!({"weight": 1})).status,
@@ -104,13 +105,13 @@
             })
             .collect();
         thread::sleep(Duration::from_millis(60 + u64::from(round) * 37));
-        scene.kill();
+        test_bed.kill();
         stop.store(true, Ordering::SeqCst);
         let done: Vec<_> = threads
             .into_iter()
             .map(|thread| thread.join().expect("done"))
             .collect();
-        scene.start();
+        test_bed.start();
         for (name, answered, last) in done {
             let shown = api.get(&format!("/v1/tenants/{name}"));
             let weight = shown.body["spec"]["weight"].as_u64().expect("a weight") as u32;
@@ -133,7 +134,7 @@
         }
     }
     // Each change stands in the audit log, once.
-    let text = fs::read_to_string(scene.folder.join("tenants/audit.jsonl")).expect("a log");
+    let text = fs::read_to_string(test_bed.folder.join("tenants/audit.jsonl")).expect("a log");
     let numbers: Vec<u64> = text
         .lines()
         .map(|line| {
@@ -147,34 +148,37 @@
 }
 
 #[test]
-fn a_request_that_comes_again_with_its_key_is_done_once_also_over_sigkill() {
-    let (mut scene, api) = started(Vec::new(), "import = false");
+fn request_repeated_with_idempotency_key_is_executed_once_across_sigkill() {
+    let (mut test_bed, api) = started(Vec::new(), "import = false");
     let headers = [
         ("content-type", "application/json"),
         ("idempotency-key", "k-1"),
     ];
     let body = json!({"name": "acme", "spec": {"weight": 5}}).to_string();
-    let first = api.ask("POST", "/v1/tenants", &headers, &body);
+    let first = api.send("POST", "/v1/tenants", &headers, &body);
     assert_eq!(
         (first.status, first.headers.get("idempotent-replayed")),
         (201, None)
     );
     assert_eq!(api.change("POST", "acme/pause").status, 200);
-    scene.kill();
-    scene.start();
-    let again = api.ask("POST", "/v1/tenants", &headers, &body);
+    test_bed.kill();
+    test_bed.start();
+    let again = api.send("POST", "/v1/tenants", &headers, &body);
     assert_eq!((again.status, again.tag()), (201, first.tag()));
     assert_eq!(again.headers["idempotent-replayed"], "true");
     assert_eq!(again.body, first.body);
     let other = json!({"name": "beta"}).to_string();
-    assert_eq!(api.ask("POST", "/v1/tenants", &headers, &other).status, 422);
+    assert_eq!(
+        api.send("POST", "/v1/tenants", &headers, &other).status,
+        422
+    );
     assert_eq!(api.get("/v1/tenants/acme").body["state"], "paused");
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn corrupt_registry_replica_is_repaired_and_lost_changes_are_reported() {
-    let (mut scene, api) = started(Vec::new(), "import = false");
+    let (mut test_bed, api) = started(Vec::new(), "import = false");
     for n in 0..3 {
         assert_eq!(
             api.create(&format!("t{n}"), json!({"weight": 10 + n}))
@@ -183,8 +187,8 @@
         );
     }
     let (leader, follower) = (
-        scene.folder.join("tenants/tenants.a"),
-        scene.folder.join("tenants/tenants.b"),
+        test_bed.folder.join("tenants/tenants.a"),
+        test_bed.folder.join("tenants/tenants.b"),
     );
     let weights = |api: &Api| -> Vec<u64> {
         let list = api.get("/v1/tenants").body["items"]
@@ -203,15 +207,15 @@
     };
     // One replica is corrupt, truncated, missing, or has an incomplete replacement beside it.
     for turn in 0..5 {
-        scene.kill();
+        test_bed.kill();
         match turn {
             0 => corrupt(&leader, 40),
             1 => corrupt(&follower, 300),
             2 => fs::write(&leader, &fs::read(&leader).expect("a file")[..100]).expect("written"),
             3 => fs::remove_file(&leader).expect("removed"),
-            _ => fs::write(scene.folder.join("tenants/tenants.a.new"), "half").expect("written"),
+            _ => fs::write(test_bed.folder.join("tenants/tenants.a.new"), "half").expect("written"),
         }
-        scene.start();
+        test_bed.start();
         assert_eq!(weights(&api), [10, 11, 12], "turn {turn}");
         assert_eq!(api.get("/v1/status").body["lost_changes"], 0);
     }
@@ -228,7 +232,7 @@
             .status,
         200
     );
-    scene.kill();
+    test_bed.kill();
     for path in [&leader, &follower] {
         let mut text = fs::read(path).expect("a file");
         let lines: Vec<usize> = text
@@ -241,13 +245,13 @@
         text[last_but_one - 20] ^= 1;
         fs::write(path, text).expect("written");
     }
-    scene.start();
+    test_bed.start();
     assert_eq!(weights(&api), [10, 11, 77]);
     assert_eq!(api.get("/v1/status").body["lost_changes"], 1);
     assert!(
-        scene.log().contains("tenants: changes_lost changes=1\n"),
+        test_bed.log().contains("tenants: changes_lost changes=1\n"),
         "{}",
-        scene.log()
+        test_bed.log()
     );
     // Both replicas lack their last change: the audit log shows the loss.
     assert_eq!(
@@ -256,7 +260,7 @@
             .status,
         200
     );
-    scene.kill();
+    test_bed.kill();
     for path in [&leader, &follower] {
         let text = fs::read(path).expect("a file");
         let last = text[..text.len() - 1]
@@ -266,14 +270,14 @@
             + 1;
         fs::write(path, &text[..last]).expect("written");
     }
-    scene.start();
+    test_bed.start();
     assert_eq!(api.get("/v1/status").body["lost_changes"], 2);
     assert!(
-        scene
+        test_bed
             .log()
             .contains("tenants: trailing_changes_lost changes=1\n"),
         "{}",
-        scene.log()
+        test_bed.log()
     );
     // No sequence number is used twice.
     assert_eq!(
@@ -284,7 +288,7 @@
     );
     assert_eq!(api.get("/v1/audit?limit=1").body["items"][0]["seq"], 7);
     // The next process reports the loss too, as the replicas record it.
-    scene.kill();
-    scene.start();
+    test_bed.kill();
+    test_bed.start();
     assert_eq!(api.get("/v1/status").body["lost_changes"], 2);
 }
--- a/crates/relay/tests/admin/load.rs
+++ b/crates/relay/tests/admin/load.rs
@@ -4,20 +4,20 @@
 
 /// What an administrator does, well or not, does not keep messages waiting.
 #[test]
-fn a_hostile_administrator_delays_no_message() {
+fn hostile_administrator_does_not_delay_messages() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, address) = hosted(vec![up("a", &host, 1)], "", "connections = 8");
-    scene.operator = scene
+    let (mut test_bed, address) = new_with_tenants(vec![up("a", &host, 1)], "", "connections = 8");
+    test_bed.operator = test_bed
         .operator
         .take()
         .map(|text| text.replace("= 10000\n", "= 50\n"));
-    scene.start();
+    test_bed.start();
     let api = Api::new(&address, Some(&token("root")));
-    let delays = |scene: &mut Scene, many: usize| -> Vec<Duration> {
+    let delays = |test_bed: &mut TestBed, many: usize| -> Vec<Duration> {
         let mut all = Vec::new();
-        let mut client = scene.client();
+        let mut client = test_bed.client();
         for _ in 0..many {
-            let id = scene.id();
+            let id = test_bed.id();
             let start = Instant::now();
             client.send(&request(&id, "update", 1, 9000, b"x"));
             assert_eq!(client.line(), "+OK");
@@ -27,7 +27,7 @@
         all.sort();
         all
     };
-    let calm = delays(&mut scene, 200);
+    let calm = delays(&mut test_bed, 200);
     let stop = Arc::new(AtomicBool::new(false));
     let refused = Arc::new(Mutex::new(BTreeMap::<u16, u64>::new()));
     let mut threads = Vec::new();
@@ -38,7 +38,7 @@
             while !stop.load(Ordering::SeqCst) {
                 if kind < 3 {
                     // Requests at full speed.
-                    if let Some(answer) = api.try_ask("GET", "/v1/tenants", &[], "") {
+                    if let Some(answer) = api.try_send("GET", "/v1/tenants", &[], "") {
                         *refused.lock().unwrap().entry(answer.status).or_default() += 1;
                     }
                     continue;
@@ -62,7 +62,7 @@
             }
         }));
     }
-    let busy = delays(&mut scene, 600);
+    let busy = delays(&mut test_bed, 600);
     stop.store(true, Ordering::SeqCst);
     threads
         .into_iter()
@@ -86,22 +86,22 @@
         "{busy:?}"
     );
     // It serves those who behave once the others are gone.
-    until("an answer", || {
+    wait_until("an answer", || {
         (api.get("/v1/tenants").status == 200).then_some(())
     });
 }
 
 #[test]
-fn a_flood_over_1000_connections_leaves_another_tenant_its_service() {
-    let host = Host::new(|_, _| Answer::Later(20, ok_text()));
-    let (mut scene, api) = started(vec![up("a", &host, 1)], "");
-    scene.kill();
-    scene.config["limits"]["sockets"] = 2300.into();
-    scene.start();
+fn flood_over_1000_connections_does_not_starve_another_tenant() {
+    let host = Host::new(|_, _| HostResponse::Delayed(20, ok_text()));
+    let (mut test_bed, api) = started(vec![up("a", &host, 1)], "");
+    test_bed.kill();
+    test_bed.config["limits"]["sockets"] = 2300.into();
+    test_bed.start();
     assert_eq!(api.create("flood", json!({})).status, 201);
     let stop = Arc::new(AtomicBool::new(false));
     let asked = Arc::new(Mutex::new(0u64));
-    let listen = scene.listen;
+    let listen = test_bed.listen;
     let threads: Vec<_> = (0..10)
         .map(|thread| {
             let (stop, asked) = (stop.clone(), asked.clone());
@@ -126,17 +126,17 @@
             })
         })
         .collect();
-    until("the flood", || {
+    wait_until("the flood", || {
         (*asked.lock().unwrap() > 3000).then_some(())
     });
     let mut ids = BTreeSet::new();
     for _ in 0..100 {
-        let (id, answer) = scene.enqueue_for("acme", "update", 1, 9000);
+        let (id, answer) = test_bed.enqueue_for("acme", "update", 1, 9000);
         assert_eq!(answer, "+OK");
         ids.insert(id);
         thread::sleep(Duration::from_millis(10));
     }
-    until("all to be delivered", || {
+    wait_until("all to be delivered", || {
         ids.retain(|id| host.calls_of(id).is_empty());
         ids.is_empty().then_some(())
     });
--- a/crates/relay/tests/admin/main.rs
+++ b/crates/relay/tests/admin/main.rs
@@ -5,10 +5,10 @@
 mod durability;
 mod load;
 mod requests;
-#[path = "../scene/mod.rs"]
-mod scene;
 mod sessions;
 mod startup;
+#[path = "../support/mod.rs"]
+mod support;
 mod tenant_lifecycle;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,8 +21,8 @@
 use std::time::{Duration, Instant};
 
 use api::*;
-use scene::*;
 use serde_json::{json, Value};
+use support::*;
 
 fn up(name: &str, host: &Host, block: u16) -> Value {
     entry(name, host.address, block, "up")
--- a/crates/relay/tests/admin/requests.rs
+++ b/crates/relay/tests/admin/requests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn invalid_request_is_answered_with_a_problem_and_changes_nothing() {
+fn invalid_request_gets_problem_response_and_changes_nothing() {
     let (_scene, api) = started(Vec::new(), "import = false");
     assert_eq!(api.create("acme", json!({})).status, 201);
     let json_body = ("content-type", "application/json");
@@ -249,7 +249,7 @@
         ),
     ];
     for (method, path, headers, body, status, kind) in cases {
-        let answer = api.ask(method, path, headers, body);
+        let answer = api.send(method, path, headers, body);
         let context = format!("{method} {path} {body:.40} gives {answer:?}");
         assert_eq!(answer.status, *status, "{context}");
         assert_eq!(
@@ -281,9 +281,9 @@
 }
 
 #[test]
-fn tokens_open_what_their_role_and_scope_allow() {
-    let (mut scene, address) = hosted(Vec::new(), "import = false", "");
-    scene.start();
+fn tokens_permit_only_what_their_role_and_scope_allow() {
+    let (mut test_bed, address) = new_with_tenants(Vec::new(), "import = false", "");
+    test_bed.start();
     let as_whom = |name: &str| Api::new(&address, Some(&token(name)));
     let (root, ops, eyes, team) = (
         as_whom("root"),
@@ -333,13 +333,13 @@
     assert_eq!(ops.change("DELETE", "acme").status, 403);
     assert_eq!(ops.change("DELETE", "acme/secrets/x").status, 403);
     // A file that can't be used leaves the old one in force; a good one counts at once.
-    let path = scene.folder.join("operator.toml");
+    let path = test_bed.folder.join("operator.toml");
     let good = fs::read_to_string(&path).expect("a file");
-    let hangup = |scene: &Scene| scene.signal("-HUP");
+    let hangup = |test_bed: &TestBed| test_bed.signal("-HUP");
     fs::write(&path, good.replace("[admin]", "[admin]\ncolour = 1")).expect("written");
-    hangup(&scene);
-    until("the word on the bad file", || {
-        scene.log().contains("colour").then_some(())
+    hangup(&test_bed);
+    wait_until("the word on the bad file", || {
+        test_bed.log().contains("colour").then_some(())
     });
     assert_eq!(eyes.get("/v1/tenants").status, 200);
     let without = good.replace("name = \"eyes\"", "name = \"blind\"").replace(
@@ -347,8 +347,8 @@
         &"0".repeat(64),
     );
     fs::write(&path, without).expect("written");
-    hangup(&scene);
-    until("the token to be refused", || {
+    hangup(&test_bed);
+    wait_until("the token to be refused", || {
         (eyes.get("/v1/tenants").status == 401).then_some(())
     });
     assert_eq!(root.get("/v1/tenants").status, 200);
--- a/crates/relay/tests/admin/sessions.rs
+++ b/crates/relay/tests/admin/sessions.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 #[test]
-fn clients_name_themselves_and_speak_for_their_tenant_alone() {
+fn authenticated_clients_are_limited_to_their_tenant() {
     let host = Host::new(|_, _| ok());
-    let (scene, api) = started(vec![up("a", &host, 1)], "auth = true");
+    let (test_bed, api) = started(vec![up("a", &host, 1)], "auth = true");
     assert_eq!(api.create("beta", json!({})).status, 201);
     let secret = |tenant: &str, id: &str, secret: &str| {
         let sha256 = tenancy::secret::Digest::of(secret.as_bytes());
         let body = json!({"id": id, "sha256": sha256.to_string()}).to_string();
         let headers = [("content-type", "application/json"), ("if-match", "*")];
-        let answer = api.ask(
+        let answer = api.send(
             "POST",
             &format!("/v1/tenants/{tenant}/secrets"),
             &headers,
@@ -24,7 +24,7 @@
     secret("beta", "main", "tunafish");
     let auth = |name: &str, secret: &str| frame(&[b"AUTH", name.as_bytes(), secret.as_bytes()]);
     let ask = |tenant: &str, id: &str| request_for(tenant, id, "update", 1, 9000, b"body");
-    let mut client = scene.client();
+    let mut client = test_bed.client();
     client.send(&ask("acme", "a1"));
     assert_eq!(client.line(), "-NOAUTH Authentication required.");
     client.send(&auth("acme", "tunafish"));
@@ -42,12 +42,12 @@
     assert!(client
         .line()
         .starts_with("-ERR the message is for another tenant"));
-    until("the call", || host.calls_of("a2").first().cloned());
+    wait_until("the call", || host.calls_of("a2").first().cloned());
     // Another's message of the same name is another message.
-    let mut other = scene.client();
+    let mut other = test_bed.client();
     other.send(&[auth("beta", "tunafish"), ask("beta", "a2")].concat());
     assert_eq!([other.line(), other.line()], ["+OK", "+OK"]);
-    until("its own call", || host.calls_of("a2").get(1).cloned());
+    wait_until("its own call", || host.calls_of("a2").get(1).cloned());
     // A secret that is taken away counts no more, on open connections too.
     secret("acme", "next", "catfish");
     assert_eq!(api.change("DELETE", "acme/secrets/main").status, 200);
@@ -56,14 +56,14 @@
     client.send(&[auth("acme", "catfish"), ask("acme", "a3")].concat());
     assert_eq!([client.line(), client.line()], ["+OK", "+OK"]);
     // Who guesses is put off.
-    let mut guesser = scene.client();
+    let mut guesser = test_bed.client();
     for guess in ["1", "2", "3"] {
         guesser.send(&auth("acme", guess));
         assert!(guesser.line().starts_with("-WRONGPASS"), "{guess}");
     }
     assert_eq!(guesser.line(), "");
     // What was pipelined behind the last guess is read with it, and so it is answered.
-    let mut hasty = scene.client();
+    let mut hasty = test_bed.client();
     let guesses = auth("acme", "1").repeat(3);
     hasty.send(&[guesses, ask("acme", "a4"), frame(&[b"PING"])].concat());
     for _ in 0..3 {
@@ -72,7 +72,7 @@
     assert!(hasty.line().starts_with("-ERR"));
     assert!(hasty.line().starts_with("-ERR"));
     assert_eq!(hasty.line(), "");
-    let mut wrong = scene.client();
+    let mut wrong = test_bed.client();
     wrong.send(&frame(&[b"AUTH", b"acme"]));
     assert!(wrong.line().starts_with("-ERR AUTH takes"));
     assert!(host
@@ -82,18 +82,18 @@
 }
 
 #[test]
-fn without_the_operators_word_there_is_no_auth_and_the_settings_tenants_serve() {
+fn without_auth_in_operator_file_configured_tenants_need_no_credentials() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
-    let mut client = scene.client();
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
+    let mut client = test_bed.client();
     client.send(&frame(&[b"AUTH", b"acme", b"swordfish"]));
     assert_eq!(client.line(), "-ERR unknown command");
-    assert_eq!(scene.enqueue("update", 1).1, "+OK");
-    assert!(scene
+    assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
+    assert!(test_bed
         .enqueue_for("beta", "update", 1, 9000)
         .1
         .starts_with("-ERR unknown tenant"));
-    let files = fs::read_dir(scene.folder.join("state")).expect("a folder");
+    let files = fs::read_dir(test_bed.folder.join("state")).expect("a folder");
     let mut names: Vec<_> = files
         .map(|file| file.expect("a file").file_name())
         .collect();
--- a/crates/relay/tests/admin/startup.rs
+++ b/crates/relay/tests/admin/startup.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 #[test]
-fn the_api_listens_at_a_unix_socket() {
-    let mut scene = Scene::new(Vec::new());
-    let path = scene.folder.join("admin.sock");
-    scene.operator = Some(operator(
-        &scene,
+fn api_listens_on_unix_socket() {
+    let mut test_bed = TestBed::new(Vec::new());
+    let path = test_bed.folder.join("admin.sock");
+    test_bed.operator = Some(operator(
+        &test_bed,
         &format!("unix:{}", path.display()),
         "",
         "",
     ));
-    scene.start();
+    test_bed.start();
     let ask = || {
         let mut stream = std::os::unix::net::UnixStream::connect(&path).expect("connects");
         let head = format!(
@@ -28,15 +28,15 @@
     };
     assert!(ask().starts_with("HTTP/1.1 200 OK\r\n"));
     // A kill leaves the socket behind, which keeps nobody from listening again.
-    scene.kill();
-    scene.start();
+    test_bed.kill();
+    test_bed.start();
     assert!(ask().contains("\"name\":\"acme\""));
 }
 
 #[test]
-fn a_bad_operator_file_ends_the_start_with_one_line() {
-    let scene = Scene::new(Vec::new());
-    let good = operator(&scene, "127.0.0.1:0", "", "");
+fn invalid_operator_file_fails_startup_with_one_line() {
+    let test_bed = TestBed::new(Vec::new());
+    let good = operator(&test_bed, "127.0.0.1:0", "", "");
     let repeated = good.clone() + &good[good.find("[[admin").expect("a token")..];
     let cases = [
         ("[tenants]\nfolder = \"relative\"".to_string(), "absolute"),
@@ -70,9 +70,9 @@
         ("\u{0}".to_string(), "operator file"),
     ];
     for (text, named) in cases {
-        let mut scene = Scene::new(Vec::new());
-        scene.operator = Some(text.clone());
-        let output = scene.command().output().expect("runs");
+        let mut test_bed = TestBed::new(Vec::new());
+        test_bed.operator = Some(text.clone());
+        let output = test_bed.command().output().expect("runs");
         let line = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{text}");
         assert_eq!(line.lines().count(), 1, "{text}: {line}");
@@ -81,7 +81,7 @@
             "{named}: {line}"
         );
     }
-    let mut command = Scene::new(Vec::new()).command();
+    let mut command = TestBed::new(Vec::new()).command();
     let output = command
         .args(["--operator", "/nowhere/at/all"])
         .output()
@@ -93,15 +93,18 @@
 
 /// The file that is shipped is one that a relay takes, but for its folder.
 #[test]
-fn the_shipped_operator_file_is_a_good_one() {
+fn example_operator_file_is_valid() {
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.toml");
     let shipped = fs::read_to_string(shipped).expect("a file");
-    let mut scene = Scene::new(Vec::new());
+    let mut test_bed = TestBed::new(Vec::new());
     for name in ["tenants", "undeliverable"] {
-        fs::create_dir_all(scene.folder.join(name)).expect("a folder");
+        fs::create_dir_all(test_bed.folder.join(name)).expect("a folder");
     }
     let address = bind().local_addr().expect("bound").to_string();
-    let text = shipped.replace("/var/lib/madderpitch", &scene.folder.display().to_string());
+    let text = shipped.replace(
+        "/var/lib/madderpitch",
+        &test_bed.folder.display().to_string(),
+    );
     let text = text.replace("127.0.0.1:8700", &address);
     // The token, partner and rule that it shows are ones, too.
     let example = |line: &str| {
@@ -113,7 +116,7 @@
         Some(shown) if example(shown) => shown,
         _ => line,
     };
-    scene.operator = Some(text.lines().map(plain).collect::<Vec<_>>().join("\n"));
-    scene.start();
+    test_bed.operator = Some(text.lines().map(plain).collect::<Vec<_>>().join("\n"));
+    test_bed.start();
     assert_eq!(Api::new(&address, None).get("/v1/tenants").status, 401);
 }
--- a/crates/relay/tests/admin/tenant_lifecycle.rs
+++ b/crates/relay/tests/admin/tenant_lifecycle.rs
@@ -4,10 +4,10 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn a_tenant_is_made_shown_changed_listed_and_removed() {
+fn tenant_is_created_read_changed_listed_and_removed() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, api) = started(vec![up("a", &host, 1)], "import = false");
-    assert!(scene
+    let (mut test_bed, api) = started(vec![up("a", &host, 1)], "import = false");
+    assert!(test_bed
         .enqueue_for("acme", "update", 1, 9000)
         .1
         .starts_with("-ERR unknown tenant"));
@@ -19,15 +19,15 @@
         json!({"weight": 7, "on_removal": "finish"})
     );
     assert_eq!(api.create("acme", json!({})).status, 409);
-    let (id, answer) = scene.enqueue_for("acme", "update", 1, 9000);
+    let (id, answer) = test_bed.enqueue_for("acme", "update", 1, 9000);
     assert_eq!(answer, "+OK");
-    until("the call", || host.calls_of(&id).first().cloned());
+    wait_until("the call", || host.calls_of(&id).first().cloned());
     let shown = api.get("/v1/tenants/acme");
     assert_eq!(
         (shown.status, shown.body["state"].as_str()),
         (200, Some("active"))
     );
-    let unchanged = api.ask(
+    let unchanged = api.send(
         "GET",
         "/v1/tenants/acme",
         &[("if-none-match", "\"1.1\"")],
@@ -44,7 +44,7 @@
     );
     let put = json!({"spec": {"weight": 3}}).to_string();
     let kind = ("content-type", "application/json");
-    let replaced = api.ask(
+    let replaced = api.send(
         "PUT",
         "/v1/tenants/acme",
         &[kind, ("if-match", "\"1.2\"")],
@@ -54,7 +54,7 @@
         replaced.body["spec"],
         json!({"weight": 3, "on_removal": "finish"})
     );
-    let by_put = api.ask(
+    let by_put = api.send(
         "PUT",
         "/v1/tenants/beta",
         &[kind, ("if-none-match", "*")],
@@ -81,11 +81,11 @@
         cursor = format!("&cursor={next}");
     }
     assert_eq!(names.join(""), r#""acme""beta""t0""t1""t2""t3""t4""#);
-    let usage = until("the delivery to be counted", || {
+    let usage = wait_until("the delivery to be counted", || {
         Some(api.usage("acme")).filter(|usage| usage["delivered"] == 1 && usage["held"] == 0)
     });
     assert_eq!(usage["taken"].as_u64(), Some(1));
-    let removed = api.ask(
+    let removed = api.send(
         "DELETE",
         "/v1/tenants/acme",
         &[("if-match", replaced.tag())],
@@ -95,10 +95,10 @@
         (removed.status, removed.body["state"].as_str()),
         (202, Some("draining"))
     );
-    until("it to be gone", || {
+    wait_until("it to be gone", || {
         (api.get("/v1/tenants/acme").status == 410).then_some(())
     });
-    assert!(scene
+    assert!(test_bed
         .enqueue_for("acme", "update", 1, 9000)
         .1
         .starts_with("-ERR"));
@@ -126,7 +126,7 @@
         (&json!(7), &json!(100))
     );
     // The same stands in the file, a line each.
-    let text = fs::read_to_string(scene.folder.join("tenants/audit.jsonl")).expect("a log");
+    let text = fs::read_to_string(test_bed.folder.join("tenants/audit.jsonl")).expect("a log");
     let lines: Vec<Value> = text
         .lines()
         .map(|line| serde_json::from_str(line).expect("JSON"))
@@ -140,67 +140,67 @@
 }
 
 #[test]
-fn a_paused_tenants_messages_wait_and_end_when_their_time_is_up() {
+fn messages_of_paused_tenant_wait_until_their_deadline() {
     let host = Host::new(|_, _| status("503 Busy"));
-    let (mut scene, api) = started(vec![up("a", &host, 1)], "");
-    let (short, _) = scene.enqueue_for("acme", "update", 1, 1500);
-    let (long, _) = scene.enqueue_for("acme", "payout", 1, 30_000);
-    until("both to be held", || {
+    let (mut test_bed, api) = started(vec![up("a", &host, 1)], "");
+    let (short, _) = test_bed.enqueue_for("acme", "update", 1, 1500);
+    let (long, _) = test_bed.enqueue_for("acme", "payout", 1, 30_000);
+    wait_until("both to be held", || {
         (api.usage("acme")["held"] == 2).then_some(())
     });
     assert_eq!(api.change("POST", "acme/pause").status, 200);
     // A call that began before the pause is still answered as the host was scripted when it comes.
-    until("the calls to come back", || {
+    wait_until("the calls to come back", || {
         (api.usage("acme")["in_flight"] == 0).then_some(())
     });
     host.script(|_, _| ok());
-    assert!(scene
+    assert!(test_bed
         .enqueue_for("acme", "update", 1, 9000)
         .1
         .starts_with("-BUSY"));
-    let notice = until("the end of what is out of time", || {
-        scene.discovery.notice_of(&short)
+    let notice = wait_until("the end of what is out of time", || {
+        test_bed.discovery.notice_for(&short)
     });
     assert_eq!(notice["status"], "deferred");
     let calls = host.calls().len();
     thread::sleep(Duration::from_millis(300));
     assert_eq!(host.calls().len(), calls);
     assert_eq!(api.change("POST", "acme/resume").status, 200);
-    until("the payout to go", || {
+    wait_until("the payout to go", || {
         host.calls_of(&long)
             .iter()
             .any(|call| call.at.elapsed().as_secs() < 5)
             .then_some(())
     });
-    until("its delivery", || {
+    wait_until("its delivery", || {
         (api.usage("acme")["delivered"] == 1).then_some(())
     });
-    assert_eq!(scene.enqueue_for("acme", "update", 1, 9000).1, "+OK");
+    assert_eq!(test_bed.enqueue_for("acme", "update", 1, 9000).1, "+OK");
 }
 
 /// The calls of a removed tenant that are out come to their end, what is held ends as its specification says, and
 /// each message has one end. Made anew meanwhile, it is another.
 #[test]
-fn a_tenant_removed_mid_attempt_has_one_end_for_each_message() {
+fn messages_of_tenant_removed_during_attempts_end_exactly_once() {
     for how in ["finish", "refuse"] {
         // One call is answered late; the others are rejected by the destination.
         let host = Host::new(|seen, _| match seen.id.as_str() {
-            "m0001" => Answer::Later(1500, ok_text()),
+            "m0001" => HostResponse::Delayed(1500, ok_text()),
             _ => status("503 Busy"),
         });
-        let (mut scene, api) = started(vec![up("a", &host, 1)], "");
+        let (mut test_bed, api) = started(vec![up("a", &host, 1)], "");
         let mut ids = Vec::new();
         for _ in 0..4 {
-            let (id, answer) = scene.enqueue_for("acme", "payout", 1, 20_000);
+            let (id, answer) = test_bed.enqueue_for("acme", "payout", 1, 20_000);
             assert_eq!(answer, "+OK");
             ids.push(id);
         }
-        until("the calls", || {
+        wait_until("the calls", || {
             (host.calls_of("m0001").len() == 1 && host.calls().len() > 1).then_some(())
         });
         let removed = api.change("DELETE", &format!("acme?on_removal={how}"));
         assert_eq!(removed.status, 202);
-        assert!(scene
+        assert!(test_bed
             .enqueue_for("acme", "payout", 1, 9000)
             .1
             .starts_with("-ERR the tenant is being removed"));
@@ -214,24 +214,26 @@
         if how == "finish" {
             host.script(|_, _| ok());
         }
-        let (fresh, answer) = scene.enqueue_for("acme", "update", 1, 20_000);
+        let (fresh, answer) = test_bed.enqueue_for("acme", "update", 1, 20_000);
         assert_eq!(answer, "+OK");
         if how == "refuse" {
             for id in &ids[1..] {
-                let notice = until("the end of what was held", || scene.discovery.notice_of(id));
+                let notice = wait_until("the end of what was held", || {
+                    test_bed.discovery.notice_for(id)
+                });
                 assert_eq!(notice["status"], "deferred");
             }
             host.script(|_, _| ok());
         }
-        until("what came later to go", || {
+        wait_until("what came later to go", || {
             host.calls_of(&fresh).first().cloned()
         });
-        until("the old one to be gone", || {
+        wait_until("the old one to be gone", || {
             (api.get("/v1/tenants/acme").body["draining"] == json!([])).then_some(())
         });
         // One delivery or one notice each, and one call that may have run for a payout.
         for id in &ids {
-            let notices = scene
+            let notices = test_bed
                 .discovery
                 .notices
                 .lock()
@@ -256,44 +258,44 @@
 }
 
 #[test]
-fn a_removal_goes_on_over_a_restart() {
-    let host = Host::new(|_, _| Answer::Hang);
-    let (mut scene, api) = started(vec![up("a", &host, 1)], "");
-    let (id, _) = scene.enqueue_for("acme", "update", 1, 20_000);
-    until("the call", || host.calls_of(&id).first().cloned());
+fn tenant_removal_continues_after_restart() {
+    let host = Host::new(|_, _| HostResponse::Hang);
+    let (mut test_bed, api) = started(vec![up("a", &host, 1)], "");
+    let (id, _) = test_bed.enqueue_for("acme", "update", 1, 20_000);
+    wait_until("the call", || host.calls_of(&id).first().cloned());
     assert_eq!(api.change("DELETE", "acme").status, 202);
     assert_eq!(api.create("acme", json!({})).status, 201);
-    scene.kill();
+    test_bed.kill();
     host.script(|_, _| ok());
-    scene.start();
+    test_bed.start();
     assert_eq!(api.get("/v1/tenants/acme").body["version"], "2.1");
-    until("another call", || host.calls_of(&id).get(1).cloned());
-    until("the old one to be gone", || {
+    wait_until("another call", || host.calls_of(&id).get(1).cloned());
+    wait_until("the old one to be gone", || {
         (api.get("/v1/tenants/acme").body["draining"] == json!([])).then_some(())
     });
     assert_eq!(api.usage("acme")["owed"], 0);
 }
 
 #[test]
-fn classes_destinations_rates_and_caps_bind() {
-    let host = Host::new(|_, _| Answer::Hang);
-    let (mut scene, api) = started(vec![up("a", &host, 1), up("b", &host, 2)], "");
+fn tenant_classes_destinations_rates_and_caps_are_enforced() {
+    let host = Host::new(|_, _| HostResponse::Hang);
+    let (mut test_bed, api) = started(vec![up("a", &host, 1), up("b", &host, 2)], "");
     let patch =
         |spec: Value| assert_eq!(api.patch("acme", "*", spec).expect("an answer").status, 200);
     patch(json!({"classes": ["update"], "destinations": ["1"]}));
-    assert!(scene
+    assert!(test_bed
         .enqueue_for("acme", "payout", 1, 9000)
         .1
         .starts_with("-ERR the tenant may not hand in"));
-    assert!(scene
+    assert!(test_bed
         .enqueue_for("acme", "update", 2, 9000)
         .1
         .starts_with("-ERR the tenant may not send"));
-    assert_eq!(scene.enqueue_for("acme", "update", 1, 60_000).1, "+OK");
+    assert_eq!(test_bed.enqueue_for("acme", "update", 1, 60_000).1, "+OK");
     assert_eq!(api.usage("acme")["rejected"], 2);
     patch(json!({"rate": {"per_second": 0.5, "burst": 2}}));
     let answers: Vec<String> = (0..4)
-        .map(|_| scene.enqueue_for("acme", "update", 1, 60_000).1)
+        .map(|_| test_bed.enqueue_for("acme", "update", 1, 60_000).1)
         .collect();
     assert_eq!(answers[..2], ["+OK", "+OK"]);
     // The Retry-After is the time after which the rate admits the next message.
@@ -304,13 +306,13 @@
         .expect("milliseconds");
     assert!((1..=2000).contains(&wait), "{answers:?}");
     patch(json!({"rate": null, "max_held": 3}));
-    assert!(scene
+    assert!(test_bed
         .enqueue_for("acme", "update", 1, 60_000)
         .1
         .starts_with("-BUSY"));
     patch(json!({"max_held": null, "max_in_flight": 1}));
     for _ in 0..3 {
-        assert_eq!(scene.enqueue_for("acme", "update", 1, 60_000).1, "+OK");
+        assert_eq!(test_bed.enqueue_for("acme", "update", 1, 60_000).1, "+OK");
     }
     let usage = api.usage("acme");
     assert_eq!(
--- a/crates/relay/tests/api/mod.rs
+++ b/crates/relay/tests/api/mod.rs
@@ -1,4 +1,4 @@
-//! A scene whose relay hosts tenants, and its administration API through a real HTTP client.
+//! A test bed whose relay hosts tenants, and a client of its administration API over real HTTP.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -8,25 +8,25 @@
 use ureq::http::{Method, Request};
 use ureq::Agent;
 
-use crate::scene::{bind, Scene};
+use crate::support::{bind, TestBed};
 
-/// An answer.
+/// A response of the administration API.
 #[derive(Debug)]
-pub struct Reply {
+pub struct ApiResponse {
     pub status: u16,
     pub etag: Option<String>,
     pub body: Value,
     pub headers: ureq::http::HeaderMap,
 }
 
-impl Reply {
-    /// The version in the entity tag, with its quotes.
+impl ApiResponse {
+    /// The entity tag, with its quotation marks.
     pub fn tag(&self) -> &str {
         self.etag.as_deref().expect("an ETag")
     }
 }
 
-/// The API as the bearer of a token sees it.
+/// A client of the API that sends a bearer token.
 #[derive(Clone)]
 pub struct Api {
     agent: Agent,
@@ -47,14 +47,14 @@
         }
     }
 
-    /// A request with headers and a body; none where no answer came.
-    pub fn try_ask(
+    /// Sends a request with headers and a body; `None` if no complete response arrives.
+    pub fn try_send(
         &self,
         method: &str,
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Option<Reply> {
+    ) -> Option<ApiResponse> {
         let mut request =
             Request::builder().method(Method::from_bytes(method.as_bytes()).expect("a method"));
         request = request.uri(format!("http://{}{path}", self.address));
@@ -82,7 +82,7 @@
         } else {
             serde_json::from_str(&text).expect("JSON")
         };
-        Some(Reply {
+        Some(ApiResponse {
             status: response.status().as_u16(),
             etag,
             body,
@@ -90,18 +90,25 @@
         })
     }
 
-    pub fn ask(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
-        self.try_ask(method, path, headers, body)
-            .expect("an answer")
+    /// Sends a request that must be answered.
+    pub fn send(
+        &self,
+        method: &str,
+        path: &str,
+        headers: &[(&str, &str)],
+        body: &str,
+    ) -> ApiResponse {
+        self.try_send(method, path, headers, body)
+            .expect("a response")
     }
 
-    pub fn get(&self, path: &str) -> Reply {
-        self.ask("GET", path, &[], "")
+    pub fn get(&self, path: &str) -> ApiResponse {
+        self.send("GET", path, &[], "")
     }
 
-    pub fn create(&self, name: &str, spec: Value) -> Reply {
+    pub fn create(&self, name: &str, spec: Value) -> ApiResponse {
         let body = json!({"name": name, "spec": spec}).to_string();
-        self.ask(
+        self.send(
             "POST",
             "/v1/tenants",
             &[("content-type", "application/json")],
@@ -109,18 +116,18 @@
         )
     }
 
-    pub fn patch(&self, name: &str, tag: &str, spec: Value) -> Option<Reply> {
+    pub fn patch(&self, name: &str, tag: &str, spec: Value) -> Option<ApiResponse> {
         let headers = [
             ("content-type", "application/merge-patch+json"),
             ("if-match", tag),
         ];
         let body = json!({"spec": spec}).to_string();
-        self.try_ask("PATCH", &format!("/v1/tenants/{name}"), &headers, &body)
+        self.try_send("PATCH", &format!("/v1/tenants/{name}"), &headers, &body)
     }
 
-    /// A change of whatever state the tenant is in.
-    pub fn change(&self, method: &str, path: &str) -> Reply {
-        self.ask(
+    /// Sends a change that applies to any version of the tenant.
+    pub fn change(&self, method: &str, path: &str) -> ApiResponse {
+        self.send(
             method,
             &format!("/v1/tenants/{path}"),
             &[("if-match", "*")],
@@ -133,7 +140,7 @@
     }
 }
 
-/// The tokens of the operator file: the secret is the name twice.
+/// Name, role and tenant scope of the tokens in the operator file. The secret of a token is its name twice.
 const TOKENS: &[(&str, &str, &str)] = &[
     ("root", "admin", "*"),
     ("ops", "operator", "*"),
@@ -141,13 +148,14 @@
     ("team", "admin", "team-*"),
 ];
 
+/// The secret of a token.
 pub fn token(name: &str) -> String {
     format!("{name}{name}")
 }
 
-/// The operator file, with tokens and more lines for each section.
-pub fn operator(scene: &Scene, address: &str, tenants: &str, admin: &str) -> String {
-    let folder = scene.folder.join("tenants");
+/// The operator file, with the tokens and further lines for the sections `[tenants]` and `[admin]`.
+pub fn operator(test_bed: &TestBed, address: &str, tenants: &str, admin: &str) -> String {
+    let folder = test_bed.folder.join("tenants");
     std::fs::create_dir_all(&folder).expect("a folder");
     let mut text = format!(
         "[tenants]\nfolder = {:?}\n{tenants}\n",
@@ -163,17 +171,17 @@
     text
 }
 
-/// A scene whose relay hosts tenants, not started yet, and where its API listens.
-pub fn hosted(known: Vec<Value>, tenants: &str, admin: &str) -> (Scene, String) {
-    let mut scene = Scene::new(known);
+/// Prepares a relay that hosts tenants, without starting it; returns it with the address of its API.
+pub fn new_with_tenants(hosts: Vec<Value>, tenants: &str, admin: &str) -> (TestBed, String) {
+    let mut test_bed = TestBed::new(hosts);
     let address = bind().local_addr().expect("bound").to_string();
-    scene.operator = Some(operator(&scene, &address, tenants, admin));
-    (scene, address)
+    test_bed.operator = Some(operator(&test_bed, &address, tenants, admin));
+    (test_bed, address)
 }
 
-/// The same, started, with the API as its administrator sees it.
-pub fn started(known: Vec<Value>, tenants: &str) -> (Scene, Api) {
-    let (mut scene, address) = hosted(known, tenants, "");
-    scene.start();
-    (scene, Api::new(&address, Some(&token("root"))))
+/// Starts a relay that hosts tenants; returns it with a client of its API that has the administrator's token.
+pub fn started(hosts: Vec<Value>, tenants: &str) -> (TestBed, Api) {
+    let (mut test_bed, address) = new_with_tenants(hosts, tenants, "");
+    test_bed.start();
+    (test_bed, Api::new(&address, Some(&token("root"))))
 }
--- a/crates/relay/tests/api_transcripts.rs
+++ b/crates/relay/tests/api_transcripts.rs
@@ -5,7 +5,7 @@
 //! All goes through HTTP alone, so that nothing here depends on how the program's items are named.
 
 #[allow(unused_imports)]
-mod scene;
+mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -16,8 +16,8 @@
 use std::thread;
 use std::time::Duration;
 
-use scene::*;
 use serde_json::{json, Value};
+use support::*;
 
 /// Response headers that are no part of a transcript: the date varies, and the others are the connection's.
 const HEADERS_LEFT_OUT: [&str; 3] = ["connection", "content-length", "date"];
@@ -62,7 +62,7 @@
 
 /// A relay with an administration API.
 struct Administration {
-    scene: Scene,
+    test_bed: TestBed,
     address: SocketAddr,
 }
 
@@ -91,7 +91,7 @@
 impl Administration {
     /// A relay that is started with these sections of the operator file beside `[admin]`, which has `limits` in it.
     fn start(hosts: Vec<Value>, limits: &str, sections: impl Fn(&Path) -> String) -> Self {
-        let mut scene = Scene::new(hosts);
+        let mut test_bed = TestBed::new(hosts);
         let address = bind().local_addr().expect("bound");
         let mut operator = format!("[admin]\nlisten = \"{address}\"\n{limits}\n");
         for (name, role, scope, digest) in TOKENS {
@@ -100,10 +100,10 @@
                  tenants = [\"{scope}\"]\n"
             );
         }
-        operator += &sections(&scene.folder);
-        scene.operator = Some(operator);
-        scene.start();
-        Administration { scene, address }
+        operator += &sections(&test_bed.folder);
+        test_bed.operator = Some(operator);
+        test_bed.start();
+        Administration { test_bed, address }
     }
 
     /// Sends a request as it stands in a transcript.
@@ -119,7 +119,7 @@
         }
         text += &format!("\r\n{body}");
         let mut stream = TcpStream::connect(self.address).expect("the API listens");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         // A body that is too long may be answered before all of it was taken.
         drop(stream.write_all(text.as_bytes()));
         let mut reader = BufReader::new(stream);
@@ -156,7 +156,7 @@
     /// Waits until a GET is answered with a body of which something is true.
     fn wait(&self, path: &str, holds: impl Fn(&Value) -> bool) {
         let request = format!("root GET {path}");
-        until(path, || holds(&self.send(&request).json()).then_some(()));
+        wait_until(path, || holds(&self.send(&request).json()).then_some(()));
     }
 }
 
@@ -350,7 +350,7 @@
 const FAST: &str = "requests_per_second = 10000";
 
 #[test]
-fn the_document_is_served_as_it_was() {
+fn served_openapi_document_matches_golden_file() {
     let api = Administration::start(Vec::new(), FAST, |folder| hosted_tenants(folder, false));
     let answered = api.send("nobody GET /v1/openapi.json");
     assert_eq!(answered.status, 200);
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn only_times_and_given_request_names_are_replaced() {
+fn only_times_and_generated_request_ids_are_replaced() {
     let body = r#"{"at":"2026-12-01T08:00:00.123Z","request":"a1b2-7"}"#;
     let replaced = r#"{"at":"TIME","request":"REQUEST"}"#;
     assert_eq!(without_what_varies(body), replaced);
@@ -442,7 +442,7 @@
 ];
 
 #[test]
-fn each_operation_and_each_problem_is_in_a_transcript() {
+fn every_operation_and_problem_type_is_in_a_transcript() {
     let transcripts = [
         "api-not-kept.transcript",
         "api-record-resting.transcript",
@@ -482,9 +482,9 @@
 }
 
 #[test]
-fn tenants_secrets_usage_audit_and_status_are_answered_as_they_were() {
+fn tenant_secret_usage_audit_and_status_responses_match_golden_transcript() {
     let host = Host::new(|_, _| ok());
-    let silent = Host::new(|_, _| Answer::Hang);
+    let silent = Host::new(|_, _| HostResponse::Hang);
     let hosts = vec![
         entry("a", host.address, 1, "up"),
         entry("silent", silent.address, 2, "up"),
@@ -492,15 +492,15 @@
     let mut api = Administration::start(hosts, FAST, |folder| hosted_tenants(folder, false));
     let mut transcript = Transcript::of("api-tenants.transcript");
     transcript.play(&api, "before there are messages");
-    let answer = api.scene.enqueue_for("acme", "update", 1, 20_000).1;
+    let answer = api.test_bed.enqueue_for("acme", "update", 1, 20_000).1;
     assert_eq!(answer, "+OK");
     api.wait("/v1/tenants/acme/usage", |usage| {
         usage["delivered"] == 1 && usage["held"] == 0 && usage["owed"] == 0
     });
     // Its host says nothing, so that the message is held while its tenant drains.
-    let (id, answer) = api.scene.enqueue_for("drains", "update", 2, 50_000);
+    let (id, answer) = api.test_bed.enqueue_for("drains", "update", 2, 50_000);
     assert_eq!(answer, "+OK");
-    until("the call", || silent.calls_of(&id).first().cloned());
+    wait_until("the call", || silent.calls_of(&id).first().cloned());
     transcript.play(&api, "a message is delivered and another is held");
     api.wait("/v1/tenants/t1", |tenant| tenant["status"] == 410);
     transcript.play(&api, "a tenant is gone");
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn a_relay_without_records_or_without_tenants_of_its_own_answers_as_it_did() {
+fn responses_without_records_or_hosted_tenants_match_golden_transcript() {
     let mut transcript = Transcript::of("api-not-kept.transcript");
     let api = Administration::start(Vec::new(), FAST, |folder| hosted_tenants(folder, false));
     transcript.play(&api, "undeliverable messages are not kept");
@@ -519,13 +519,13 @@
 }
 
 #[test]
-fn requests_past_the_rate_are_answered_as_they_were() {
+fn rate_limited_responses_match_golden_transcript() {
     let limits = "requests_per_second = 1";
     let api = Administration::start(Vec::new(), limits, |folder| hosted_tenants(folder, false));
     let mut transcript = Transcript::of("api-too-many-requests.transcript");
     let request = "root GET /v1/openapi.json";
     // Two pass, and one more a second; requests that come at once sooner or later find no room.
-    let refused = until("a refusal", || {
+    let refused = wait_until("a refusal", || {
         let mut answered = (0..8).map(|_| api.send(request));
         answered.find(|answered| answered.status == 429)
     });
@@ -566,10 +566,16 @@
 }
 
 /// Hands a message in and waits until it is given up and kept as the record of this number.
-fn give_up(api: &mut Administration, tenant: &str, class: &str, destination: u16, record: u32) {
+fn submit_until_undeliverable(
+    api: &mut Administration,
+    tenant: &str,
+    class: &str,
+    destination: u16,
+    record: u32,
+) {
     // Calls of a payout are not made twice, so that the first one that breaks ends it; others have their time run out.
     let left = if class == "payout" { 20_000 } else { 400 };
-    let answer = api.scene.enqueue_for(tenant, class, destination, left).1;
+    let answer = api.test_bed.enqueue_for(tenant, class, destination, left).1;
     assert_eq!(answer, "+OK");
     api.wait(&format!("/v1/undeliverable/{record}"), |shown| {
         shown["id"] == record
@@ -577,11 +583,11 @@
 }
 
 #[test]
-fn undeliverable_records_and_batches_are_answered_as_they_were() {
+fn undeliverable_record_and_batch_responses_match_golden_transcript() {
     let (partner, says) = partner();
-    let host = Host::new(|_, _| Answer::Close);
-    let silent = Host::new(|_, _| Answer::Hang);
-    let silent_too = Host::new(|_, _| Answer::Hang);
+    let host = Host::new(|_, _| HostResponse::Close);
+    let silent = Host::new(|_, _| HostResponse::Hang);
+    let silent_too = Host::new(|_, _| HostResponse::Hang);
     let hosts = vec![
         entry("a", host.address, 1, "up"),
         entry("silent", silent.address, 2, "up"),
@@ -594,12 +600,12 @@
     });
     let mut transcript = Transcript::of("api-undeliverable.transcript");
     transcript.play(&api, "there are no records");
-    give_up(&mut api, "acme", "update", 2, 1);
-    give_up(&mut api, "acme", "payout", 1, 2);
-    give_up(&mut api, "acme", "payout", 3, 3);
-    give_up(&mut api, "acme", "event", 4, 4);
-    give_up(&mut api, "beta", "payout", 3, 5);
-    give_up(&mut api, "acme", "payout", 3, 6);
+    submit_until_undeliverable(&mut api, "acme", "update", 2, 1);
+    submit_until_undeliverable(&mut api, "acme", "payout", 1, 2);
+    submit_until_undeliverable(&mut api, "acme", "payout", 3, 3);
+    submit_until_undeliverable(&mut api, "acme", "event", 4, 4);
+    submit_until_undeliverable(&mut api, "beta", "payout", 3, 5);
+    submit_until_undeliverable(&mut api, "acme", "payout", 3, 6);
     thread::sleep(LONGER_THAN_A_RECORD_RESTS);
     transcript.play(&api, "six records are read and claimed");
     transcript.play(&api, "batches");
@@ -632,16 +638,16 @@
 #[test]
 fn resend_of_a_settling_record_matches_golden_transcript() {
     let (partner, _) = partner();
-    let silent = Host::new(|_, _| Answer::Hang);
+    let silent = Host::new(|_, _| HostResponse::Hang);
     let hosts = vec![entry("silent", silent.address, 2, "up")];
     let mut api = Administration::start(hosts, FAST, |folder| {
         hosted_tenants(folder, true) + &kept_records(folder, partner)
     });
     let mut transcript = Transcript::of("api-record-resting.transcript");
     let mut record = 0;
-    let refused = until("a record to be asked for within its rest", || {
+    let refused = wait_until("a record to be asked for within its rest", || {
         record += 1;
-        give_up(&mut api, "acme", "update", 2, record);
+        submit_until_undeliverable(&mut api, "acme", "update", 2, record);
         let answered = api.send(&format!("ops POST /v1/undeliverable/{record}/resend | any"));
         (answered.json()["type"] == "urn:madderpitch:problem:record-resting").then_some(answered)
     });
--- a/crates/relay/tests/configuration_errors.rs
+++ b/crates/relay/tests/configuration_errors.rs
@@ -3,15 +3,15 @@
 //! Lines of a case change a good configuration: `set POINTER JSON`, `remove POINTER`, `text TEXT` (the whole file),
 //! `variable NAME VALUE`, `no-variable NAME`, `no-file`.
 
-mod scene;
 mod startup_errors;
+mod support;
 
 use std::fs;
 use std::process::Command;
 
-use scene::Scene;
 use serde_json::Value;
 use startup_errors::Case;
+use support::TestBed;
 
 const FILE: &str = "config.json";
 
@@ -30,14 +30,14 @@
     parent.expect("a parent").remove(key).expect("a key");
 }
 
-fn answer(scene: &Scene, case: &Case) -> String {
-    let mut command: Command = scene.command();
-    command.current_dir(&scene.folder);
+fn answer(test_bed: &TestBed, case: &Case) -> String {
+    let mut command: Command = test_bed.command();
+    command.current_dir(&test_bed.folder);
     command.env("BALANCER_CONFIG", FILE);
     command.env_remove("BALANCER_CONTROL");
-    let mut config = scene.config.clone();
+    let mut config = test_bed.config.clone();
     let mut text = None;
-    let path = scene.folder.join(FILE);
+    let path = test_bed.folder.join(FILE);
     let mut is_there = true;
     for line in &case.input {
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn every_error_of_the_configuration_is_as_before() {
-    let scene = Scene::new(Vec::new());
-    startup_errors::check("configuration-errors.txt", |case| answer(&scene, case));
+fn configuration_errors_match_golden_file() {
+    let test_bed = TestBed::new(Vec::new());
+    startup_errors::check("configuration-errors.txt", |case| answer(&test_bed, case));
 }
--- a/crates/relay/tests/customers.rs
+++ b/crates/relay/tests/customers.rs
@@ -1,8 +1,8 @@
 //! Settings of other customers: what one of them has and another one has not.
 
-mod scene;
+mod support;
 
-use scene::*;
+use support::*;
 
 /// What a client without a tenant sends.
 fn untold(id: &str, class: &str, block: u16) -> Vec<u8> {
@@ -18,33 +18,35 @@
 
 /// Settings may name no tenants; then clients name none.
 #[test]
-fn without_tenants_messages_are_accepted_delivered_and_kept_over_a_restart() {
+fn messages_without_configured_tenants_are_delivered_and_survive_restart() {
     for listed in [true, false] {
         let host = Host::new(|_, _| ok());
-        let mut scene = Scene::new(vec![entry("a", host.address, 1, "up")]);
-        let settings = scene.config["settings"].as_object_mut().expect("an object");
+        let mut test_bed = TestBed::new(vec![entry("a", host.address, 1, "up")]);
+        let settings = test_bed.config["settings"]
+            .as_object_mut()
+            .expect("an object");
         drop(settings.remove("tenants"));
         if listed {
             settings.insert("tenants".into(), serde_json::json!([]));
         }
-        scene.start();
+        test_bed.start();
         for id in ["one", "two"] {
-            let mut client = scene.client();
+            let mut client = test_bed.client();
             client.send(&untold(id, "update", 1));
             assert_eq!(client.line(), "+OK");
-            until("the call", || host.calls_of(id).first().cloned());
+            wait_until("the call", || host.calls_of(id).first().cloned());
         }
         host.script(|_, _| status("503 Busy"));
-        let mut client = scene.client();
+        let mut client = test_bed.client();
         // Safe, as the process may be killed before it has read the refusal.
         client.send(&untold("three", "update", 1));
         assert_eq!(client.line(), "+OK");
-        until("a refused call", || host.calls_of("three").first().cloned());
-        scene.kill();
+        wait_until("a refused call", || host.calls_of("three").first().cloned());
+        test_bed.kill();
         host.script(|_, _| ok());
         let before = host.calls_of("three").len();
-        scene.start();
-        until("the call after the restart", || {
+        test_bed.start();
+        wait_until("the call after the restart", || {
             (host.calls_of("three").len() > before).then_some(())
         });
     }
@@ -52,12 +54,12 @@
 
 /// Where there are tenants, a message is one of theirs.
 #[test]
-fn with_tenants_a_message_without_one_is_an_error() {
+fn message_without_tenant_is_rejected_if_tenants_are_configured() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::started(vec![entry("a", host.address, 1, "up")]);
-    let mut client = scene.client();
+    let mut test_bed = TestBed::started(vec![entry("a", host.address, 1, "up")]);
+    let mut client = test_bed.client();
     client.send(&untold("one", "update", 1));
     assert_eq!(client.line(), "-ERR the list lacks t");
-    assert_eq!(scene.enqueue("update", 1).1, "+OK");
+    assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
     assert!(host.calls_of("one").is_empty());
 }
--- a/crates/relay/tests/log_events.rs
+++ b/crates/relay/tests/log_events.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn logged_events_and_the_table_of_events_are_the_same() {
+fn logged_events_match_documented_events() {
     let (logged, documented) = (logged_events(), documented_events());
     let missing: Vec<&String> = logged.difference(&documented).collect();
     let stale: Vec<&String> = documented.difference(&logged).collect();
--- a/crates/relay/tests/openapi.rs
+++ b/crates/relay/tests/openapi.rs
@@ -2,7 +2,7 @@
 
 mod api;
 #[allow(unused_imports)]
-mod scene;
+mod support;
 
 use api::*;
 use serde_json::{json, Value};
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn the_document_is_valid_and_true() {
-    let (mut scene, api) = started(Vec::new(), "import = false");
+fn openapi_document_is_valid_and_matches_responses() {
+    let (mut test_bed, api) = started(Vec::new(), "import = false");
     let document = api.get("/v1/openapi.json").body;
     let parsed = oas3::from_json(document.to_string()).expect("a document by OpenAPI 3.1");
     assert!(parsed
@@ -93,7 +93,7 @@
         "max_in_flight": 1, "classes": ["payout"], "destinations": ["1", "4-9"], "on_removal": "refuse"}});
     is("NewTenant", &body);
     let json_body = [("content-type", "application/json")];
-    let made = api.ask("POST", "/v1/tenants", &json_body, &body.to_string());
+    let made = api.send("POST", "/v1/tenants", &json_body, &body.to_string());
     assert_eq!(made.status, 201);
     is("Tenant", &made.body);
     is("Tenant", &api.change("POST", "acme/pause").body);
@@ -119,5 +119,5 @@
     refuses("Tenant", &json!({"name": "acme"}));
     refuses("NewTenant", &json!({"name": "acme", "spec": {"weight": 0}}));
     refuses("Problem", &json!({"type": 7}));
-    scene.kill();
+    test_bed.kill();
 }
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -1,7 +1,7 @@
 //! Daily operation over loopback sockets: control socket, metrics, drains, changed settings, and upgrades under load.
 
 mod api;
-mod scene;
+mod support;
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,31 +10,31 @@
 use std::process::{Child, Stdio};
 use std::time::{Duration, Instant};
 
-use scene::*;
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
+use support::*;
 
 fn up(name: &str, host: &Host, block: u16) -> Value {
     entry(name, host.address, block, "up")
 }
 
 /// The control socket's complete answer to some bytes.
-fn say(at: SocketAddr, text: &[u8]) -> String {
-    let mut stream = TcpStream::connect(at).expect("the door is open");
-    stream.set_read_timeout(Some(LONG)).expect("set");
+fn send_to_control_socket(at: SocketAddr, text: &[u8]) -> String {
+    let mut stream = TcpStream::connect(at).expect("the control socket accepts connections");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     stream.write_all(text).expect("sent");
     let mut answer = String::new();
     drop(stream.read_to_string(&mut answer));
     answer
 }
 
-fn call(at: SocketAddr, word: &str) -> String {
-    say(at, format!("{word}\n").as_bytes())
+fn control_command(at: SocketAddr, word: &str) -> String {
+    send_to_control_socket(at, format!("{word}\n").as_bytes())
 }
 
 /// The figures by name, which end with `eof`.
-fn figures(at: SocketAddr) -> BTreeMap<String, u64> {
-    let text = call(at, "show-stat");
+fn metrics(at: SocketAddr) -> BTreeMap<String, u64> {
+    let text = control_command(at, "show-stat");
     assert!(
         text.starts_with("ok") && text.ends_with("\neof\n"),
         "{text}"
@@ -47,46 +47,46 @@
         .collect()
 }
 
-fn figure(at: SocketAddr, name: &str) -> u64 {
-    figures(at)[name]
+fn metric(at: SocketAddr, name: &str) -> u64 {
+    metrics(at)[name]
 }
 
 /// A relay with a control socket.
-fn with_control_socket(known: Vec<Value>) -> (Scene, SocketAddr) {
-    let mut scene = Scene::new(known);
-    let door = bind().local_addr().expect("bound");
-    scene.config["control"] = json!(door.to_string());
-    (scene, door)
+fn with_control_socket(known: Vec<Value>) -> (TestBed, SocketAddr) {
+    let mut test_bed = TestBed::new(known);
+    let control_address = bind().local_addr().expect("bound");
+    test_bed.config["control"] = json!(control_address.to_string());
+    (test_bed, control_address)
 }
 
-fn ping(scene: &Scene) -> String {
-    let mut client = scene.client();
+fn ping(test_bed: &TestBed) -> String {
+    let mut client = test_bed.client();
     client.send(b"*1\r\n$4\r\nPING\r\n");
     client.line()
 }
 
 /// Replaces the configuration and sends SIGHUP.
-fn reload(scene: &Scene, text: &str) {
-    std::fs::write(scene.folder.join("config.json"), text).expect("a file");
-    scene.signal("-HUP");
+fn reload(test_bed: &TestBed, text: &str) {
+    std::fs::write(test_bed.folder.join("config.json"), text).expect("a file");
+    test_bed.signal("-HUP");
 }
 
 #[test]
-fn control_socket_answers_commands_and_fails_anything_else() {
+fn control_socket_answers_commands_and_rejects_other_input() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
-    scene.start();
-    assert!(call(door, "ready").starts_with("ok"));
-    assert!(say(door, b"show-stat\r\n").ends_with("eof\n"));
+    let (mut test_bed, control_address) = with_control_socket(vec![up("a", &host, 1)]);
+    test_bed.start();
+    assert!(control_command(control_address, "ready").starts_with("ok"));
+    assert!(send_to_control_socket(control_address, b"show-stat\r\n").ends_with("eof\n"));
     for text in [&b"reboot\n"[..], b"\n", b"\xff\xfe\x00\n", &[b'x'; 500]] {
-        let answer = say(door, text);
+        let answer = send_to_control_socket(control_address, text);
         assert!(
             answer.starts_with("fail") && answer.lines().count() == 1,
             "{answer}"
         );
     }
     // Half a line, and then nothing more to come.
-    let mut half = TcpStream::connect(door).expect("open");
+    let mut half = TcpStream::connect(control_address).expect("open");
     half.write_all(b"rea").expect("sent");
     half.shutdown(Shutdown::Write).expect("shut");
     let mut rest = String::new();
@@ -94,38 +94,38 @@
     assert!(!rest.starts_with("ok"), "{rest}");
     // Callers that say nothing keep no other out.
     let silent: Vec<_> = (0..200)
-        .map(|_| TcpStream::connect(door).expect("taken"))
+        .map(|_| TcpStream::connect(control_address).expect("taken"))
         .collect();
     let start = Instant::now();
-    assert!(call(door, "ready").starts_with("ok"));
+    assert!(control_command(control_address, "ready").starts_with("ok"));
     assert!(start.elapsed() < Duration::from_secs(1));
     drop(silent);
 }
 
 /// However often metrics are requested, messages are served, and each answer is complete.
 #[test]
-fn flood_of_control_connections_delays_no_command() {
+fn flood_of_control_connections_does_not_delay_commands() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
-    scene.start();
+    let (mut test_bed, control_address) = with_control_socket(vec![up("a", &host, 1)]);
+    test_bed.start();
     let callers: Vec<_> = (0..4)
         .map(|_| {
             std::thread::spawn(move || {
                 (0..250)
-                    .map(|_| figure(door, "success.update"))
+                    .map(|_| metric(control_address, "success.update"))
                     .collect::<Vec<u64>>()
             })
         })
         .collect();
     for _ in 0..20 {
-        assert_eq!(scene.enqueue("update", 1).1, "+OK");
+        assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
     }
     for caller in callers {
         let seen = caller.join().expect("all calls are answered");
         assert!(seen.is_sorted(), "a count never falls: {seen:?}");
     }
-    until("the deliveries", || {
-        (figure(door, "success.update") == 20).then_some(())
+    wait_until("the deliveries", || {
+        (metric(control_address, "success.update") == 20).then_some(())
     });
 }
 
@@ -135,12 +135,12 @@
         b"fails" => status("500 Broken"),
         _ => ok(),
     });
-    let (mut scene, door) = with_control_socket(vec![
+    let (mut test_bed, control_address) = with_control_socket(vec![
         up("a", &host, 1),
         entry("b", bind().local_addr().unwrap(), 2, "draining"),
     ]);
-    scene.start();
-    let none = figures(door);
+    test_bed.start();
+    let none = metrics(control_address);
     for class in ["event", "update", "payout"] {
         for figure in ["success", "overload", "error"] {
             assert_eq!(
@@ -151,20 +151,23 @@
         }
     }
     for _ in 0..5 {
-        assert_eq!(scene.enqueue("update", 1).1, "+OK");
+        assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
     }
     // An unsafe message that may have run fails for good.
-    assert_eq!(scene.enqueue_body("payout", 1, 20_000, b"fails").1, "+OK");
-    assert!(scene
+    assert_eq!(
+        test_bed.enqueue_body("payout", 1, 20_000, b"fails").1,
+        "+OK"
+    );
+    assert!(test_bed
         .enqueue("update", 9)
         .1
         .starts_with("-ERR unknown destination"));
     // Nobody serves this one, and its time is short.
-    assert_eq!(scene.enqueue_body("update", 2, 300, b"b").1, "+OK");
-    until("all to end", || {
-        (figure(door, "concurrent") == 0).then_some(())
+    assert_eq!(test_bed.enqueue_body("update", 2, 300, b"b").1, "+OK");
+    wait_until("all to end", || {
+        (metric(control_address, "concurrent") == 0).then_some(())
     });
-    let told = figures(door);
+    let told = metrics(control_address);
     let of = |name: &str| told[name];
     assert_eq!(
         (of("success.update"), of("error.payout"), of("error.update")),
@@ -172,69 +175,69 @@
     );
     assert_eq!((of("overload.update"), of("success.payout")), (1, 0));
     assert_eq!(of("dispatches"), host.calls().len() as u64);
-    until("the view of hosts", || {
-        (figure(door, "targets_disabled") >= 1).then_some(())
+    wait_until("the view of hosts", || {
+        (metric(control_address, "targets_disabled") >= 1).then_some(())
     });
-    assert_eq!(figure(door, "targets"), 2);
+    assert_eq!(metric(control_address, "targets"), 2);
 }
 
 #[test]
 fn drained_relay_is_not_ready_closes_clients_and_delivers_queued_messages() {
     let host = Host::new(|_, before| {
         if before == 0 {
-            Answer::Later(2500, ok_text())
+            HostResponse::Delayed(2500, ok_text())
         } else {
             ok()
         }
     });
-    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
-    scene.start();
-    let mut idle = scene.client();
+    let (mut test_bed, control_address) = with_control_socket(vec![up("a", &host, 1)]);
+    test_bed.start();
+    let mut idle = test_bed.client();
     idle.send(b"*1\r\n$4\r\nPING\r\n");
     assert_eq!(idle.line(), "+PONG");
-    let (id, answer) = scene.enqueue("update", 1);
+    let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    assert!(call(door, "drain").starts_with("ok"));
-    assert!(ping(&scene).starts_with("-ERR"), "it says no at once");
-    assert!(call(door, "ready").starts_with("fail"));
+    assert!(control_command(control_address, "drain").starts_with("ok"));
+    assert!(ping(&test_bed).starts_with("-ERR"), "it says no at once");
+    assert!(control_command(control_address, "ready").starts_with("fail"));
     assert!(
-        call(door, "drain").starts_with("ok"),
+        control_command(control_address, "drain").starts_with("ok"),
         "drained twice is drained"
     );
     let start = Instant::now();
     assert_eq!(idle.line(), "", "the connection is closed");
     assert!(start.elapsed() < Duration::from_millis(1900));
     // Past the time of the front, a message is refused and harmless elsewhere.
-    until("a refusal", || {
-        scene
+    wait_until("a refusal", || {
+        test_bed
             .enqueue("update", 1)
             .1
             .starts_with("-BUSY")
             .then_some(())
     });
-    until("the held message", || {
-        (figure(door, "success.update") >= 1).then_some(())
+    wait_until("the held message", || {
+        (metric(control_address, "success.update") >= 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
-    assert!(call(door, "resume").starts_with("ok"));
-    assert_eq!(ping(&scene), "+PONG");
+    assert!(control_command(control_address, "resume").starts_with("ok"));
+    assert_eq!(ping(&test_bed), "+PONG");
     assert!(
-        call(door, "resume").starts_with("ok"),
+        control_command(control_address, "resume").starts_with("ok"),
         "resumed undrained is at work"
     );
-    assert_eq!(scene.enqueue("update", 1).1, "+OK");
+    assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
 }
 
 #[test]
-fn new_settings_count_at_once_and_broken_ones_change_nothing() {
+fn new_settings_apply_immediately_and_invalid_ones_change_nothing() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
-    scene.start();
-    assert!(scene
+    let (mut test_bed, control_address) = with_control_socket(vec![up("a", &host, 1)]);
+    test_bed.start();
+    assert!(test_bed
         .enqueue("fresh", 1)
         .1
         .starts_with("-ERR unknown class"));
-    let mut new = scene.config.clone();
+    let mut new = test_bed.config.clone();
     let mut class = new["settings"]["services"][1].clone();
     class["name"] = json!("fresh");
     new["settings"]["services"]
@@ -245,19 +248,23 @@
         .as_array_mut()
         .expect("a list")
         .remove(0);
-    reload(&scene, &new.to_string());
-    until("the file to be taken", || {
-        (figure(door, "reload_success") == 1).then_some(())
+    reload(&test_bed, &new.to_string());
+    wait_until("the file to be taken", || {
+        (metric(control_address, "reload_success") == 1).then_some(())
     });
-    assert_eq!(scene.enqueue("fresh", 1).1, "+OK");
+    assert_eq!(test_bed.enqueue("fresh", 1).1, "+OK");
     assert!(
-        scene
+        test_bed
             .enqueue("event", 1)
             .1
             .starts_with("-ERR unknown class"),
         "it went"
     );
-    assert_eq!(figures(door)["success.event"], 0, "what it counted stays");
+    assert_eq!(
+        metrics(control_address)["success.event"],
+        0,
+        "what it counted stays"
+    );
     let change = |at: &str, value: Value| {
         let mut bad = new.clone();
         *bad.pointer_mut(at).expect("a key") = value;
@@ -287,51 +294,52 @@
         lacks("maxAttempts"),
     ];
     for (number, text) in broken.iter().enumerate() {
-        reload(&scene, text);
-        let turned_down = || (figure(door, "reload_failure") == number as u64 + 1).then_some(());
-        until("the file to be turned down", turned_down);
-        assert_eq!(scene.enqueue("fresh", 1).1, "+OK", "{text}");
+        reload(&test_bed, text);
+        let turned_down =
+            || (metric(control_address, "reload_failure") == number as u64 + 1).then_some(());
+        wait_until("the file to be turned down", turned_down);
+        assert_eq!(test_bed.enqueue("fresh", 1).1, "+OK", "{text}");
     }
-    assert_eq!(figure(door, "reload_success"), 1);
-    assert!(!scene.log().contains("discovery=127.0.0.1:1\n"));
+    assert_eq!(metric(control_address, "reload_success"), 1);
+    assert!(!test_bed.log().contains("discovery=127.0.0.1:1\n"));
 }
 
 #[test]
-fn a_message_keeps_the_class_it_was_taken_with_over_a_restart() {
+fn message_keeps_its_class_settings_after_reload_and_restart() {
     // The host answers with errors until the script changes: an idempotent class is retried.
     let host = Host::new(|_, _| status("500 Broken"));
-    let (mut scene, door) = with_control_socket(vec![up("a", &host, 1)]);
-    scene.start();
-    let (id, answer) = scene.enqueue("update", 1);
+    let (mut test_bed, control_address) = with_control_socket(vec![up("a", &host, 1)]);
+    test_bed.start();
+    let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    until("the first call", || {
+    wait_until("the first call", || {
         (!host.calls_of(&id).is_empty()).then_some(())
     });
     // The class turns unsafe for what comes from now on, and another one goes.
-    scene.config["settings"]["services"][1]["effect"] = json!("fragile");
-    reload(&scene, &scene.config.to_string());
-    until("the file to be taken", || {
-        (figure(door, "reload_success") == 1).then_some(())
+    test_bed.config["settings"]["services"][1]["effect"] = json!("fragile");
+    reload(&test_bed, &test_bed.config.to_string());
+    wait_until("the file to be taken", || {
+        (metric(control_address, "reload_success") == 1).then_some(())
     });
     let before = host.calls_of(&id).len();
-    until("another call", || {
+    wait_until("another call", || {
         (host.calls_of(&id).len() > before).then_some(())
     });
-    scene.kill();
-    scene.start();
+    test_bed.kill();
+    test_bed.start();
     let before = host.calls_of(&id).len();
-    until("a call after the restart", || {
+    wait_until("a call after the restart", || {
         (host.calls_of(&id).len() > before).then_some(())
     });
     host.script(|_, _| ok());
-    until("its delivery", || {
-        (figure(door, "success.update") == 1).then_some(())
+    wait_until("its delivery", || {
+        (metric(control_address, "success.update") == 1).then_some(())
     });
     // One that is taken now is unsafe: after an error it is never called again.
     host.script(|_, _| status("500 Broken"));
-    let (id, _) = scene.enqueue("update", 1);
-    until("its end", || {
-        (figure(door, "error.update") == 1).then_some(())
+    let (id, _) = test_bed.enqueue("update", 1);
+    wait_until("its end", || {
+        (metric(control_address, "error.update") == 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
 }
@@ -342,37 +350,37 @@
 }
 
 impl Held {
-    fn new(scene: &Scene) -> Held {
+    fn new(test_bed: &TestBed) -> Held {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_reuse_address(true).expect("set");
-        bind_again(&socket, scene.listen);
+        rebind(&socket, test_bed.listen);
         socket.listen(128).expect("listens");
         socket.set_cloexec(false).expect("set");
         Held { socket }
     }
 
     /// Starts a process with a control socket of its own beside those that run.
-    fn start(&self, scene: &Scene) -> (Child, SocketAddr) {
-        let door = bind().local_addr().expect("bound");
+    fn start(&self, test_bed: &TestBed) -> (Child, SocketAddr) {
+        let control_address = bind().local_addr().expect("bound");
         let log = std::fs::File::options()
             .create(true)
             .append(true)
-            .open(scene.folder.join("log"));
-        let mut command = scene.command();
+            .open(test_bed.folder.join("log"));
+        let mut command = test_bed.command();
         command.env("BALANCER_SOCKET_FD", self.socket.as_raw_fd().to_string());
-        command.env("BALANCER_CONTROL", door.to_string());
+        command.env("BALANCER_CONTROL", control_address.to_string());
         let child = command
             .stdout(Stdio::null())
             .stderr(log.expect("a log"))
             .spawn()
             .expect("starts");
-        (child, door)
+        (child, control_address)
     }
 }
 
-fn ready(door: SocketAddr) {
-    until("it to be ready", || {
-        let mut stream = TcpStream::connect(door).ok()?;
+fn ready(control_address: SocketAddr) {
+    wait_until("it to be ready", || {
+        let mut stream = TcpStream::connect(control_address).ok()?;
         stream.write_all(b"ready\n").ok()?;
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).ok()?;
@@ -386,39 +394,40 @@
 }
 
 #[test]
-fn a_new_version_takes_over_calls_messages_and_names() {
-    let slow = Host::new(|_, _| Answer::Later(1200, ok_text()));
+fn new_version_takes_over_calls_messages_and_ids() {
+    let slow = Host::new(|_, _| HostResponse::Delayed(1200, ok_text()));
     let down = bind().local_addr().expect("bound");
-    let scene = &mut Scene::new(vec![up("a", &slow, 1), entry("b", down, 2, "up")]);
-    let held = Held::new(scene);
-    let (mut old, old_door) = held.start(scene);
-    ready(old_door);
+    let test_bed = &mut TestBed::new(vec![up("a", &slow, 1), entry("b", down, 2, "up")]);
+    let held = Held::new(test_bed);
+    let (mut old, old_control_address) = held.start(test_bed);
+    ready(old_control_address);
     // One call is out at the moment of handing over, unsafe as it is; one message waits for a host that is down.
-    let (out, answer) = scene.enqueue("payout", 1);
+    let (out, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
-    let (waits, answer) = scene.enqueue("update", 2);
+    let (waits, answer) = test_bed.enqueue("update", 2);
     assert_eq!(answer, "+OK");
-    until("the call", || {
+    wait_until("the call", || {
         (!slow.calls_of(&out).is_empty()).then_some(())
     });
-    let (new, door) = held.start(scene);
-    ready(door);
+    let (new, control_address) = held.start(test_bed);
+    ready(control_address);
     assert!(
-        call(old_door, "ready").starts_with("fail") || old.try_wait().expect("waits").is_some()
+        control_command(old_control_address, "ready").starts_with("fail")
+            || old.try_wait().expect("waits").is_some()
     );
-    assert_eq!(figure(door, "concurrent"), 2);
+    assert_eq!(metric(control_address, "concurrent"), 2);
     // Submitted again while its call is in flight at the other process: it is recognised, and nothing is sent twice.
-    let mut client = scene.client();
+    let mut client = test_bed.client();
     client.send(&request(&out, "payout", 1, 20_000, b"body"));
     assert_eq!(client.line(), "+OK");
-    until("the end of the call", || {
-        (figure(door, "success.payout") == 1).then_some(())
+    wait_until("the end of the call", || {
+        (metric(control_address, "success.payout") == 1).then_some(())
     });
-    until("the old process to leave", || {
+    wait_until("the old process to leave", || {
         old.try_wait().expect("waits")
     });
     assert_eq!(slow.calls_of(&out).len(), 1);
-    let mut client = scene.client();
+    let mut client = test_bed.client();
     client.send(&request(&out, "payout", 1, 20_000, b"body"));
     assert_eq!(client.line(), "+OK", "what was over is known too");
     // The one that waited is the new process's now.
@@ -428,88 +437,88 @@
     let n = stream.read(&mut text).expect("read");
     assert!(String::from_utf8_lossy(&text[..n]).contains(&waits));
     stream.write_all(ok_text().as_bytes()).expect("answered");
-    until("its delivery", || {
-        (figure(door, "success.update") == 1).then_some(())
+    wait_until("its delivery", || {
+        (metric(control_address, "success.update") == 1).then_some(())
     });
     assert_eq!(slow.calls_of(&out).len(), 1);
-    until("the folder to be tidy", || {
-        (!scene.folder.join("state/upgrade.state").exists()).then_some(())
+    wait_until("the folder to be tidy", || {
+        (!test_bed.folder.join("state/upgrade.state").exists()).then_some(())
     });
     end(new);
 }
 
 #[test]
-fn a_call_that_is_cut_off_with_the_old_process_may_have_run() {
+fn call_interrupted_by_kill_of_old_process_may_have_executed() {
     let host = Host::new(|seen, _| {
         if seen.key.is_some() {
             ok()
         } else {
-            Answer::Hang
+            HostResponse::Hang
         }
     });
-    let scene = &mut Scene::new(vec![up("a", &host, 1)]);
-    let held = Held::new(scene);
-    let (old, old_door) = held.start(scene);
-    ready(old_door);
-    let (id, answer) = scene.enqueue("payout", 1);
+    let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
+    let held = Held::new(test_bed);
+    let (old, old_control_address) = held.start(test_bed);
+    ready(old_control_address);
+    let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
-    until("the call", || {
+    wait_until("the call", || {
         (!host.calls_of(&id).is_empty()).then_some(())
     });
-    let (new, door) = held.start(scene);
-    ready(door);
+    let (new, control_address) = held.start(test_bed);
+    ready(control_address);
     end(old);
     // It is unsafe: it fails, and does not go again.
-    until("its notice", || {
-        let notices = scene.discovery.notices.lock().unwrap();
+    wait_until("its notice", || {
+        let notices = test_bed.discovery.notices.lock().unwrap();
         notices
             .iter()
             .any(|n| n["id"] == json!(id) && n["status"] == "undeliverable")
             .then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
-    assert_eq!(figure(door, "error.payout"), 1);
+    assert_eq!(metric(control_address, "error.payout"), 1);
     end(new);
 }
 
 #[test]
-fn a_new_version_that_dies_leaves_the_old_one_serving() {
-    let host = Host::new(|_, _| Answer::Later(700, ok_text()));
-    let scene = &mut Scene::new(vec![up("a", &host, 1)]);
-    let held = Held::new(scene);
-    let (old, old_door) = held.start(scene);
-    ready(old_door);
-    assert!(call(old_door, "drain").starts_with("ok"));
-    assert!(call(old_door, "resume").starts_with("ok"));
-    let (id, answer) = scene.enqueue("payout", 1);
+fn new_version_killed_during_takeover_leaves_the_old_one_serving() {
+    let host = Host::new(|_, _| HostResponse::Delayed(700, ok_text()));
+    let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
+    let held = Held::new(test_bed);
+    let (old, old_control_address) = held.start(test_bed);
+    ready(old_control_address);
+    assert!(control_command(old_control_address, "drain").starts_with("ok"));
+    assert!(control_command(old_control_address, "resume").starts_with("ok"));
+    let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
-    until("the call", || {
+    wait_until("the call", || {
         (!host.calls_of(&id).is_empty()).then_some(())
     });
     // It takes over, and dies.
-    let (new, door) = held.start(scene);
-    ready(door);
+    let (new, control_address) = held.start(test_bed);
+    ready(control_address);
     end(new);
-    ready(old_door);
-    assert_eq!(ping(scene), "+PONG");
-    until("the call to end where it began", || {
-        (figure(old_door, "success.payout") == 1).then_some(())
+    ready(old_control_address);
+    assert_eq!(ping(test_bed), "+PONG");
+    wait_until("the call to end where it began", || {
+        (metric(old_control_address, "success.payout") == 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
-    let (id, answer) = scene.enqueue("update", 1);
+    let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    until("a delivery", || {
-        (figure(old_door, "success.update") == 1).then_some(())
+    wait_until("a delivery", || {
+        (metric(old_control_address, "success.update") == 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
     // A request that its process did not live to see answered is dropped, and the next one is served.
-    std::fs::write(scene.folder.join("state/upgrade.ask"), b"").expect("a file");
-    until("the request to go", || {
-        (!scene.folder.join("state/upgrade.ask").exists()).then_some(())
+    std::fs::write(test_bed.folder.join("state/upgrade.ask"), b"").expect("a file");
+    wait_until("the request to go", || {
+        (!test_bed.folder.join("state/upgrade.ask").exists()).then_some(())
     });
-    assert!(call(old_door, "ready").starts_with("ok"));
-    let (new, door) = held.start(scene);
-    ready(door);
+    assert!(control_command(old_control_address, "ready").starts_with("ok"));
+    let (new, control_address) = held.start(test_bed);
+    ready(control_address);
     end(new);
     end(old);
 }
@@ -518,28 +527,28 @@
 #[test]
 fn new_version_stopped_while_waiting_leaves_the_old_one_serving() {
     let host = Host::new(|_, _| ok());
-    let scene = &mut Scene::new(vec![up("a", &host, 1)]);
-    let held = Held::new(scene);
-    let (old, old_door) = held.start(scene);
-    ready(old_door);
+    let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
+    let held = Held::new(test_bed);
+    let (old, old_control_address) = held.start(test_bed);
+    ready(old_control_address);
     // It stands still, so that it cannot hand over first.
     send_signal(&old, "-STOP");
-    let (mut new, _) = held.start(scene);
-    until("the request", || {
-        scene
+    let (mut new, _) = held.start(test_bed);
+    wait_until("the request", || {
+        test_bed
             .folder
             .join("state/upgrade.ask")
             .exists()
             .then_some(())
     });
     send_signal(&new, "-TERM");
-    assert!(until("the new one to end", || new.try_wait().expect("waits")).success());
+    assert!(wait_until("the new one to end", || new.try_wait().expect("waits")).success());
     send_signal(&old, "-CONT");
-    ready(old_door);
-    let (id, answer) = scene.enqueue("payout", 1);
+    ready(old_control_address);
+    let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
-    until("a delivery", || {
-        (figure(old_door, "success.payout") == 1).then_some(())
+    wait_until("a delivery", || {
+        (metric(old_control_address, "success.payout") == 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
     end(old);
@@ -547,26 +556,26 @@
 
 /// The old version gets SIGTERM while a call of its own is in flight: it completes the call and reports its end to the new one.
 #[test]
-fn old_version_stopped_in_a_hand_over_completes_its_calls() {
-    let host = Host::new(|_, _| Answer::Later(1500, ok_text()));
-    let scene = &mut Scene::new(vec![up("a", &host, 1)]);
-    let held = Held::new(scene);
-    let (mut old, old_door) = held.start(scene);
-    ready(old_door);
-    let (id, answer) = scene.enqueue("payout", 1);
+fn old_version_stopped_during_handover_completes_its_calls() {
+    let host = Host::new(|_, _| HostResponse::Delayed(1500, ok_text()));
+    let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
+    let held = Held::new(test_bed);
+    let (mut old, old_control_address) = held.start(test_bed);
+    ready(old_control_address);
+    let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
-    until("the call", || {
+    wait_until("the call", || {
         (!host.calls_of(&id).is_empty()).then_some(())
     });
-    let (new, door) = held.start(scene);
-    ready(door);
+    let (new, control_address) = held.start(test_bed);
+    ready(control_address);
     send_signal(&old, "-TERM");
-    assert!(until("the old one to leave", || old.try_wait().expect("waits")).success());
-    until("the end of the call", || {
-        (figure(door, "success.payout") == 1).then_some(())
+    assert!(wait_until("the old one to leave", || old.try_wait().expect("waits")).success());
+    wait_until("the end of the call", || {
+        (metric(control_address, "success.payout") == 1).then_some(())
     });
     assert_eq!(
-        (host.calls_of(&id).len(), scene.discovery.notice_of(&id)),
+        (host.calls_of(&id).len(), test_bed.discovery.notice_for(&id)),
         (1, None)
     );
     end(new);
@@ -574,33 +583,37 @@
 
 #[test]
 fn drain_is_handed_over_and_a_third_process_is_rejected() {
-    let host = Host::new(|_, _| Answer::Later(2500, ok_text()));
-    let scene = &mut Scene::new(vec![up("a", &host, 1)]);
-    let held = Held::new(scene);
-    let (mut old, old_door) = held.start(scene);
-    ready(old_door);
-    assert_eq!(scene.enqueue("update", 1).1, "+OK");
-    until("the call", || (!host.calls().is_empty()).then_some(()));
-    assert!(call(old_door, "drain").starts_with("ok"));
-    let (new, door) = held.start(scene);
-    until("its door", || TcpStream::connect(door).ok());
-    until("it to have taken over", || {
-        call(door, "ready").contains("draining").then_some(())
+    let host = Host::new(|_, _| HostResponse::Delayed(2500, ok_text()));
+    let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
+    let held = Held::new(test_bed);
+    let (mut old, old_control_address) = held.start(test_bed);
+    ready(old_control_address);
+    assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
+    wait_until("the call", || (!host.calls().is_empty()).then_some(()));
+    assert!(control_command(old_control_address, "drain").starts_with("ok"));
+    let (new, control_address) = held.start(test_bed);
+    wait_until("its control socket", || {
+        TcpStream::connect(control_address).ok()
+    });
+    wait_until("it to have taken over", || {
+        control_command(control_address, "ready")
+            .contains("draining")
+            .then_some(())
     });
     // While the old one's call is out there are two; a third is one too many.
-    let (mut third, _) = held.start(scene);
-    let status = until("the third to end", || third.try_wait().expect("waits"));
+    let (mut third, _) = held.start(test_bed);
+    let status = wait_until("the third to end", || third.try_wait().expect("waits"));
     assert!(!status.success());
     assert!(
-        scene
+        test_bed
             .log()
             .contains("another process is about to take over already"),
         "{}",
-        scene.log()
+        test_bed.log()
     );
-    assert!(call(door, "resume").starts_with("ok"));
-    assert_eq!(ping(scene), "+PONG");
-    until("the old process to leave", || {
+    assert!(control_command(control_address, "resume").starts_with("ok"));
+    assert_eq!(ping(test_bed), "+PONG");
+    wait_until("the old process to leave", || {
         old.try_wait().expect("waits")
     });
     assert_eq!(host.calls().len(), 1);
@@ -608,11 +621,11 @@
 }
 
 #[test]
-fn a_start_that_cannot_be_says_so_in_one_line() {
+fn failed_startup_reports_one_line() {
     let host = Host::new(|_, _| ok());
-    let (scene, _) = with_control_socket(vec![up("a", &host, 1)]);
+    let (test_bed, _) = with_control_socket(vec![up("a", &host, 1)]);
     let fails = |name: &str, value: &str, says: &str| {
-        let mut command = scene.command();
+        let mut command = test_bed.command();
         let output = command.env(name, value).output().expect("runs");
         let text = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(!output.status.success() && text.contains(says), "{text}");
@@ -641,7 +654,7 @@
         "cannot listen on descriptor 977",
     );
     // A journal of a form to come is left as it is.
-    let journal = scene.journal();
+    let journal = test_bed.journal();
     let body = [200u8, 1, 2, 3];
     let mut text = (body.len() as u32).to_le_bytes().to_vec();
     text.extend(crc32fast::hash(&body).to_le_bytes());
@@ -653,13 +666,13 @@
 
 /// No client may meet a refused, reset or unread connection, whatever it does while versions change.
 #[test]
-fn clients_notice_nothing_of_an_upgrade_under_load() {
+fn clients_see_no_errors_during_upgrades_under_load() {
     let host = Host::new(|_, _| ok());
-    let scene = &mut Scene::new(vec![up("a", &host, 1)]);
-    let held = Held::new(scene);
-    let (mut old, door) = held.start(scene);
-    ready(door);
-    let listen = scene.listen;
+    let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
+    let held = Held::new(test_bed);
+    let (mut old, control_address) = held.start(test_bed);
+    ready(control_address);
+    let listen = test_bed.listen;
     let over = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let workers: Vec<_> = (0..4)
         .map(|worker| {
@@ -671,7 +684,7 @@
                     let id = format!("w{worker}x{sent}");
                     let mut stream: TcpStream = open.take().unwrap_or_else(|| {
                         let stream = TcpStream::connect(listen).expect("never refused");
-                        stream.set_read_timeout(Some(LONG)).expect("set");
+                        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
                         stream
                     });
                     drop(stream.write_all(&request(&id, "update", 1, 20_000, b"body")));
@@ -695,9 +708,9 @@
         })
         .collect();
     for _ in 0..3 {
-        let (new, door) = held.start(scene);
-        ready(door);
-        until("the old process to leave", || {
+        let (new, control_address) = held.start(test_bed);
+        ready(control_address);
+        wait_until("the old process to leave", || {
             old.try_wait().expect("waits")
         });
         old = new;
@@ -713,7 +726,7 @@
         unread <= 6,
         "{unread} of {sent} met a connection that was closed before it was read"
     );
-    until("all deliveries", || {
+    wait_until("all deliveries", || {
         let ids: std::collections::BTreeSet<_> =
             host.calls().into_iter().map(|seen| seen.id).collect();
         (ids.len() as u32 >= sent).then_some(())
@@ -726,27 +739,28 @@
 
 /// Answers to administrators and the used rates of tenants are handed over as well.
 #[test]
-fn the_administration_api_and_used_rates_go_across() {
+fn administration_api_responses_and_used_rates_are_handed_over() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, address) = api::hosted(vec![up("a", &host, 1)], "import = false", "");
-    let held = Held::new(&scene);
-    let (mut old, old_door) = held.start(&scene);
-    ready(old_door);
+    let (mut test_bed, address) =
+        api::new_with_tenants(vec![up("a", &host, 1)], "import = false", "");
+    let held = Held::new(&test_bed);
+    let (mut old, old_control_address) = held.start(&test_bed);
+    ready(old_control_address);
     let api = api::Api::new(&address, Some(&api::token("root")));
     // Three at once, and then one a minute.
     let rate = json!({"weight": 1, "rate": {"per_second": 1.0 / 60.0, "burst": 3}});
     assert_eq!(api.create("acme", rate).status, 201);
     for _ in 0..3 {
-        assert_eq!(scene.enqueue_for("acme", "update", 1, 9000).1, "+OK");
+        assert_eq!(test_bed.enqueue_for("acme", "update", 1, 9000).1, "+OK");
     }
-    until("the deliveries", || {
-        (figure(old_door, "success.update") == 3).then_some(())
+    wait_until("the deliveries", || {
+        (metric(old_control_address, "success.update") == 3).then_some(())
     });
     for weight in 2..5 {
-        let before = scene.enqueue_for("acme", "update", 1, 9000).1;
+        let before = test_bed.enqueue_for("acme", "update", 1, 9000).1;
         assert!(before.starts_with("-BUSY"), "{before}");
-        let (new, door) = held.start(&scene);
-        ready(door);
+        let (new, control_address) = held.start(&test_bed);
+        ready(control_address);
         // It serves the API before it says yes.
         let shown = api.get("/v1/tenants/acme");
         assert_eq!(
@@ -757,12 +771,12 @@
             .patch("acme", shown.tag(), json!({"weight": weight}))
             .expect("an answer");
         assert_eq!(changed.status, 200);
-        let after = scene.enqueue_for("acme", "update", 1, 9000).1;
+        let after = test_bed.enqueue_for("acme", "update", 1, 9000).1;
         assert!(after.starts_with("-BUSY"), "{after}");
-        until("the old process to leave", || {
+        wait_until("the old process to leave", || {
             old.try_wait().expect("waits")
         });
-        (old, _) = (new, door);
+        (old, _) = (new, control_address);
     }
     end(old);
 }
--- a/crates/relay/tests/operator_file_errors.rs
+++ b/crates/relay/tests/operator_file_errors.rs
@@ -4,13 +4,13 @@
 //! that name), `%bytes HEX` (these bytes), and `%repeat COUNT TEXT` (the text that many times, with `{n}` for the number of
 //! each and `\n` for the end of a line).
 
-mod scene;
 mod startup_errors;
+mod support;
 
 use std::fs;
 use std::path::Path;
 
-use scene::Scene;
+use support::TestBed;
 
 const FILE: &str = "operator.toml";
 
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn every_error_of_the_operator_file_is_as_before() {
-    let scene = Scene::new(Vec::new());
-    let path = scene.folder.join(FILE);
+fn operator_file_errors_match_golden_file() {
+    let test_bed = TestBed::new(Vec::new());
+    let path = test_bed.folder.join(FILE);
     startup_errors::check("operator-file-errors.txt", |case| {
         drop(fs::remove_file(&path));
         drop(fs::remove_dir(&path));
         write_input(&path, &case.input);
-        let mut command = scene.command();
-        command.current_dir(&scene.folder);
+        let mut command = test_bed.command();
+        command.current_dir(&test_bed.folder);
         command.args(["--operator", FILE]);
         startup_errors::run(command)
     });
--- a/crates/relay/tests/platform.rs
+++ b/crates/relay/tests/platform.rs
@@ -1,13 +1,13 @@
 //! What the platform asks of the program: the deploy file is true, nothing that it refuses is called, and the least
 //! configuration starts.
 
-mod scene;
+mod support;
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-use scene::*;
 use serde_json::{json, Value};
+use support::*;
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_deploy_files_name_all_that_the_relay_is_made_of() {
+fn deploy_files_list_all_relay_packages_and_sources() {
     for file in ["deploy/balancer.toml", "deploy/balancer-log.toml"] {
         let table = deploy(file);
         let named: BTreeSet<String> = list(&table, "node").into_iter().collect();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn nothing_that_is_refused_is_called() {
+fn relay_makes_no_refused_system_calls() {
     let mut files = Vec::new();
     packages()
         .iter()
@@ -166,9 +166,9 @@
 
 /// No optional key of the file, and none of those in the settings that mean zero where they are absent.
 #[test]
-fn the_least_configuration_starts_and_serves() {
+fn minimal_configuration_starts_and_serves() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::new(vec![entry("a", host.address, 1, "up")]);
+    let mut test_bed = TestBed::new(vec![entry("a", host.address, 1, "up")]);
     let whole = settings();
     let mut least = json!({"services": whole["services"], "siblings": 1,
         "familyInfo": {"callsOut": 16}, "rules": {}, "limits": {}});
@@ -178,13 +178,13 @@
     for key in ["mostHeld", "maxAttempts", "dialTimeout", "idleClose"] {
         least["limits"][key] = whole["limits"][key].clone();
     }
-    let known = scene.config["known"].clone();
-    let config = &scene.config;
-    scene.config = json!({"listen": config["listen"], "discovery": config["discovery"], "seed": "1",
+    let known = test_bed.config["known"].clone();
+    let config = &test_bed.config;
+    test_bed.config = json!({"listen": config["listen"], "discovery": config["discovery"], "seed": "1",
         "limits": {"sockets": 128, "disk_mb": 1}, "known": known, "settings": least});
-    scene.start();
-    assert_eq!(scene.enqueue("update", 1).1, "+OK");
-    until("its delivery", || (!host.calls().is_empty()).then_some(()));
+    test_bed.start();
+    assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
+    wait_until("its delivery", || (!host.calls().is_empty()).then_some(()));
     // Without each of these keys it does not start, and says which.
     let keys = [
         "/settings/limits/maxAttempts",
@@ -193,21 +193,21 @@
         "/limits",
         "/settings/siblings",
     ];
-    scene.kill();
+    test_bed.kill();
     for key in keys {
         let (parent, name) = key.rsplit_once('/').expect("a path");
-        let before = scene.config.clone();
+        let before = test_bed.config.clone();
         let parent = if parent.is_empty() {
-            Some(&mut scene.config)
+            Some(&mut test_bed.config)
         } else {
-            scene.config.pointer_mut(parent)
+            test_bed.config.pointer_mut(parent)
         };
         parent
             .and_then(Value::as_object_mut)
             .expect("an object")
             .remove(name)
             .expect("a key");
-        let output = scene.command().output().expect("runs");
+        let output = test_bed.command().output().expect("runs");
         let text = String::from_utf8_lossy(&output.stderr).to_string();
         assert!(
             !output.status.success() && text.contains(name),
@@ -220,6 +220,6 @@
             1,
             "{text}"
         );
-        scene.config = before;
+        test_bed.config = before;
     }
 }
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -1,7 +1,7 @@
 //! What comes between two lines of the relay: each test does it at a point where the relay stands, so that the order is
 //! the bad one every time. docs/races.md lists the places.
 
-mod scene;
+mod support;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use runtime::Signal;
-use scene::stepped::Point;
-use scene::*;
 use socket2::SockRef;
+use support::in_process::HookPoint;
+use support::*;
 
 /// Closes a connection with a reset.
 fn reset(stream: TcpStream) {
@@ -24,7 +24,7 @@
 
 /// Reads a call to its end and gives its id.
 fn read_call(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(LONG)).expect("set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\nbody") {
         let mut byte = [0];
@@ -41,20 +41,20 @@
 /// A client that rests until the relay closes its connection sends a request just then: it is not read, which the client
 /// learns by a reset, and sent once more on a new connection it has one effect.
 #[test]
-fn a_request_between_the_last_look_and_the_close_is_not_half_taken() {
+fn request_between_last_input_check_and_close_is_not_partly_processed() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::new(vec![entry("a", host.address, 1, "up")]);
-    let relay = scene.inside(&[]);
-    scene.until_ready();
+    let mut test_bed = TestBed::new(vec![entry("a", host.address, 1, "up")]);
+    let relay = test_bed.start_in_process(&[]);
+    test_bed.wait_until_ready();
     // A connection that says nothing at first is the one that is closed soonest.
-    let mut client = scene.client();
-    let id = scene.id();
+    let mut client = test_bed.client();
+    let id = test_bed.id();
     let late = request(&id, "payout", 1, 20_000, b"body");
     let mut sender = client.reader.get_ref().try_clone().expect("cloned");
     let sent = Arc::new(Mutex::new(0));
     let (text, times) = (late.clone(), sent.clone());
-    relay.at_points(move |point| {
-        if point == Point::ClientLooked && *times.lock().unwrap() == 0 {
+    relay.set_hook(move |point| {
+        if point == HookPoint::ClientInputChecked && *times.lock().unwrap() == 0 {
             *times.lock().unwrap() += 1;
             sender.write_all(&text).expect("the connection stands");
         }
@@ -64,13 +64,13 @@
     assert_eq!(reset.kind(), std::io::ErrorKind::ConnectionReset);
     assert_eq!(*sent.lock().unwrap(), 1);
     relay.signal(Signal::Stop);
-    assert_eq!(relay.end(), Ok(()));
+    assert_eq!(relay.wait_for_exit(), Ok(()));
     assert!(host.calls_of(&id).is_empty());
-    scene.start();
-    let mut client = scene.client();
+    test_bed.start();
+    let mut client = test_bed.client();
     client.send(&late);
     assert_eq!(client.line(), "+OK");
-    until("the call", || host.calls_of(&id).first().cloned());
+    wait_until("the call", || host.calls_of(&id).first().cloned());
     thread::sleep(Duration::from_millis(50));
     assert_eq!(host.calls_of(&id).len(), 1);
 }
@@ -78,20 +78,20 @@
 /// A process that was read from and ends, or is killed, loses what it has not answered by then. So what comes shortly before
 /// its end is answered before it is read, and the connection closes behind the answer, with nothing under way.
 #[test]
-fn a_request_shortly_before_sigkill_is_answered_before_it_is_read() {
+fn requests_shortly_before_sigkill_are_answered_before_being_read() {
     let host = Host::new(|_, _| ok());
-    let scene = Scene::new(vec![entry("a", host.address, 1, "up")]);
-    let relay = scene.inside(&[]);
-    scene.until_ready();
-    let mut client = scene.client();
+    let test_bed = TestBed::new(vec![entry("a", host.address, 1, "up")]);
+    let relay = test_bed.start_in_process(&[]);
+    test_bed.wait_until_ready();
+    let mut client = test_bed.client();
     client.send(&frame(&[b"PING"]));
     assert_eq!(client.line(), "+PONG");
     relay.signal(Signal::Stop);
     thread::sleep(Duration::from_millis(3340));
     let points = Arc::new(Mutex::new(Vec::new()));
     let seen = points.clone();
-    relay.at_points(move |point| {
-        if matches!(point, Point::ClientRead | Point::ClientWrote) {
+    relay.set_hook(move |point| {
+        if matches!(point, HookPoint::ClientRead | HookPoint::ClientWritten) {
             seen.lock().unwrap().push(point);
         }
     });
@@ -104,10 +104,10 @@
     assert!(client.line().starts_with("-BUSY"));
     assert!(client.line().starts_with("-ERR"));
     assert_eq!(client.line(), "", "it closes behind the answer");
-    assert_eq!(relay.end(), Ok(()));
+    assert_eq!(relay.wait_for_exit(), Ok(()));
     assert_eq!(
         *points.lock().unwrap(),
-        [Point::ClientWrote, Point::ClientRead]
+        [HookPoint::ClientWritten, HookPoint::ClientRead]
     );
     assert!(host.calls().is_empty());
 }
@@ -137,7 +137,7 @@
 /// A kept connection that ends between the look and the first byte: after a reset nothing is written, and the call goes out
 /// on a new connection; after a close the relay has to assume that what was written may have executed.
 #[test]
-fn a_kept_connection_that_ends_under_the_first_byte_makes_no_second_effect() {
+fn idle_connection_ending_at_first_byte_causes_no_second_effect() {
     for (class, ends) in [
         ("payout", Ends::Reset),
         ("payout", Ends::Close),
@@ -152,15 +152,15 @@
 /// False if the kept connection was not used.
 fn ends_under_the_first_byte(class: &str, ends: Ends) -> bool {
     let listener = bind();
-    let mut scene = Scene::new(vec![entry(
+    let mut test_bed = TestBed::new(vec![entry(
         "a",
         listener.local_addr().expect("bound"),
         1,
         "up",
     )]);
-    let relay = scene.inside(&[]);
-    scene.until_ready();
-    let (first, answer) = scene.enqueue("update", 1);
+    let relay = test_bed.start_in_process(&[]);
+    test_bed.wait_until_ready();
+    let (first, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
     let (mut stream, _) = listener.accept().expect("accepted");
     assert_eq!(read_call(&mut stream), first);
@@ -170,10 +170,14 @@
     );
     let over = Arc::new(Mutex::new(false));
     let (mine, done, told) = (kept.clone(), ended.clone(), over.clone());
-    relay.at_points(move |point| {
+    relay.set_hook(move |point| {
         // Its end is in the journal once its connection is kept.
-        *told.lock().unwrap() |= point == Point::Kept;
-        if let Some(stream) = mine.lock().unwrap().take_if(|_| point == Point::HostLooked) {
+        *told.lock().unwrap() |= point == HookPoint::JournalWritten;
+        if let Some(stream) = mine
+            .lock()
+            .unwrap()
+            .take_if(|_| point == HookPoint::HostInputChecked)
+        {
             *done.lock().unwrap() = true;
             let ports = (stream.peer_addr(), stream.local_addr());
             match ends {
@@ -181,19 +185,19 @@
                 Ends::Close => drop(stream),
             }
             // On a busy machine the end takes a moment to arrive; a write before that has been sent.
-            until("the end to arrive", || {
+            wait_until("the end to arrive", || {
                 (!is_established(&ports.0, &ports.1)).then_some(())
             });
         }
     });
     stream.write_all(ok_text().as_bytes()).expect("written");
-    until("the end of the first message", || {
+    wait_until("the end of the first message", || {
         over.lock().unwrap().then_some(())
     });
     *kept.lock().unwrap() = Some(stream);
     let ids = Arc::new(Mutex::new(Vec::new()));
     serve(listener, ids.clone());
-    let (id, answer) = scene.enqueue(class, 1);
+    let (id, answer) = test_bed.enqueue(class, 1);
     assert_eq!(answer, "+OK");
     let times = || {
         ids.lock()
@@ -202,8 +206,8 @@
             .filter(|seen| **seen == id)
             .count()
     };
-    let notice = until("its end or its call", || {
-        let notice = scene.discovery.notice_of(&id);
+    let notice = wait_until("its end or its call", || {
+        let notice = test_bed.discovery.notice_for(&id);
         (notice.is_some() || times() > 0).then_some(notice)
     });
     if !*ended.lock().unwrap() {
@@ -242,39 +246,43 @@
 /// A client that disconnects once its message is in the journal and before the reply: the message has one end, and what the
 /// client sends anew is another message.
 #[test]
-fn a_client_that_is_gone_before_its_ok_leaves_one_message() {
+fn client_disconnected_before_ok_leaves_one_message() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::new(vec![entry("a", host.address, 1, "up")]);
-    let relay = scene.inside(&[]);
-    scene.until_ready();
-    let client = Arc::new(Mutex::new(Some(scene.client())));
+    let mut test_bed = TestBed::new(vec![entry("a", host.address, 1, "up")]);
+    let relay = test_bed.start_in_process(&[]);
+    test_bed.wait_until_ready();
+    let client = Arc::new(Mutex::new(Some(test_bed.client())));
     let (mine, gone) = (client.clone(), Arc::new(Mutex::new(false)));
     let done = gone.clone();
-    relay.at_points(move |point| {
-        if let Some(client) = mine.lock().unwrap().take_if(|_| point == Point::Kept) {
+    relay.set_hook(move |point| {
+        if let Some(client) = mine
+            .lock()
+            .unwrap()
+            .take_if(|_| point == HookPoint::JournalWritten)
+        {
             reset(client.reader.into_inner());
             *done.lock().unwrap() = true;
         }
     });
-    let id = scene.id();
+    let id = test_bed.id();
     let text = request(&id, "payout", 1, 20_000, b"body");
     client.lock().unwrap().as_mut().expect("there").send(&text);
-    until("the call", || host.calls_of(&id).first().cloned());
+    wait_until("the call", || host.calls_of(&id).first().cloned());
     assert!(*gone.lock().unwrap());
-    let (again, answer) = scene.enqueue("payout", 1);
+    let (again, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
-    until("the call", || host.calls_of(&again).first().cloned());
+    wait_until("the call", || host.calls_of(&again).first().cloned());
     assert_eq!(
         (host.calls_of(&id).len(), host.calls_of(&again).len()),
         (1, 1)
     );
     relay.signal(Signal::Stop);
-    assert_eq!(relay.end(), Ok(()));
+    assert_eq!(relay.wait_for_exit(), Ok(()));
 }
 
 /// Signals that come before the first list, in the start and together: the process ends by itself, and what it owes is kept.
 #[test]
-fn signals_before_the_first_list_end_the_process_and_lose_nothing() {
+fn signals_before_first_list_end_the_process_without_loss() {
     use Signal::{Reload, Stop};
     let cases = [&[Stop][..], &[Stop, Stop], &[Reload, Stop], &[Stop, Reload]];
     thread::scope(|threads| {
@@ -286,19 +294,23 @@
 
 fn signals_first(first: &[Signal]) {
     let host = Host::new(|_, _| status("503 Busy"));
-    let mut scene = Scene::started(vec![entry("a", host.address, 1, "up")]);
-    let (id, answer) = scene.enqueue("update", 1);
+    let mut test_bed = TestBed::started(vec![entry("a", host.address, 1, "up")]);
+    let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    until("a refused call", || host.calls_of(&id).first().cloned());
-    scene.kill();
-    scene.discovery.silent.store(true, SeqCst);
-    assert_eq!(scene.inside(first).end(), Ok(()), "{first:?}");
-    scene.discovery.silent.store(false, SeqCst);
+    wait_until("a refused call", || host.calls_of(&id).first().cloned());
+    test_bed.kill();
+    test_bed.discovery.silent.store(true, SeqCst);
+    assert_eq!(
+        test_bed.start_in_process(first).wait_for_exit(),
+        Ok(()),
+        "{first:?}"
+    );
+    test_bed.discovery.silent.store(false, SeqCst);
     host.script(|_, _| ok());
     let before = host.calls_of(&id).len();
-    scene.start();
-    until("the call", || {
+    test_bed.start();
+    wait_until("the call", || {
         (host.calls_of(&id).len() > before).then_some(())
     });
-    assert_eq!(scene.discovery.notice_of(&id), None, "{first:?}");
+    assert_eq!(test_bed.discovery.notice_for(&id), None, "{first:?}");
 }
--- a/crates/relay/tests/relay/client_connections.rs
+++ b/crates/relay/tests/relay/client_connections.rs
@@ -5,7 +5,7 @@
 #[test]
 fn malformed_frames_get_an_error_and_a_close() {
     let host = Host::new(|_, _| ok());
-    let scene = Scene::started(vec![up("a", &host, 1)]);
+    let test_bed = TestBed::started(vec![up("a", &host, 1)]);
     let nested = b"*1\r\n".repeat(20_000);
     let long = frame(&[b"ENQUEUE", &[b'x'; 70_000], b"id", b"c=update", b"body"]);
     let cases: Vec<&[u8]> = vec![
@@ -24,7 +24,7 @@
         &long,
     ];
     for case in cases {
-        let mut client = scene.client();
+        let mut client = test_bed.client();
         // It may be cut off before it has sent all.
         drop(client.reader.get_mut().write_all(case));
         let answer = client.line();
@@ -36,50 +36,50 @@
         );
         assert_eq!(client.line(), "", "{shown:?}");
     }
-    let mut client = scene.client();
+    let mut client = test_bed.client();
     client.send(b"*1\r\n$4\r\nPING\r\n");
     assert_eq!(client.line(), "+PONG");
 }
 
 #[test]
-fn connections_that_are_kept_unused_keep_nobody_out() {
+fn unused_connections_do_not_block_new_clients() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::new(vec![up("a", &host, 1)]);
+    let mut test_bed = TestBed::new(vec![up("a", &host, 1)]);
     // Room for 20 clients.
-    scene.config["limits"]["sockets"] = 64.into();
-    scene.start();
+    test_bed.config["limits"]["sockets"] = 64.into();
+    test_bed.start();
     let (mut asked, mut silent) = (Vec::new(), Vec::new());
     for _ in 0..60 {
-        let mut client = scene.client();
+        let mut client = test_bed.client();
         client.send(&frame(&[b"PING"]));
         assert_eq!(client.line(), "+PONG");
         asked.push(client);
-        silent.push(scene.client());
+        silent.push(test_bed.client());
     }
-    let (id, answer) = scene.enqueue("update", 1);
+    let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    until("the call", || host.calls_of(&id).first().cloned());
+    wait_until("the call", || host.calls_of(&id).first().cloned());
 }
 
 #[test]
-fn quiet_connections_are_closed_where_many_are_open_and_kept_where_few_are() {
+fn idle_connections_are_closed_only_when_many_are_open() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::new(vec![up("a", &host, 1)]);
-    scene.config["limits"]["sockets"] = 64.into();
-    scene.start();
-    let ask = |scene: &Scene| {
-        let mut client = scene.client();
+    let mut test_bed = TestBed::new(vec![up("a", &host, 1)]);
+    test_bed.config["limits"]["sockets"] = 64.into();
+    test_bed.start();
+    let ask = |test_bed: &TestBed| {
+        let mut client = test_bed.client();
         client.send(&frame(&[b"PING"]));
         assert_eq!(client.line(), "+PONG");
         client
     };
-    let mut alone = ask(&scene);
+    let mut alone = ask(&test_bed);
     std::thread::sleep(Duration::from_millis(4500));
     alone.send(&frame(&[b"PING"]));
     assert_eq!(alone.line(), "+PONG", "one alone is kept");
     // More than a third of the 20 places: clients that may hold no more of their own would be stuck.
     let start = Instant::now();
-    let many: Vec<Client> = (0..10).map(|_| ask(&scene)).collect();
+    let many: Vec<Client> = (0..10).map(|_| ask(&test_bed)).collect();
     let closed = many
         .into_iter()
         .filter_map(|mut client| client.line().is_empty().then_some(()));
@@ -87,21 +87,21 @@
 }
 
 #[test]
-fn a_connection_with_an_open_request_is_not_closed_to_make_room() {
+fn connection_with_pending_request_is_not_closed_for_new_clients() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::new(vec![up("a", &host, 1)]);
-    scene.config["limits"]["sockets"] = 64.into();
+    let mut test_bed = TestBed::new(vec![up("a", &host, 1)]);
+    test_bed.config["limits"]["sockets"] = 64.into();
     // Requests stay open for a round.
-    scene.config["settings"]["tick"] = 1_000_000.into();
-    scene.start();
-    let mut first = scene.client();
+    test_bed.config["settings"]["tick"] = 1_000_000.into();
+    test_bed.start();
+    let mut first = test_bed.client();
     first.send(&frame(&[b"PING"]));
     assert_eq!(first.line(), "+PONG");
     std::thread::sleep(Duration::from_millis(50));
     first.send(&request("open", "update", 1, 20_000, b"x"));
     let others: Vec<Client> = (0..40)
         .map(|_| {
-            let mut client = scene.client();
+            let mut client = test_bed.client();
             client.send(&frame(&[b"PING"]));
             assert_eq!(client.line(), "+PONG");
             client
@@ -112,29 +112,29 @@
 }
 
 #[test]
-fn a_request_with_the_id_of_a_message_that_is_over_brings_nothing_new() {
+fn request_with_id_of_ended_message_submits_nothing() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
-    let (id, answer) = scene.enqueue("payout", 1);
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
+    let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
-    let mut client = scene.client();
+    let mut client = test_bed.client();
     // It ends once its call has been answered; the id is submitted again before and after that.
-    until("the call", || host.calls_of(&id).first().cloned());
+    wait_until("the call", || host.calls_of(&id).first().cloned());
     for _ in 0..50 {
         client.send(&request(&id, "payout", 1, 20_000, b"other"));
         assert_eq!(client.line(), "+OK");
     }
-    let (last, _) = scene.enqueue("payout", 1);
-    until("the last call", || host.calls_of(&last).first().cloned());
+    let (last, _) = test_bed.enqueue("payout", 1);
+    wait_until("the last call", || host.calls_of(&last).first().cloned());
     assert_eq!(host.calls_of(&id).len(), 1);
 }
 
 #[test]
-fn silent_clients_are_closed_and_half_requests_get_an_error() {
+fn silent_clients_are_closed_and_partial_requests_get_an_error() {
     let host = Host::new(|_, _| ok());
-    let scene = Scene::started(vec![up("a", &host, 1)]);
+    let test_bed = TestBed::started(vec![up("a", &host, 1)]);
     let text = request("half", "update", 1, 20_000, b"body");
-    let mut clients: Vec<Client> = (0..4).map(|_| scene.client()).collect();
+    let mut clients: Vec<Client> = (0..4).map(|_| test_bed.client()).collect();
     clients[1].send(&text[..1]);
     clients[2].send(&text[..text.len() - 1]);
     // A whole request before it changes nothing.
@@ -153,10 +153,10 @@
 }
 
 #[test]
-fn an_error_line_arrives_though_its_client_goes_on_sending() {
+fn error_reply_arrives_while_client_keeps_sending() {
     let host = Host::new(|_, _| ok());
-    let scene = Scene::started(vec![up("a", &host, 1)]);
-    let mut client = scene.client();
+    let test_bed = TestBed::started(vec![up("a", &host, 1)]);
+    let mut client = test_bed.client();
     // Far more than the relay has read when it finds the first byte wrong.
     client.send(&vec![b'x'; 1 << 20]);
     assert_eq!(
@@ -174,9 +174,9 @@
 }
 
 #[test]
-fn wrong_requests_get_an_error_and_the_connection_stays() {
+fn invalid_requests_get_an_error_and_keep_the_connection() {
     let host = Host::new(|_, _| ok());
-    let scene = Scene::started(vec![up("a", &host, 1)]);
+    let test_bed = TestBed::started(vec![up("a", &host, 1)]);
     let with = |list: &str| {
         frame(&[
             b"ENQUEUE",
@@ -226,7 +226,7 @@
         request("id", "update", 1, 1000, &[1; 65_537]),
         request("id", "update", 1, 1000, &vec![1; 3_000_000]),
     ];
-    let mut client = scene.client();
+    let mut client = test_bed.client();
     for case in &cases {
         client.send(case);
         let shown = String::from_utf8_lossy(&case[..case.len().min(90)]).into_owned();
@@ -234,6 +234,6 @@
     }
     client.send(&request("last", "update", 1, 20_000, b"good"));
     assert_eq!(client.line(), "+OK");
-    until("the call", || host.calls_of("last").first().cloned());
+    wait_until("the call", || host.calls_of("last").first().cloned());
     assert_eq!(host.calls().len(), 1);
 }
--- a/crates/relay/tests/relay/configuration.rs
+++ b/crates/relay/tests/relay/configuration.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 #[test]
-fn bad_configuration_ends_the_start_with_one_line() {
-    let scene = Scene::new(Vec::new());
+fn invalid_configuration_fails_startup_with_one_line() {
+    let test_bed = TestBed::new(Vec::new());
     let mut bad = vec![Value::Null, serde_json::json!({}), serde_json::json!([1])];
     for (place, value) in [
         ("/seed", Value::from("xyz")),
@@ -15,14 +15,14 @@
         ("/settings/familyInfo/callsOut", Value::from(5000)),
         ("/known/hosts", serde_json::json!([{"host": "a"}])),
     ] {
-        let mut config = scene.config.clone();
+        let mut config = test_bed.config.clone();
         *config.pointer_mut(place).expect("is there") = value;
         bad.push(config);
     }
     for config in bad {
-        let mut scene = Scene::new(Vec::new());
-        scene.config = config;
-        let output = scene.command().output().expect("runs");
+        let mut test_bed = TestBed::new(Vec::new());
+        test_bed.config = config;
+        let output = test_bed.command().output().expect("runs");
         let text = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
             !output.status.success() && text.lines().count() == 1,
--- a/crates/relay/tests/relay/journal.rs
+++ b/crates/relay/tests/relay/journal.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 #[test]
-fn a_call_that_was_out_at_a_kill_may_have_run() {
-    let host = Host::new(|_, _| Answer::Hang);
-    let mut scene = Scene::started(vec![
+fn call_in_flight_at_kill_may_have_executed() {
+    let host = Host::new(|_, _| HostResponse::Hang);
+    let mut test_bed = TestBed::started(vec![
         up("a", &host, 1),
         up("b", &host, 2),
         up("c", &host, 3),
@@ -13,18 +13,18 @@
     let ids: Vec<String> = [("update", 1), ("event", 2), ("payout", 3)]
         .iter()
         .map(|(class, block)| {
-            let (id, answer) = scene.enqueue(class, *block);
+            let (id, answer) = test_bed.enqueue(class, *block);
             assert_eq!(answer, "+OK");
             id
         })
         .collect();
-    until("three calls", || (host.calls().len() == 3).then_some(()));
-    scene.kill();
+    wait_until("three calls", || (host.calls().len() == 3).then_some(()));
+    test_bed.kill();
     host.script(|_, _| ok());
-    scene.start();
+    test_bed.start();
     // Safe and keyed ones go again, under their names and keys.
     for id in &ids[..2] {
-        let calls = until("another call", || {
+        let calls = wait_until("another call", || {
             Some(host.calls_of(id)).filter(|calls| calls.len() == 2)
         });
         assert_eq!(
@@ -33,59 +33,59 @@
         );
     }
     // A non-idempotent one must not, nor may its client be answered that resubmitting is safe.
-    let notice = until("the notice", || scene.discovery.notice_of(&ids[2]));
+    let notice = wait_until("the notice", || test_bed.discovery.notice_for(&ids[2]));
     assert_eq!(notice["status"], "undeliverable");
     assert_eq!(host.calls_of(&ids[2]).len(), 1);
     // What was delivered or ended is not owed at the next start. A kill might come between an answer and
     // its record; this end does not.
-    scene.term();
-    assert!(scene.end().success());
-    scene.start();
-    let (id, _) = scene.enqueue("update", 1);
-    until("the call", || host.calls_of(&id).first().cloned());
+    test_bed.terminate();
+    assert!(test_bed.wait_for_exit().success());
+    test_bed.start();
+    let (id, _) = test_bed.enqueue("update", 1);
+    wait_until("the call", || host.calls_of(&id).first().cloned());
     assert_eq!(host.calls().len(), 6, "{:?}", host.calls());
 }
 
 #[test]
-fn attempts_and_the_keys_memory_are_counted_over_restarts() {
-    let host = Host::new(|_, _| Answer::Hang);
-    let mut scene = Scene::new(vec![up("a", &host, 2)]);
-    scene.config["settings"]["services"][0]["window"] = 1_500_000.into();
-    scene.start();
-    let (id, _) = scene.enqueue("event", 2);
-    until("the call", || host.calls_of(&id).first().cloned());
-    scene.kill();
+fn attempts_and_idempotency_key_age_are_kept_across_restarts() {
+    let host = Host::new(|_, _| HostResponse::Hang);
+    let mut test_bed = TestBed::new(vec![up("a", &host, 2)]);
+    test_bed.config["settings"]["services"][0]["window"] = 1_500_000.into();
+    test_bed.start();
+    let (id, _) = test_bed.enqueue("event", 2);
+    wait_until("the call", || host.calls_of(&id).first().cloned());
+    test_bed.kill();
     // The key is forgotten while the relay is down.
     std::thread::sleep(Duration::from_millis(1600));
-    scene.start();
-    let notice = until("the notice", || scene.discovery.notice_of(&id));
+    test_bed.start();
+    let notice = wait_until("the notice", || test_bed.discovery.notice_for(&id));
     assert_eq!(notice["status"], "undeliverable");
     assert_eq!(host.calls_of(&id).len(), 1);
 }
 
 #[test]
-fn a_message_past_its_time_at_the_start_ends_at_once() {
-    let host = Host::new(|_, _| Answer::Hang);
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
-    let (id, _) = scene.enqueue_body("update", 1, 1500, b"x");
-    until("the call", || host.calls_of(&id).first().cloned());
-    scene.kill();
+fn message_past_its_deadline_at_startup_fails_immediately() {
+    let host = Host::new(|_, _| HostResponse::Hang);
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
+    let (id, _) = test_bed.enqueue_body("update", 1, 1500, b"x");
+    wait_until("the call", || host.calls_of(&id).first().cloned());
+    test_bed.kill();
     std::thread::sleep(Duration::from_millis(1600));
     host.script(|_, _| ok());
-    scene.start();
-    let notice = until("the notice", || scene.discovery.notice_of(&id));
+    test_bed.start();
+    let notice = wait_until("the notice", || test_bed.discovery.notice_for(&id));
     assert_eq!(notice["status"], "undeliverable");
     assert_eq!(host.calls_of(&id).len(), 1);
 }
 
 #[test]
-fn a_torn_journal_loses_only_its_torn_record() {
-    let host = Host::new(|_, _| Answer::Hang);
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
-    let (id, _) = scene.enqueue("update", 1);
-    until("the call", || host.calls_of(&id).first().cloned());
-    scene.kill();
-    let whole = fs::read(scene.journal()).expect("a journal");
+fn torn_journal_loses_only_its_torn_record() {
+    let host = Host::new(|_, _| HostResponse::Hang);
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
+    let (id, _) = test_bed.enqueue("update", 1);
+    wait_until("the call", || host.calls_of(&id).first().cloned());
+    test_bed.kill();
+    let whole = fs::read(test_bed.journal()).expect("a journal");
     for tail in [
         &whole[..5],
         &[0xff; 40][..],
@@ -94,30 +94,30 @@
     ] {
         let mut file = fs::File::options()
             .append(true)
-            .open(scene.journal())
+            .open(test_bed.journal())
             .expect("a journal");
         file.write_all(tail).expect("written");
     }
     host.script(|_, _| ok());
-    scene.start();
-    until("another call", || host.calls_of(&id).get(1).cloned());
+    test_bed.start();
+    wait_until("another call", || host.calls_of(&id).get(1).cloned());
     // What is written after the cut can be read again.
-    host.script(|_, _| Answer::Hang);
-    let (second, _) = scene.enqueue("update", 1);
-    until("the call", || host.calls_of(&second).first().cloned());
-    scene.kill();
+    host.script(|_, _| HostResponse::Hang);
+    let (second, _) = test_bed.enqueue("update", 1);
+    wait_until("the call", || host.calls_of(&second).first().cloned());
+    test_bed.kill();
     assert!(
-        scene.log().contains("journal: torn_tail_dropped"),
+        test_bed.log().contains("journal: torn_tail_dropped"),
         "{}",
-        scene.log()
+        test_bed.log()
     );
     host.script(|_, _| ok());
-    scene.start();
-    until("another call", || host.calls_of(&second).get(1).cloned());
+    test_bed.start();
+    wait_until("another call", || host.calls_of(&second).get(1).cloned());
 }
 
-fn folder_size(scene: &Scene) -> u64 {
-    let files = fs::read_dir(scene.folder.join("state"))
+fn folder_size(test_bed: &TestBed) -> u64 {
+    let files = fs::read_dir(test_bed.folder.join("state"))
         .expect("a folder")
         .flatten();
     files
@@ -127,47 +127,47 @@
 }
 
 #[test]
-fn the_journal_is_written_anew_and_stays_under_its_limit() {
+fn journal_is_compacted_and_stays_under_its_limit() {
     let host = Host::new(|seen, _| {
         if seen.id == "m0001" {
-            Answer::Hang
+            HostResponse::Hang
         } else {
             ok()
         }
     });
-    let mut scene = Scene::new(vec![up("a", &host, 1), up("b", &host, 2)]);
-    scene.config["limits"]["disk_mb"] = 0.25.into();
-    scene.start();
-    let (owed, _) = scene.enqueue("update", 1);
+    let mut test_bed = TestBed::new(vec![up("a", &host, 1), up("b", &host, 2)]);
+    test_bed.config["limits"]["disk_mb"] = 0.25.into();
+    test_bed.start();
+    let (owed, _) = test_bed.enqueue("update", 1);
     let mut shrunk = 0;
     let mut size = 0;
     for number in 0..120 {
-        let (id, answer) = scene.enqueue_body("update", 2, 20_000, &[7; 10_000]);
+        let (id, answer) = test_bed.enqueue_body("update", 2, 20_000, &[7; 10_000]);
         assert_eq!(answer, "+OK", "message {number}");
-        until("the call", || host.calls_of(&id).first().cloned());
-        let now = folder_size(&scene);
+        wait_until("the call", || host.calls_of(&id).first().cloned());
+        let now = folder_size(&test_bed);
         assert!(now < 220_000, "{now} bytes");
         shrunk += u32::from(now < size);
         size = now;
     }
     assert!(shrunk > 3, "written anew {shrunk} times");
-    scene.kill();
+    test_bed.kill();
     host.script(|_, _| ok());
-    scene.start();
-    until("what was owed all along", || {
+    test_bed.start();
+    wait_until("what was owed all along", || {
         host.calls_of(&owed).get(1).cloned()
     });
     assert_eq!(host.calls_of(&owed)[1].body, b"body");
 }
 
 #[test]
-fn a_full_journal_turns_messages_away_and_the_relay_lives() {
-    let host = Host::new(|_, _| Answer::Hang);
-    let mut scene = Scene::new(vec![up("a", &host, 1), up("b", &host, 2)]);
-    scene.config["limits"]["disk_mb"] = 0.25.into();
-    scene.start();
+fn full_journal_rejects_messages_and_relay_keeps_running() {
+    let host = Host::new(|_, _| HostResponse::Hang);
+    let mut test_bed = TestBed::new(vec![up("a", &host, 1), up("b", &host, 2)]);
+    test_bed.config["limits"]["disk_mb"] = 0.25.into();
+    test_bed.start();
     let answers: Vec<String> = (0..20)
-        .map(|_| scene.enqueue_body("update", 1, 50_000, &[7; 10_000]).1)
+        .map(|_| test_bed.enqueue_body("update", 1, 50_000, &[7; 10_000]).1)
         .collect();
     assert!(
         answers[..5].iter().all(|answer| answer == "+OK"),
@@ -179,8 +179,8 @@
             .all(|answer| answer.starts_with("-BUSY ")),
         "{answers:?}"
     );
-    let (id, answer) = scene.enqueue_body("update", 2, 50_000, b"small");
+    let (id, answer) = test_bed.enqueue_body("update", 2, 50_000, b"small");
     assert_eq!(answer, "+OK");
-    until("the call", || host.calls_of(&id).first().cloned());
-    assert!(folder_size(&scene) < 220_000);
+    wait_until("the call", || host.calls_of(&id).first().cloned());
+    assert!(folder_size(&test_bed) < 220_000);
 }
--- a/crates/relay/tests/relay/main.rs
+++ b/crates/relay/tests/relay/main.rs
@@ -7,16 +7,16 @@
 mod requests;
 mod resources;
 mod retries;
-#[path = "../scene/mod.rs"]
-mod scene;
 mod shutdown;
+#[path = "../support/mod.rs"]
+mod support;
 
 use std::fs;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-use scene::*;
 use serde_json::Value;
+use support::*;
 
 fn up(name: &str, host: &Host, block: u16) -> Value {
     entry(name, host.address, block, "up")
--- a/crates/relay/tests/relay/requests.rs
+++ b/crates/relay/tests/relay/requests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn messages_reach_their_host_unchanged_split_and_pipelined() {
     let host = Host::new(|_, _| ok());
-    let scene = Scene::started(vec![up("a", &host, 7)]);
+    let test_bed = TestBed::started(vec![up("a", &host, 7)]);
     let bodies: Vec<Vec<u8>> = vec![
         (0..=255).collect(),
         b"\r\n$3\r\n".to_vec(),
@@ -16,7 +16,7 @@
     for (number, body) in bodies.iter().enumerate() {
         text.extend(request(&format!("x{number}"), "event", 7, 20_000, body));
     }
-    let mut client = scene.client();
+    let mut client = test_bed.client();
     // Every cut in the first requests, then the rest at once.
     for byte in &text[..700] {
         client.send(&[*byte]);
@@ -27,7 +27,7 @@
     }
     for (number, body) in bodies.iter().enumerate() {
         let id = format!("x{number}");
-        let calls = until("the call", || {
+        let calls = wait_until("the call", || {
             Some(host.calls_of(&id)).filter(|calls| !calls.is_empty())
         });
         assert_eq!(&calls[0].body, body);
@@ -38,10 +38,10 @@
 #[test]
 fn connections_are_reused_newest_first() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::started(vec![up("a", &host, 7)]);
+    let mut test_bed = TestBed::started(vec![up("a", &host, 7)]);
     for number in 1..=20 {
-        assert_eq!(scene.enqueue("update", 7).1, "+OK");
-        until("the call", || (host.calls().len() == number).then_some(()));
+        assert_eq!(test_bed.enqueue("update", 7).1, "+OK");
+        wait_until("the call", || (host.calls().len() == number).then_some(()));
     }
     assert!(
         host.calls().iter().all(|call| call.connection == 0),
--- a/crates/relay/tests/relay/resources.rs
+++ b/crates/relay/tests/relay/resources.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// A figure of the process in /proc: a status line's number, or the count of descriptors.
-fn resident(scene: &Scene) -> usize {
-    let id = scene.relay.as_ref().expect("runs").id();
+fn resident(test_bed: &TestBed) -> usize {
+    let id = test_bed.relay.as_ref().expect("runs").id();
     let status = fs::read_to_string(format!("/proc/{id}/status")).expect("a process");
     let line = status
         .lines()
@@ -16,42 +16,42 @@
         .expect("a number")
 }
 
-fn descriptors(scene: &Scene) -> usize {
-    let id = scene.relay.as_ref().expect("runs").id();
+fn descriptors(test_bed: &TestBed) -> usize {
+    let id = test_bed.relay.as_ref().expect("runs").id();
     fs::read_dir(format!("/proc/{id}/fd"))
         .expect("a process")
         .count()
 }
 
 #[test]
-fn ever_new_hosts_ids_keys_and_connections_leave_nothing_behind() {
+fn new_hosts_ids_keys_and_connections_leak_no_resources() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::started(vec![up("h0", &host, 1)]);
+    let mut test_bed = TestBed::started(vec![up("h0", &host, 1)]);
     let mut seq = 1;
-    let mut churn = |scene: &mut Scene, rounds: usize| {
+    let mut churn = |test_bed: &mut TestBed, rounds: usize| {
         for _ in 0..rounds {
             // A new host at the address of the one that goes.
             seq += 1;
             let gone = entry(&format!("h{}", seq - 2), host.address, 1, "removed");
-            scene
+            test_bed
                 .discovery
                 .push(seq, &[up(&format!("h{}", seq - 1), &host, 1), gone]);
             for _ in 0..4 {
                 // Each on a connection of its own, which is dropped.
-                let (id, answer) = scene.enqueue("event", 1);
+                let (id, answer) = test_bed.enqueue("event", 1);
                 assert_eq!(answer, "+OK");
-                until("the call", || host.calls_of(&id).first().cloned());
+                wait_until("the call", || host.calls_of(&id).first().cloned());
             }
-            host.seen.lock().unwrap().clear();
+            host.recorded_calls.lock().unwrap().clear();
         }
     };
-    churn(&mut scene, 150);
-    let before = (resident(&scene), descriptors(&scene));
-    churn(&mut scene, 600);
-    let after = until("few descriptors", || {
-        Some(descriptors(&scene)).filter(|now| *now < before.1 + 20)
+    churn(&mut test_bed, 150);
+    let before = (resident(&test_bed), descriptors(&test_bed));
+    churn(&mut test_bed, 600);
+    let after = wait_until("few descriptors", || {
+        Some(descriptors(&test_bed)).filter(|now| *now < before.1 + 20)
     });
-    let grown = resident(&scene).saturating_sub(before.0);
+    let grown = resident(&test_bed).saturating_sub(before.0);
     // 2,400 messages, connections, ids and keys, and 600 hosts: a kilobyte left by each would be more.
     assert!(
         grown < 2048,
--- a/crates/relay/tests/relay/retries.rs
+++ b/crates/relay/tests/relay/retries.rs
@@ -7,14 +7,14 @@
     let told = "429 Slow\r\nX-Backoff-Ms: 900";
     let host = Host::new(move |_, before| if before == 0 { status(told) } else { ok() });
     let other = host.clone();
-    let mut scene = Scene::started(vec![up("a", &host, 1), up("b", &other, 1)]);
-    let (first, _) = scene.enqueue("payout", 1);
-    let start = until("the call", || host.calls_of(&first).first().cloned()).at;
-    let ids: Vec<String> = (0..5).map(|_| scene.enqueue("update", 1).0).collect();
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1), up("b", &other, 1)]);
+    let (first, _) = test_bed.enqueue("payout", 1);
+    let start = wait_until("the call", || host.calls_of(&first).first().cloned()).at;
+    let ids: Vec<String> = (0..5).map(|_| test_bed.enqueue("update", 1).0).collect();
     for id in &ids {
-        until("the call", || host.calls_of(id).first().cloned());
+        wait_until("the call", || host.calls_of(id).first().cloned());
     }
-    until("another call", || host.calls_of(&first).get(1).cloned());
+    wait_until("another call", || host.calls_of(&first).get(1).cloned());
     // Calls may cross the answer for a tenth of a second.
     let wait = start + Duration::from_millis(100)..start + Duration::from_millis(900);
     let early: Vec<_> = host
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn connecting_call_is_held_back_by_a_retry_after_received_meanwhile() {
+fn connecting_call_is_held_back_by_retry_after_received_meanwhile() {
     // A listener whose queue is full lets nobody in until it accepts.
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -47,14 +47,14 @@
             ok()
         }
     });
-    let mut scene = Scene::new(vec![entry("a", any, 1, "up")]);
-    scene.config["settings"]["limits"]["dialTimeout"] = 20_000_000.into();
-    scene.start();
-    let (first, _) = scene.enqueue("update", 1);
+    let mut test_bed = TestBed::new(vec![entry("a", any, 1, "up")]);
+    test_bed.config["settings"]["limits"]["dialTimeout"] = 20_000_000.into();
+    test_bed.start();
+    let (first, _) = test_bed.enqueue("update", 1);
     // The other host sends a Retry-After while that call is still connecting; the hosts' loads tell which host gets which message.
-    scene.discovery.push(2, &[up("b", &host, 1)]);
-    let start = until("a call at the other host", || {
-        scene.enqueue("update", 1);
+    test_bed.discovery.push(2, &[up("b", &host, 1)]);
+    let start = wait_until("a call at the other host", || {
+        test_bed.enqueue("update", 1);
         host.calls().first().cloned()
     });
     drop(fill);
@@ -81,26 +81,26 @@
     let (reached, read) = calls.join().expect("ends");
     assert!(reached > 0, "nobody came through");
     assert_eq!(read, 0, "a call began within the wait");
-    until("the first message", || {
+    wait_until("the first message", || {
         host.calls_of(&first).first().cloned()
     });
 }
 
 #[test]
-fn an_unsafe_message_goes_again_only_if_it_never_ran() {
+fn unsafe_message_is_retried_only_if_it_cannot_have_executed() {
     // Nobody listens there: the call never began.
     let gone = bind().local_addr().expect("bound");
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::started(vec![entry("a", gone, 1, "up"), up("b", &host, 1)]);
-    let (id, _) = scene.enqueue("payout", 1);
-    until("a call at the other host", || {
+    let mut test_bed = TestBed::started(vec![entry("a", gone, 1, "up"), up("b", &host, 1)]);
+    let (id, _) = test_bed.enqueue("payout", 1);
+    wait_until("a call at the other host", || {
         host.calls_of(&id).first().cloned()
     });
 
     // Broken after the last byte, an error, and no HTTP at all: each may have run.
-    let garbled = Answer::Last("what?\r\n\r\n".into());
+    let garbled = HostResponse::TextThenClose("what?\r\n\r\n".into());
     let odd = [
-        Answer::Close,
+        HostResponse::Close,
         status("500 Oops"),
         garbled,
         status("302 Elsewhere"),
@@ -108,15 +108,15 @@
     ];
     for (block, answer) in (2..).zip(odd) {
         let broken = Host::new(move |_, _| answer.clone());
-        scene.discovery.push(
+        test_bed.discovery.push(
             u64::from(block),
             &[up(&format!("h{block}"), &broken, block)],
         );
-        let id = until("the new host", || {
-            let (id, answer) = scene.enqueue("payout", block);
+        let id = wait_until("the new host", || {
+            let (id, answer) = test_bed.enqueue("payout", block);
             (answer == "+OK").then_some(id)
         });
-        let notice = until("the notice", || scene.discovery.notice_of(&id));
+        let notice = wait_until("the notice", || test_bed.discovery.notice_for(&id));
         assert_eq!(notice["status"], "undeliverable");
         assert_eq!(broken.calls_of(&id).len(), 1);
     }
@@ -131,61 +131,61 @@
         "429 Slow\r\nX-Backoff-Ms: 50",
     ] {
         let host = Host::new(move |_, before| if before == 0 { status(line) } else { ok() });
-        let mut scene = Scene::started(vec![up("a", &host, 1)]);
-        let (id, _) = scene.enqueue("payout", 1);
-        until("another call", || host.calls_of(&id).get(1).cloned());
-        assert_eq!(scene.discovery.notice_of(&id), None, "{line}");
+        let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
+        let (id, _) = test_bed.enqueue("payout", 1);
+        wait_until("another call", || host.calls_of(&id).get(1).cloned());
+        assert_eq!(test_bed.discovery.notice_for(&id), None, "{line}");
     }
 }
 
 #[test]
-fn a_message_that_is_over_elsewhere_is_owed_nothing() {
+fn message_ended_elsewhere_is_not_delivered() {
     let host = Host::new(|_, _| status("410 Over"));
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
-    let (id, _) = scene.enqueue("update", 1);
-    until("the call", || host.calls_of(&id).first().cloned());
-    let (next, _) = scene.enqueue("update", 1);
-    until("the next call", || host.calls_of(&next).first().cloned());
-    scene.term();
-    assert!(scene.end().success());
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
+    let (id, _) = test_bed.enqueue("update", 1);
+    wait_until("the call", || host.calls_of(&id).first().cloned());
+    let (next, _) = test_bed.enqueue("update", 1);
+    wait_until("the next call", || host.calls_of(&next).first().cloned());
+    test_bed.terminate();
+    assert!(test_bed.wait_for_exit().success());
     host.script(|_, _| ok());
-    scene.start();
-    let (last, _) = scene.enqueue("update", 1);
-    until("the last call", || host.calls_of(&last).first().cloned());
+    test_bed.start();
+    let (last, _) = test_bed.enqueue("update", 1);
+    wait_until("the last call", || host.calls_of(&last).first().cloned());
     assert_eq!(
-        (host.calls_of(&id).len(), scene.discovery.notice_of(&id)),
+        (host.calls_of(&id).len(), test_bed.discovery.notice_for(&id)),
         (1, None)
     );
 }
 
 #[test]
-fn a_connection_closed_while_idle_costs_no_attempt() {
+fn connection_closed_while_idle_counts_no_attempt() {
     let closes = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let host = Host::new(move |_, before| {
         if before == 0 {
-            Answer::Last(closes.into())
+            HostResponse::TextThenClose(closes.into())
         } else {
             ok()
         }
     });
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
-    let (first, _) = scene.enqueue("payout", 1);
-    until("the call", || host.calls_of(&first).first().cloned());
-    until("the connection to end", || {
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
+    let (first, _) = test_bed.enqueue("payout", 1);
+    wait_until("the call", || host.calls_of(&first).first().cloned());
+    wait_until("the connection to end", || {
         host.ended.lock().unwrap().first().cloned()
     });
-    let (second, _) = scene.enqueue("payout", 1);
-    let call = until("the call", || host.calls_of(&second).first().cloned());
+    let (second, _) = test_bed.enqueue("payout", 1);
+    let call = wait_until("the call", || host.calls_of(&second).first().cloned());
     assert_eq!(call.connection, 1);
-    assert_eq!(scene.discovery.notice_of(&second), None);
+    assert_eq!(test_bed.discovery.notice_for(&second), None);
 }
 
 #[test]
-fn kept_connections_that_break_do_not_park_their_destination() {
-    let host = Host::new(|_, _| Answer::Later(100, ok_text()));
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
+fn broken_idle_connections_do_not_suspend_their_destination() {
+    let host = Host::new(|_, _| HostResponse::Delayed(100, ok_text()));
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
     // Four at once, so that four connections are kept.
-    let mut client = scene.client();
+    let mut client = test_bed.client();
     for number in 0..4 {
         client.send(&request(
             &format!("first{number}"),
@@ -195,21 +195,21 @@
             b"x",
         ));
     }
-    until("four answered calls", || {
+    wait_until("four answered calls", || {
         (host.calls().len() == 4).then_some(())
     });
     std::thread::sleep(Duration::from_millis(300));
     // From here on each of them breaks under its next call, as if something between had forgotten it.
     host.script(|call, _| {
         if call.connection < 4 {
-            Answer::Close
+            HostResponse::Close
         } else {
             ok()
         }
     });
-    let (id, answer) = scene.enqueue("update", 1);
+    let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    let calls = until("the call that is answered", || {
+    let calls = wait_until("the call that is answered", || {
         Some(host.calls_of(&id))
             .filter(|calls| calls.last().is_some_and(|call| call.connection >= 4))
     });
@@ -218,14 +218,20 @@
 }
 
 #[test]
-fn a_call_that_is_given_up_is_closed_before_the_next() {
-    let host = Host::new(|_, before| if before == 0 { Answer::Hang } else { ok() });
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
-    let (id, _) = scene.enqueue_body("update", 1, 6_000, b"x");
-    let calls = until("another call", || {
+fn cancelled_call_is_closed_before_the_next_one() {
+    let host = Host::new(|_, before| {
+        if before == 0 {
+            HostResponse::Hang
+        } else {
+            ok()
+        }
+    });
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
+    let (id, _) = test_bed.enqueue_body("update", 1, 6_000, b"x");
+    let calls = wait_until("another call", || {
         Some(host.calls_of(&id)).filter(|calls| calls.len() > 1)
     });
-    let ended = until("the first to end", || {
+    let ended = wait_until("the first to end", || {
         host.ended.lock().unwrap().first().cloned()
     });
     assert_eq!(ended.0, calls[0].connection);
@@ -237,7 +243,7 @@
 #[test]
 fn malformed_response_may_have_executed_unless_its_status_line_is_200() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::started(vec![up("a", &host, 1)]);
+    let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
     let announced = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let spoilt = [
         (
@@ -279,31 +285,31 @@
     for (number, (delivered, text)) in spoilt.into_iter().enumerate() {
         // A destination of its own, so that no circuit breaker opens.
         let block = 10 + number as u16;
-        scene
+        test_bed
             .discovery
             .push(u64::from(block), &[up(&format!("h{block}"), &host, block)]);
-        until("the host", || {
-            (scene.enqueue("update", block).1 == "+OK").then_some(())
+        wait_until("the host", || {
+            (test_bed.enqueue("update", block).1 == "+OK").then_some(())
         });
         let shown = text.chars().take(60).collect::<String>();
         let answer = text.clone();
         host.script(move |call, _| match call.body.as_slice() {
-            b"spoilt" => Answer::Parts(vec![(0, answer.clone()), (120_000, String::new())]),
+            b"spoilt" => HostResponse::Parts(vec![(0, answer.clone()), (120_000, String::new())]),
             _ => ok(),
         });
         // Its time is far longer than this test waits.
-        let (id, answer) = scene.enqueue_body("payout", block, 600_000, b"spoilt");
+        let (id, answer) = test_bed.enqueue_body("payout", block, 600_000, b"spoilt");
         assert_eq!(answer, "+OK");
-        until("the call", || host.calls_of(&id).first().cloned());
+        wait_until("the call", || host.calls_of(&id).first().cloned());
         if delivered {
             // It is over for the relay, so the process ends without delay and owes nothing at the next start.
-            scene.term();
-            assert!(scene.end().success());
-            scene.start();
-            assert!(!scene.log().contains("messages_restored"), "{shown}");
-            assert_eq!(scene.discovery.notice_of(&id), None, "{shown}");
+            test_bed.terminate();
+            assert!(test_bed.wait_for_exit().success());
+            test_bed.start();
+            assert!(!test_bed.log().contains("messages_restored"), "{shown}");
+            assert_eq!(test_bed.discovery.notice_for(&id), None, "{shown}");
         } else {
-            let notice = until(&shown, || scene.discovery.notice_of(&id));
+            let notice = wait_until(&shown, || test_bed.discovery.notice_for(&id));
             assert_eq!(notice["status"], "undeliverable", "{shown}");
         }
         assert_eq!(host.calls_of(&id).len(), 1, "{shown}");
--- a/crates/relay/tests/restart.rs
+++ b/crates/relay/tests/restart.rs
@@ -1,50 +1,50 @@
 //! Accepted messages that were never attempted are still attempted after a restart, whatever fails then.
 
-mod scene;
+mod support;
 
 use std::collections::BTreeSet;
 use std::net::TcpListener;
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-use scene::*;
 use serde_json::{json, Value};
+use support::*;
 
 /// Calls a second that the destination takes when warm.
-const LIMIT: f64 = 10.0;
+const CALLS_PER_SECOND: f64 = 10.0;
 /// Messages that are submitted before the process ends, and their time to live.
-const MANY: usize = 40;
-const LEFT: u64 = 5_000;
+const MESSAGES: usize = 40;
+const DEADLINE_MS: u64 = 5_000;
 
-fn scene(siblings: u64, host: &Host) -> Scene {
+fn new_test_bed(siblings: u64, host: &Host) -> TestBed {
     let mut line = entry("a", host.address, 1, "up");
-    line["share"] = LIMIT.into();
-    let mut scene = Scene::new(vec![line]);
-    let settings = &mut scene.config["settings"];
+    line["share"] = CALLS_PER_SECOND.into();
+    let mut test_bed = TestBed::new(vec![line]);
+    let settings = &mut test_bed.config["settings"];
     settings["siblings"] = siblings.into();
     settings["rules"] = json!({"cold": 9_000_000, "coldFrom": 0.2, "overloadFactor": 2.0, "overloadFor": 1_500_000});
-    scene
+    test_bed
 }
 
 /// Takes messages on for a host that says nothing, and ends the process; gives those that were not called.
-fn untried(scene: &mut Scene, host: &Host, class: &str, left: u64) -> Vec<String> {
-    host.script(|_, _| Answer::Hang);
-    scene.start();
-    let ids: Vec<String> = (0..MANY)
+fn submit_unattempted(test_bed: &mut TestBed, host: &Host, class: &str, left: u64) -> Vec<String> {
+    host.script(|_, _| HostResponse::Hang);
+    test_bed.start();
+    let ids: Vec<String> = (0..MESSAGES)
         .map(|_| {
-            let (id, answer) = scene.enqueue_body(class, 1, left, b"body");
+            let (id, answer) = test_bed.enqueue_body(class, 1, left, b"body");
             assert_eq!(answer, "+OK");
             id
         })
         .collect();
-    until("a call", || (!host.calls().is_empty()).then_some(()));
-    scene.kill();
+    wait_until("a call", || (!host.calls().is_empty()).then_some(()));
+    test_bed.kill();
     let rest: Vec<String> = ids
         .into_iter()
         .filter(|id| host.calls_of(id).is_empty())
         .collect();
     assert!(
-        rest.len() > MANY / 2,
+        rest.len() > MESSAGES / 2,
         "most wait behind the fuse: {}",
         rest.len()
     );
@@ -52,11 +52,11 @@
 }
 
 /// Waits until each has its end, and gives how many were called.
-fn tried(scene: &Scene, host: &Host, ids: &[String]) -> usize {
+fn count_attempted(test_bed: &TestBed, host: &Host, ids: &[String]) -> usize {
     let called = |id: &String| !host.calls_of(id).is_empty();
-    until("an end of each", || {
+    wait_until("an end of each", || {
         ids.iter()
-            .all(|id| called(id) || scene.discovery.notice_of(id).is_some())
+            .all(|id| called(id) || test_bed.discovery.notice_for(id).is_some())
             .then_some(())
     });
     ids.iter().filter(|id| called(id)).count()
@@ -75,7 +75,7 @@
         let within = calls[n..].iter().filter(|at| **at < *first + span).count() as f64;
         // Its capacity by the end of the span.
         let cold = (0.2 + 0.8 * (first.duration_since(since) + span).as_secs_f64() / 9.0).min(1.0);
-        let most = 2.0 * LIMIT * cold * span.as_secs_f64();
+        let most = 2.0 * CALLS_PER_SECOND * cold * span.as_secs_f64();
         assert!(
             within <= most + 3.0 * most.sqrt() + 3.0,
             "{within} calls within 1.5 s, {most} are allowed"
@@ -86,17 +86,21 @@
 #[test]
 fn returning_destination_gets_recovered_messages_with_short_deadlines_and_is_not_overloaded() {
     for siblings in [1, 7, 300] {
-        for (class, left) in [("update", LEFT), ("payout", LEFT), ("update", LEFT / 2)] {
+        for (class, left) in [
+            ("update", DEADLINE_MS),
+            ("payout", DEADLINE_MS),
+            ("update", DEADLINE_MS / 2),
+        ] {
             let host = Host::new(|_, _| ok());
-            let mut scene = scene(siblings, &host);
-            let ids = untried(&mut scene, &host, class, left);
+            let mut test_bed = new_test_bed(siblings, &host);
+            let ids = submit_unattempted(&mut test_bed, &host, class, left);
             host.script(|_, _| ok());
             let back = Instant::now();
-            scene.start();
-            let tried = tried(&scene, &host, &ids);
+            test_bed.start();
+            let attempted = count_attempted(&test_bed, &host, &ids);
             assert!(
-                2 * tried > ids.len(),
-                "{siblings} relays, {class}: {tried} of {} were tried",
+                2 * attempted > ids.len(),
+                "{siblings} relays, {class}: {attempted} of {} were attempted",
                 ids.len()
             );
             assert_not_overloaded(&host, back);
@@ -105,39 +109,39 @@
 }
 
 #[test]
-fn a_destination_that_stays_away_is_tried_with_what_is_owed_all_the_same() {
+fn recovered_messages_are_attempted_at_a_failing_destination() {
     for siblings in [1, 300] {
-        let host = Host::new(|_, _| Answer::Hang);
-        let mut scene = scene(siblings, &host);
-        let ids = untried(&mut scene, &host, "update", LEFT);
+        let host = Host::new(|_, _| HostResponse::Hang);
+        let mut test_bed = new_test_bed(siblings, &host);
+        let ids = submit_unattempted(&mut test_bed, &host, "update", DEADLINE_MS);
         host.script(|_, _| status("500 Bad"));
-        scene.start();
-        let tried = tried(&scene, &host, &ids);
+        test_bed.start();
+        let attempted = count_attempted(&test_bed, &host, &ids);
         assert!(
-            2 * tried > ids.len(),
-            "{siblings} relays: {tried} of {} were tried",
+            2 * attempted > ids.len(),
+            "{siblings} relays: {attempted} of {} were attempted",
             ids.len()
         );
     }
 }
 
 #[test]
-fn a_silent_discovery_and_a_second_kill_leave_time_for_what_is_owed() {
+fn recovered_messages_are_attempted_despite_silent_discovery_and_second_kill() {
     for siblings in [1, 300] {
         let host = Host::new(|_, _| ok());
-        let mut scene = scene(siblings, &host);
-        let ids = untried(&mut scene, &host, "update", LEFT);
+        let mut test_bed = new_test_bed(siblings, &host);
+        let ids = submit_unattempted(&mut test_bed, &host, "update", DEADLINE_MS);
         host.script(|_, _| ok());
-        scene.discovery.silent.store(true, SeqCst);
-        scene.start();
+        test_bed.discovery.silent.store(true, SeqCst);
+        test_bed.start();
         // The term names this second.
         std::thread::sleep(Duration::from_secs(1));
-        scene.kill();
-        scene.start();
-        let tried = tried(&scene, &host, &ids);
+        test_bed.kill();
+        test_bed.start();
+        let attempted = count_attempted(&test_bed, &host, &ids);
         assert!(
-            2 * tried > ids.len(),
-            "{siblings} relays: {tried} of {} were tried",
+            2 * attempted > ids.len(),
+            "{siblings} relays: {attempted} of {} were attempted",
             ids.len()
         );
     }
@@ -145,26 +149,30 @@
 
 /// New messages do not take the places of those.
 #[test]
-fn what_is_owed_is_not_given_up_to_make_room_for_what_arrives() {
+fn recovered_messages_are_not_evicted_by_new_messages() {
     let host = Host::new(|_, _| ok());
-    let mut scene = scene(1, &host);
-    scene.config["settings"]["limits"]["mostHeld"] = (MANY + MANY / 4).into();
-    let ids = untried(&mut scene, &host, "update", LEFT);
+    let mut test_bed = new_test_bed(1, &host);
+    test_bed.config["settings"]["limits"]["mostHeld"] = (MESSAGES + MESSAGES / 4).into();
+    let ids = submit_unattempted(&mut test_bed, &host, "update", DEADLINE_MS);
     host.script(|_, _| ok());
-    scene.start();
+    test_bed.start();
     // Worth more than what is owed.
-    for _ in 0..MANY {
-        scene.enqueue_body("payout", 1, 60_000, b"body");
+    for _ in 0..MESSAGES {
+        test_bed.enqueue_body("payout", 1, 60_000, b"body");
     }
-    let tried = tried(&scene, &host, &ids);
-    assert!(2 * tried > ids.len(), "{tried} of {} were tried", ids.len());
+    let attempted = count_attempted(&test_bed, &host, &ids);
+    assert!(
+        2 * attempted > ids.len(),
+        "{attempted} of {} were attempted",
+        ids.len()
+    );
 }
 
 /// A connection that is refused is no call: who met nothing else is not given up for what arrives, and goes first once
 /// the destination is back.
 #[test]
-fn what_was_only_refused_a_connection_is_not_given_up_to_make_room() {
-    only_refused(
+fn recovered_messages_with_refused_connections_are_not_evicted_by_new_messages() {
+    assert_attempted_after_refused_connections(
         json!([{"name": "acme", "quotaPerS": 1000.0, "share": 1.0}]),
         "acme",
         3,
@@ -173,9 +181,9 @@
 
 /// The same for a tenant that held far more than its share as its process ended: others have no more than a fourth of that.
 #[test]
-fn what_a_tenant_over_its_share_is_owed_is_not_given_up_for_another() {
+fn recovered_messages_of_tenant_over_its_share_are_not_evicted_by_another_tenant() {
     let other = json!({"name": "other", "quotaPerS": 1000.0, "share": 0.9});
-    only_refused(
+    assert_attempted_after_refused_connections(
         json!([{"name": "acme", "quotaPerS": 1000.0, "share": 0.1}, other]),
         "other",
         12,
@@ -184,49 +192,57 @@
 
 /// Restarts with messages that meet refused connections until another tenant, or the same one, has submitted more. A refused
 /// connection is an attempt, and `attempts` is the limit.
-fn only_refused(tenants: Value, arrives: &str, attempts: u64) {
+fn assert_attempted_after_refused_connections(tenants: Value, arrives: &str, attempts: u64) {
     let host = Host::new(|_, _| ok());
-    let mut scene = scene(1, &host);
-    scene.operator = Some("log_calls = true\n".into());
-    let settings_here = &mut scene.config["settings"];
-    settings_here["limits"]["mostHeld"] = (MANY + MANY / 4).into();
+    let mut test_bed = new_test_bed(1, &host);
+    test_bed.operator = Some("log_calls = true\n".into());
+    let settings_here = &mut test_bed.config["settings"];
+    settings_here["limits"]["mostHeld"] = (MESSAGES + MESSAGES / 4).into();
     settings_here["rules"] = settings()["rules"].clone();
     settings_here["limits"]["maxAttempts"] = attempts.into();
     settings_here["tenants"] = tenants;
-    let ids = untried(&mut scene, &host, "update", 2 * LEFT);
+    let ids = submit_unattempted(&mut test_bed, &host, "update", 2 * DEADLINE_MS);
     // It stands elsewhere now, where nobody listens yet.
     let moved = bind().local_addr().expect("bound");
-    scene.discovery.push(2, &[entry("a", moved, 1, "up")]);
-    scene.start();
-    until("refused connections of most", || {
-        let log = scene.log();
+    test_bed.discovery.push(2, &[entry("a", moved, 1, "up")]);
+    test_bed.start();
+    wait_until("refused connections of most", || {
+        let log = test_bed.log();
         let failed = log
             .lines()
             .filter(|line| line.contains(" outcome=connect_failed "));
         let failed: BTreeSet<&str> = failed.filter_map(|line| line.split(' ').nth(4)).collect();
         (3 * failed.len() > 2 * ids.len()).then_some(())
     });
-    for _ in 0..MANY {
-        scene.enqueue_for(arrives, "payout", 1, 60_000);
+    for _ in 0..MESSAGES {
+        test_bed.enqueue_for(arrives, "payout", 1, 60_000);
     }
     let back = Host::at(
         TcpListener::bind(moved).expect("the port is free"),
         |_, _| ok(),
     );
-    let tried = tried(&scene, &back, &ids);
-    assert!(2 * tried > ids.len(), "{tried} of {} were tried", ids.len());
+    let attempted = count_attempted(&test_bed, &back, &ids);
+    assert!(
+        2 * attempted > ids.len(),
+        "{attempted} of {} were attempted",
+        ids.len()
+    );
 }
 
 /// Settings may have changed between two processes.
 #[test]
-fn what_is_owed_for_a_tenant_that_the_settings_name_no_more_is_still_tried() {
+fn recovered_messages_of_removed_tenant_are_attempted() {
     let host = Host::new(|_, _| ok());
-    let mut scene = scene(1, &host);
-    let ids = untried(&mut scene, &host, "update", LEFT);
+    let mut test_bed = new_test_bed(1, &host);
+    let ids = submit_unattempted(&mut test_bed, &host, "update", DEADLINE_MS);
     host.script(|_, _| ok());
-    scene.config["settings"]["tenants"] =
+    test_bed.config["settings"]["tenants"] =
         json!([{"name": "other", "quotaPerS": 1000.0, "share": 1.0}]);
-    scene.start();
-    let tried = tried(&scene, &host, &ids);
-    assert!(2 * tried > ids.len(), "{tried} of {} were tried", ids.len());
+    test_bed.start();
+    let attempted = count_attempted(&test_bed, &host, &ids);
+    assert!(
+        2 * attempted > ids.len(),
+        "{attempted} of {} were attempted",
+        ids.len()
+    );
 }
--- a/crates/relay/tests/soak.rs
+++ b/crates/relay/tests/soak.rs
@@ -7,7 +7,7 @@
 mod client;
 #[path = "soak/plan.rs"]
 mod plan;
-mod scene;
+mod support;
 
 use std::net::TcpStream;
 use std::ops::{Range, RangeInclusive};
@@ -17,8 +17,8 @@
 
 use client::{Log, Request};
 use plan::{Disturbance, Plan, Turn};
-use scene::faults::Faults;
-use scene::*;
+use support::faults::Faults;
+use support::*;
 
 /// Seeds that CI plays.
 const CI_SEEDS: Range<u64> = 1000..1012;
@@ -42,7 +42,7 @@
 /// One seed's relay and its surroundings.
 struct Soak {
     seed: u64,
-    scene: Scene,
+    test_bed: TestBed,
     faults: Faults,
     hosts: Vec<Host>,
     log: Arc<Mutex<Log>>,
@@ -59,15 +59,15 @@
             .iter()
             .zip(1..)
             .map(|(host, block)| entry(&format!("h{block}"), host.address, block, "up"));
-        let mut scene = Scene::new(known.collect());
-        scene.config["limits"]["sockets"] = plan.max_sockets.into();
-        let faults = Faults::new(&scene.folder);
+        let mut test_bed = TestBed::new(known.collect());
+        test_bed.config["limits"]["sockets"] = plan.max_sockets.into();
+        let faults = Faults::new(&test_bed.folder);
         faults.seed(plan.seed as i64);
-        scene.faults = Some(faults.clone());
-        scene.start();
+        test_bed.faults = Some(faults.clone());
+        test_bed.start();
         Soak {
             seed: plan.seed,
-            scene,
+            test_bed,
             faults,
             hosts,
             log: Arc::default(),
@@ -87,12 +87,12 @@
 
     fn play_turn(&mut self, number: usize, turn: &Turn) {
         let crowd: Vec<TcpStream> = (0..turn.idle_connections)
-            .filter_map(|_| TcpStream::connect(self.scene.listen).ok())
+            .filter_map(|_| TcpStream::connect(self.test_bed.listen).ok())
             .collect();
         let clients: Vec<_> = (0..turn.clients)
             .map(|client| {
                 let name = format!("t{number}c{client}");
-                client::spawn(self.scene.listen, name, turn.pause, self.log.clone())
+                client::spawn(self.test_bed.listen, name, turn.pause, self.log.clone())
             })
             .collect();
         thread::sleep(turn.quiet);
@@ -107,14 +107,14 @@
             thread::sleep((stopped_at + KILL_AFTER_STOP).saturating_duration_since(Instant::now()));
         }
         let killed_at = Instant::now();
-        self.scene.kill();
+        self.test_bed.kill();
         drop(crowd);
         for client in clients {
             client.join().expect("no panic");
         }
         thread::sleep(RESTART_AFTER_KILL);
         self.downtimes.push(killed_at..=Instant::now());
-        self.scene.start();
+        self.test_bed.start();
         self.ready_at = Instant::now();
     }
 
@@ -127,7 +127,7 @@
 
     /// Sends a signal to a process that may have ended by then.
     fn signal(&mut self, name: &str) {
-        let relay = self.scene.relay.as_mut().expect("started");
+        let relay = self.test_bed.relay.as_mut().expect("started");
         if relay.try_wait().expect("waits").is_none() {
             send_signal(relay, name);
         }
@@ -151,7 +151,7 @@
     }
 
     fn has_ended(&self, request: &Request) -> bool {
-        self.calls(request) > 0 || self.scene.discovery.notice_of(&request.id).is_some()
+        self.calls(request) > 0 || self.test_bed.discovery.notice_for(&request.id).is_some()
     }
 
     /// What broke the rules.
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn no_rule_is_broken_on_any_seed() {
+fn no_seed_violates_the_protocol_rules() {
     let remaining = Arc::new(Mutex::new(seeds()));
     let violations = Arc::new(Mutex::new(Vec::new()));
     let workers: Vec<_> = (0..PARALLEL_SEEDS)
--- a/crates/relay/tests/soak/client.rs
+++ b/crates/relay/tests/soak/client.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crate::plan::DESTINATIONS;
-use crate::scene::{request, Client, LONG};
+use crate::support::{request, Client, TEST_TIMEOUT};
 use crate::TIME_TO_LIVE;
 
 const CLASSES: [&str; 3] = ["update", "payout", "event"];
@@ -43,7 +43,7 @@
             return;
         };
         stream.set_nodelay(true).expect("set");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let mut client = Client {
             reader: BufReader::new(stream),
         };
@@ -75,7 +75,7 @@
     if client.has_ended() || client.try_send(&bytes).is_err() {
         return false;
     }
-    let answer = client.whole_line();
+    let answer = client.complete_line();
     let mut log = log.lock().unwrap();
     match answer.as_deref() {
         Some("+OK") => log.accepted.push(sent),
--- a/crates/relay/tests/soak/plan.rs
+++ b/crates/relay/tests/soak/plan.rs
@@ -5,7 +5,7 @@
 use rand_xoshiro::rand_core::{Rng, SeedableRng};
 use rand_xoshiro::SplitMix64;
 
-use crate::scene::{ok, ok_text, status, Answer, Host};
+use crate::support::{ok, ok_text, status, Host, HostResponse};
 
 /// Destinations, each with one host.
 pub const DESTINATIONS: u16 = 4;
@@ -31,10 +31,10 @@
     pub fn start(self) -> Host {
         Host::new(move |_, before| match self {
             HostBehavior::Healthy => ok(),
-            HostBehavior::Slow => Answer::Later(150, ok_text()),
+            HostBehavior::Slow => HostResponse::Delayed(150, ok_text()),
             HostBehavior::Errors if before % 3 == 0 => status("500 Error"),
-            HostBehavior::Closes if before % 4 == 0 => Answer::Close,
-            HostBehavior::Hangs => Answer::Hang,
+            HostBehavior::Closes if before % 4 == 0 => HostResponse::Close,
+            HostBehavior::Hangs => HostResponse::Hang,
             HostBehavior::Errors | HostBehavior::Closes => ok(),
         })
     }
--- a/crates/relay/tests/startup_errors/mod.rs
+++ b/crates/relay/tests/startup_errors/mod.rs
@@ -8,7 +8,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use crate::scene::LONG;
+use crate::support::TEST_TIMEOUT;
 
 /// One input and what the program says to it.
 pub struct Case {
@@ -55,7 +55,7 @@
         if let Some(status) = process.try_wait().expect("a status") {
             break status;
         }
-        if start.elapsed() > LONG {
+        if start.elapsed() > TEST_TIMEOUT {
             process.kill().expect("killed");
             process.wait().expect("ended");
             return "did not end".into();
--- a/crates/relay/tests/scene/faults.rs
+++ b/crates/relay/tests/support/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of system calls in a relay's process, by the library of the package `fault-injection`.
+//! Faults in the system calls of a relay process, injected by the library of the package `fault-injection`.
 
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -13,18 +13,19 @@
 const FILE_FAILURES_PERCENT: u64 = 24;
 const RANDOM_STATE: u64 = 32;
 
-/// The control file of a relay's faults; none strikes until it is set.
+/// The control file for the faults of one relay. No fault is injected until a method sets it.
 #[derive(Clone, Debug)]
 pub struct Faults {
     path: PathBuf,
 }
 
 impl Faults {
-    /// A new control file in a folder.
+    /// Creates the control file in a folder.
     pub fn new(folder: &Path) -> Faults {
         let path = folder.join("faults");
         let file = File::create(&path).expect("a control file");
-        file.set_len(CONTROL_BYTES).expect("room");
+        file.set_len(CONTROL_BYTES)
+            .expect("the control file can be extended");
         Faults { path }
     }
 
@@ -38,27 +39,27 @@
             .env("FAULT_INJECTION_CONTROL", &self.path);
     }
 
-    /// Sets the wall clock ahead, or back with a negative number.
+    /// Steps the wall clock forward, or back if the number is negative.
     pub fn step_wall_clock(&self, milliseconds: i64) {
         self.set(WALL_CLOCK_STEP_MS, milliseconds);
     }
 
-    /// Cuts this percentage of the transfers on sockets to a random part.
+    /// Shortens this percentage of the socket transfers to a random length.
     pub fn shorten_transfers(&self, percent: i64) {
         self.set(SHORT_TRANSFERS_PERCENT, percent);
     }
 
-    /// Lets this percentage of the calls of accept, connect, socket and epoll_wait fail.
+    /// Makes this percentage of the calls of accept, connect, socket and epoll_wait fail.
     pub fn fail_network_calls(&self, percent: i64) {
         self.set(NETWORK_FAILURES_PERCENT, percent);
     }
 
-    /// Lets this percentage of the writes to files fail, half of them after a part was written.
+    /// Makes this percentage of the file writes fail, half of them after a partial write.
     pub fn fail_file_writes(&self, percent: i64) {
         self.set(FILE_FAILURES_PERCENT, percent);
     }
 
-    /// Seeds the choice of the calls that are struck.
+    /// Seeds the random choice of the calls that fail.
     pub fn seed(&self, seed: i64) {
         self.set(RANDOM_STATE, seed);
     }
--- a/crates/relay/tests/scene/stepped.rs
+++ b/crates/relay/tests/support/in_process.rs
@@ -1,5 +1,6 @@
-//! A relay in the test's own process, on real sockets and files, whose system calls the test at named points: what the
-//! test does there comes between two lines of the relay, every time. Nothing of it is in what the platform starts.
+//! A relay that runs in the test's process on real sockets and files and calls a hook of the test after certain system
+//! calls. What the test does in the hook thus always happens between the same two lines of the relay. The program that
+//! the platform starts contains none of this.
 
 use std::fmt;
 use std::fs::File as Disk;
@@ -20,22 +21,22 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::{mpsc, oneshot};
 
-/// Where the relay is, just after it did so.
+/// A system call of the relay after which the hook is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Point {
-    /// It looked what waits on a client's connection, and found nothing.
-    ClientLooked,
-    /// It looked what waits on a connection of its own, and found nothing.
-    HostLooked,
-    /// It read bytes from a client's connection.
+pub enum HookPoint {
+    /// The relay checked a client's connection for pending input and found none.
+    ClientInputChecked,
+    /// The relay checked an outgoing connection for pending input and found none.
+    HostInputChecked,
+    /// The relay read bytes from a client's connection.
     ClientRead,
-    /// It wrote bytes to a client's connection.
-    ClientWrote,
-    /// It wrote to its journal.
-    Kept,
+    /// The relay wrote bytes to a client's connection.
+    ClientWritten,
+    /// The relay wrote to its journal.
+    JournalWritten,
 }
 
-type Hook = Box<dyn FnMut(Point) + Send>;
+type Hook = Box<dyn FnMut(HookPoint) + Send>;
 
 struct Shared {
     variables: Vec<(String, String)>,
@@ -45,8 +46,8 @@
 }
 
 impl Shared {
-    fn at(&self, point: Point) {
-        // Taken out meanwhile, as what the test does there may bring the relay to a point.
+    fn run_hook(&self, point: HookPoint) {
+        // The hook is taken out while it runs, as its actions may make the relay reach another hook point.
         let hook = self.hook.lock().unwrap().take();
         if let Some(mut hook) = hook {
             hook(point);
@@ -55,17 +56,18 @@
     }
 }
 
-/// A relay that runs in a thread of the test.
-pub struct Inside {
+/// A relay that runs in a thread of the test process. Dropping it cancels the relay.
+pub struct InProcessRelay {
     shared: Arc<Shared>,
     signals: mpsc::UnboundedSender<Signal>,
     kill: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<Option<Result<(), String>>>>,
 }
 
-impl Inside {
-    /// Starts one with these variables, a log, and signals that have come before it reads its first.
-    pub fn start(variables: Vec<(String, String)>, log: Disk, first: &[Signal]) -> Inside {
+impl InProcessRelay {
+    /// Starts a relay with these environment variables and this log; the signals in `first` are pending before it reads
+    /// its first signal.
+    pub fn start(variables: Vec<(String, String)>, log: Disk, first: &[Signal]) -> InProcessRelay {
         let (signals, sent) = mpsc::unbounded_channel();
         first
             .iter()
@@ -77,7 +79,7 @@
             signals: Mutex::new(Some(sent)),
         });
         let (kill, killed) = oneshot::channel::<()>();
-        let stepped = Stepped(shared.clone());
+        let hooked_runtime = HookedRuntime(shared.clone());
         let thread = std::thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
@@ -87,11 +89,11 @@
                 tokio::select! {
                     biased;
                     Ok(()) = killed => None,
-                    ended = relay::run(stepped, None) => Some(ended.map_err(|error| error.to_string())),
+                    ended = relay::run(hooked_runtime, None) => Some(ended.map_err(|error| error.to_string())),
                 }
             })
         });
-        Inside {
+        InProcessRelay {
             shared,
             signals,
             kill: Some(kill),
@@ -99,42 +101,42 @@
         }
     }
 
-    /// What is done from now on at each point.
-    pub fn at_points(&self, hook: impl FnMut(Point) + Send + 'static) {
+    /// Sets the hook to call at each hook point from now on.
+    pub fn set_hook(&self, hook: impl FnMut(HookPoint) + Send + 'static) {
         *self.shared.hook.lock().unwrap() = Some(Box::new(hook));
     }
 
     pub fn signal(&self, signal: Signal) {
-        self.signals.send(signal).expect("it runs");
+        self.signals.send(signal).expect("the relay runs");
     }
 
-    /// Waits for its end.
-    pub fn end(mut self) -> Result<(), String> {
+    /// Waits until the relay has ended by itself, and returns its result.
+    pub fn wait_for_exit(mut self) -> Result<(), String> {
         let thread = self.thread.take().expect("runs");
-        super::until("the relay to end", || thread.is_finished().then_some(()));
+        super::wait_until("the relay to exit", || thread.is_finished().then_some(()));
         thread.join().expect("no panic").expect("not killed")
     }
 }
 
-impl Drop for Inside {
+impl Drop for InProcessRelay {
     fn drop(&mut self) {
-        // One that has ended by itself hears nothing.
+        // The send fails if the relay has ended by itself.
         let _ = self.kill.take().map(|kill| kill.send(()));
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
 
-/// The machine, with points.
+/// The runtime of the operating system, with hook points.
 #[derive(Clone)]
-struct Stepped(Arc<Shared>);
+struct HookedRuntime(Arc<Shared>);
 
-impl Runtime for Stepped {
+impl Runtime for HookedRuntime {
     type Task = OsTask;
-    type Stream = SteppedStream;
-    type Listener = SteppedListener;
-    type File = SteppedFile;
+    type Stream = HookedStream;
+    type Listener = HookedListener;
+    type File = HookedFile;
     type RandomAccessFile = Disk;
-    type Signals = SteppedSignals;
+    type Signals = HookedSignals;
     type Lock = Disk;
 
     fn now(&self) -> Instant {
@@ -157,21 +159,21 @@
         OsRuntime.spawn(task)
     }
 
-    async fn connect(&self, to: impl Into<Address>) -> io::Result<SteppedStream> {
+    async fn connect(&self, to: impl Into<Address>) -> io::Result<HookedStream> {
         let stream = OsRuntime.connect(to).await?;
-        Ok(SteppedStream {
+        Ok(HookedStream {
             stream,
             shared: self.0.clone(),
-            looked: Point::HostLooked,
+            checked_point: HookPoint::HostInputChecked,
         })
     }
 
-    async fn listen(&self, at: impl Into<Address>) -> io::Result<SteppedListener> {
-        Ok(SteppedListener(OsRuntime.listen(at).await?, self.0.clone()))
+    async fn listen(&self, at: impl Into<Address>) -> io::Result<HookedListener> {
+        Ok(HookedListener(OsRuntime.listen(at).await?, self.0.clone()))
     }
 
-    fn inherited_listener(&self, descriptor: i32) -> io::Result<SteppedListener> {
-        Ok(SteppedListener(
+    fn inherited_listener(&self, descriptor: i32) -> io::Result<HookedListener> {
+        Ok(HookedListener(
             OsRuntime.inherited_listener(descriptor)?,
             self.0.clone(),
         ))
@@ -181,16 +183,16 @@
         OsRuntime.lock(path)
     }
 
-    fn open(&self, path: &Path) -> io::Result<SteppedFile> {
-        Ok(SteppedFile {
+    fn open(&self, path: &Path) -> io::Result<HookedFile> {
+        Ok(HookedFile {
             file: OsRuntime.open(path)?,
             path: path.into(),
             shared: self.0.clone(),
         })
     }
 
-    fn create(&self, path: &Path) -> io::Result<SteppedFile> {
-        Ok(SteppedFile {
+    fn create(&self, path: &Path) -> io::Result<HookedFile> {
+        Ok(HookedFile {
             file: OsRuntime.create(path)?,
             path: path.into(),
             shared: self.0.clone(),
@@ -213,14 +215,14 @@
         OsRuntime.remove(path)
     }
 
-    fn signals(&self) -> io::Result<SteppedSignals> {
-        Ok(SteppedSignals(
+    fn signals(&self) -> io::Result<HookedSignals> {
+        Ok(HookedSignals(
             self.0
                 .signals
                 .lock()
                 .unwrap()
                 .take()
-                .expect("asked for once"),
+                .expect("signals are requested only once"),
         ))
     }
 
@@ -237,9 +239,9 @@
     }
 }
 
-struct SteppedSignals(mpsc::UnboundedReceiver<Signal>);
+struct HookedSignals(mpsc::UnboundedReceiver<Signal>);
 
-impl Signals for SteppedSignals {
+impl Signals for HookedSignals {
     async fn next(&mut self) -> Signal {
         match self.0.recv().await {
             Some(signal) => signal,
@@ -248,37 +250,37 @@
     }
 }
 
-struct SteppedListener(OsListener, Arc<Shared>);
+struct HookedListener(OsListener, Arc<Shared>);
 
-impl Listener for SteppedListener {
-    type Stream = SteppedStream;
+impl Listener for HookedListener {
+    type Stream = HookedStream;
 
-    async fn accept(&self) -> io::Result<SteppedStream> {
+    async fn accept(&self) -> io::Result<HookedStream> {
         let stream = self.0.accept().await?;
-        Ok(SteppedStream {
+        Ok(HookedStream {
             stream,
             shared: self.1.clone(),
-            looked: Point::ClientLooked,
+            checked_point: HookPoint::ClientInputChecked,
         })
     }
 }
 
-struct SteppedStream {
+struct HookedStream {
     stream: OsStream,
     shared: Arc<Shared>,
-    looked: Point,
+    checked_point: HookPoint,
 }
 
-impl SteppedStream {
-    /// The relay has read or written this number of bytes.
-    fn transferred(&self, point: Point, length: usize) {
-        if self.looked == Point::ClientLooked && length > 0 {
-            self.shared.at(point);
+impl HookedStream {
+    /// Calls the hook after `length` bytes were read from or written to a client's connection.
+    fn run_hook_after_transfer(&self, point: HookPoint, length: usize) {
+        if self.checked_point == HookPoint::ClientInputChecked && length > 0 {
+            self.shared.run_hook(point);
         }
     }
 }
 
-impl Stream for SteppedStream {
+impl Stream for HookedStream {
     fn set_nodelay(&self) -> io::Result<()> {
         self.stream.set_nodelay()
     }
@@ -289,7 +291,7 @@
 
     fn try_read_buf(&self, into: &mut BytesMut) -> io::Result<usize> {
         let length = self.stream.try_read_buf(into)?;
-        self.transferred(Point::ClientRead, length);
+        self.run_hook_after_transfer(HookPoint::ClientRead, length);
         Ok(length)
     }
 
@@ -298,15 +300,15 @@
     }
 
     fn pending_input(&self) -> PendingInput {
-        let waiting = self.stream.pending_input();
-        if waiting == PendingInput::Empty {
-            self.shared.at(self.looked);
+        let pending = self.stream.pending_input();
+        if pending == PendingInput::Empty {
+            self.shared.run_hook(self.checked_point);
         }
-        waiting
+        pending
     }
 }
 
-impl AsyncRead for SteppedStream {
+impl AsyncRead for HookedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -314,19 +316,19 @@
     ) -> Poll<io::Result<()>> {
         let before = into.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, into))?;
-        self.transferred(Point::ClientRead, into.filled().len() - before);
+        self.run_hook_after_transfer(HookPoint::ClientRead, into.filled().len() - before);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for SteppedStream {
+impl AsyncWrite for HookedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         text: &[u8],
     ) -> Poll<io::Result<usize>> {
         let length = ready!(Pin::new(&mut self.stream).poll_write(cx, text))?;
-        self.transferred(Point::ClientWrote, length);
+        self.run_hook_after_transfer(HookPoint::ClientWritten, length);
         Poll::Ready(Ok(length))
     }
 
@@ -351,23 +353,23 @@
     }
 }
 
-struct SteppedFile {
+struct HookedFile {
     file: Disk,
     path: PathBuf,
     shared: Arc<Shared>,
 }
 
-impl Read for SteppedFile {
+impl Read for HookedFile {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         self.file.read(into)
     }
 }
 
-impl Write for SteppedFile {
+impl Write for HookedFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let written = self.file.write(bytes);
         if self.path.ends_with("journal") {
-            self.shared.at(Point::Kept);
+            self.shared.run_hook(HookPoint::JournalWritten);
         }
         written
     }
@@ -377,13 +379,13 @@
     }
 }
 
-impl Seek for SteppedFile {
+impl Seek for HookedFile {
     fn seek(&mut self, to: SeekFrom) -> io::Result<u64> {
         self.file.seek(to)
     }
 }
 
-impl File for SteppedFile {
+impl File for HookedFile {
     fn set_len(&self, length: u64) -> io::Result<()> {
         File::set_len(&self.file, length)
     }
