--- a/crates/relay/tests/scene/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Scripted peers on loopback sockets: clients, hosts and discovery around one relay process.
+//! A test bed for the relay: one relay process with scripted clients, hosts and discovery on loopback sockets.
 #![allow(dead_code)]
 
 pub mod faults;
-pub mod stepped;
+pub mod in_process;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,27 +13,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use in_process::InProcessRelay;
 use runtime::Signal;
 use serde_json::{json, Value};
 use socket2::Socket;
-use stepped::Inside;
 
-/// Far more than anything here takes, so that a slow machine gives the same verdict.
-pub const LONG: Duration = Duration::from_secs(60);
+/// Limit for each wait of a test. It is far longer than any awaited operation takes, so that a slow machine does not
+/// fail a test.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until there is something, or fails the test.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Polls until the closure returns a value. Fails the test after [`TEST_TIMEOUT`].
+pub fn wait_until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(start.elapsed() < LONG, "waited in vain for {what}");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A loopback address of its own, so that no outgoing connection can take its port.
+/// Returns a loopback address that no other socket uses, so that no outgoing connection can take its port.
 fn address() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -50,14 +54,14 @@
 }
 
 /// Binds a socket to a port that this process has just closed. A relay that another test starts holds copies of this
-/// process' descriptors until it executes its program, so that the port can be in use for that long.
-pub fn bind_again(socket: &Socket, address: SocketAddr) {
-    until("the port to be free", || socket.bind(&address.into()).ok());
+/// process' descriptors until it executes its program; the port can remain in use until then.
+pub fn rebind(socket: &Socket, address: SocketAddr) {
+    wait_until("the port to be free", || socket.bind(&address.into()).ok());
 }
 
-/// A call as a host saw it.
+/// A call that a host received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RecordedCall {
     pub id: String,
     pub key: Option<String>,
     pub body: Vec<u8>,
@@ -65,20 +69,20 @@
     pub at: Instant,
 }
 
-/// What a host does with a call.
+/// How a host responds to a call.
 #[derive(Clone, Debug)]
-pub enum Answer {
-    /// Writes this and keeps the connection.
+pub enum HostResponse {
+    /// Writes the text and keeps the connection open.
     Text(String),
-    /// The same, after a while.
-    Later(u64, String),
-    /// Writes these, each after a while.
+    /// Writes the text after a delay in milliseconds and keeps the connection open.
+    Delayed(u64, String),
+    /// Writes each part after its delay in milliseconds and keeps the connection open.
     Parts(Vec<(u64, String)>),
-    /// Writes this and closes the connection.
-    Last(String),
-    /// Says nothing until the other side closes.
+    /// Writes the text and closes the connection.
+    TextThenClose(String),
+    /// Writes nothing until the other side closes the connection.
     Hang,
-    /// Closes the connection.
+    /// Closes the connection without a response.
     Close,
 }
 
@@ -86,39 +90,41 @@
     "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into()
 }
 
-pub fn ok() -> Answer {
-    Answer::Text(ok_text())
+pub fn ok() -> HostResponse {
+    HostResponse::Text(ok_text())
 }
 
-pub fn status(line: &str) -> Answer {
-    Answer::Text(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
+pub fn status(line: &str) -> HostResponse {
+    HostResponse::Text(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
 }
 
-type Script = Box<dyn Fn(&Seen, usize) -> Answer + Send + Sync>;
+type Script = Box<dyn Fn(&RecordedCall, usize) -> HostResponse + Send + Sync>;
 
 #[derive(Clone)]
 pub struct Host {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
-    /// When connections ended, by number.
+    pub recorded_calls: Arc<Mutex<Vec<RecordedCall>>>,
+    /// Number and end time of each connection that has ended.
     pub ended: Arc<Mutex<Vec<(usize, Instant)>>>,
     script: Arc<Mutex<Script>>,
 }
 
 impl Host {
-    /// A host whose script gets each call and how many calls came before it.
-    pub fn new(script: impl Fn(&Seen, usize) -> Answer + Send + Sync + 'static) -> Host {
+    /// Starts a host. The script is passed each call and the number of calls received before it.
+    pub fn new(
+        script: impl Fn(&RecordedCall, usize) -> HostResponse + Send + Sync + 'static,
+    ) -> Host {
         Host::at(bind(), script)
     }
 
-    /// The same at a port of the test's own.
+    /// Starts a host on a listener that the test has bound.
     pub fn at(
         listener: TcpListener,
-        script: impl Fn(&Seen, usize) -> Answer + Send + Sync + 'static,
+        script: impl Fn(&RecordedCall, usize) -> HostResponse + Send + Sync + 'static,
     ) -> Host {
         let host = Host {
             address: listener.local_addr().expect("bound"),
-            seen: Arc::default(),
+            recorded_calls: Arc::default(),
             ended: Arc::default(),
             script: Arc::new(Mutex::new(Box::new(script))),
         };
@@ -135,18 +141,21 @@
         host
     }
 
-    pub fn script(&self, script: impl Fn(&Seen, usize) -> Answer + Send + Sync + 'static) {
+    pub fn script(
+        &self,
+        script: impl Fn(&RecordedCall, usize) -> HostResponse + Send + Sync + 'static,
+    ) {
         *self.script.lock().unwrap() = Box::new(script);
     }
 
-    pub fn calls(&self) -> Vec<Seen> {
-        self.seen.lock().unwrap().clone()
+    pub fn calls(&self) -> Vec<RecordedCall> {
+        self.recorded_calls.lock().unwrap().clone()
     }
 
-    pub fn calls_of(&self, id: &str) -> Vec<Seen> {
+    pub fn calls_of(&self, id: &str) -> Vec<RecordedCall> {
         self.calls()
             .into_iter()
-            .filter(|seen| seen.id == id)
+            .filter(|call| call.id == id)
             .collect()
     }
 
@@ -159,7 +168,7 @@
             reader.read_exact(&mut body).ok()?;
             let id = header(&headers, "x-trace-id")?;
             let key = header(&headers, "idempotency-key");
-            let seen = Seen {
+            let call = RecordedCall {
                 id,
                 key,
                 body,
@@ -167,29 +176,29 @@
                 at: Instant::now(),
             };
             let before = {
-                let mut all = self.seen.lock().unwrap();
-                all.push(seen.clone());
+                let mut all = self.recorded_calls.lock().unwrap();
+                all.push(call.clone());
                 all.len() - 1
             };
-            let answer = (self.script.lock().unwrap())(&seen, before);
+            let answer = (self.script.lock().unwrap())(&call, before);
             match answer {
-                Answer::Text(text) => writer.write_all(text.as_bytes()).ok()?,
-                Answer::Later(after, text) => {
+                HostResponse::Text(text) => writer.write_all(text.as_bytes()).ok()?,
+                HostResponse::Delayed(after, text) => {
                     thread::sleep(Duration::from_millis(after));
                     writer.write_all(text.as_bytes()).ok()?;
                 }
-                Answer::Parts(parts) => {
+                HostResponse::Parts(parts) => {
                     for (after, text) in parts {
                         thread::sleep(Duration::from_millis(after));
                         writer.write_all(text.as_bytes()).ok()?;
                     }
                 }
-                Answer::Last(text) => return writer.write_all(text.as_bytes()).ok(),
-                Answer::Hang => {
+                HostResponse::TextThenClose(text) => return writer.write_all(text.as_bytes()).ok(),
+                HostResponse::Hang => {
                     drop(reader.read(&mut [0]));
                     return None;
                 }
-                Answer::Close => return None,
+                HostResponse::Close => return None,
             }
         }
     }
@@ -216,30 +225,30 @@
     found.map(|(_, value)| value.trim().to_string())
 }
 
-/// Discovery with a list that tests change.
+/// A discovery service whose host list the test changes.
 #[derive(Clone)]
 pub struct Discovery {
     pub address: SocketAddr,
-    /// Lines that watches are sent, each with its version.
+    /// Lines to send on watches, each with its version.
     lines: Arc<Mutex<Vec<(u64, String)>>>,
     hosts: Arc<Mutex<Vec<Value>>>,
     pub notices: Arc<Mutex<Vec<Value>>>,
-    /// Says nothing while set; connections stay open.
+    /// While set, discovery sends nothing; connections stay open.
     pub silent: Arc<AtomicBool>,
-    /// Calls for the list are closed unanswered while set, and watches end.
-    pub closes: Arc<AtomicBool>,
-    /// Watches say nothing at all from their first byte on, while set, and for good.
-    pub mute: Arc<AtomicBool>,
-    /// Watches say nothing more once they have sent a line, while set.
-    pub halts: Arc<AtomicBool>,
-    /// Watches begin with a line that is no list, while set.
-    pub spoils: Arc<AtomicBool>,
-    /// Delay of answers to polls for the list, in milliseconds.
-    pub slow: Arc<AtomicU32>,
-    /// Notices are answered 503 while set.
-    pub refuses: Arc<AtomicBool>,
-    /// First lines of all requests.
-    pub asked: Arc<Mutex<Vec<String>>>,
+    /// While set, polls for the list are closed without a response, and watches are closed.
+    pub close_connections: Arc<AtomicBool>,
+    /// While set, new watches send nothing, not even a response head, and remain so after it is cleared.
+    pub mute_watches: Arc<AtomicBool>,
+    /// While set, watches send nothing more after their next line.
+    pub halt_after_line: Arc<AtomicBool>,
+    /// While set, new watches begin with a line that is not a list.
+    pub malformed_first_line: Arc<AtomicBool>,
+    /// Delay before each GET request is handled, in milliseconds.
+    pub poll_delay_ms: Arc<AtomicU32>,
+    /// While set, notices are rejected with status 503.
+    pub reject_notices: Arc<AtomicBool>,
+    /// Request lines of all requests received.
+    pub requests: Arc<Mutex<Vec<String>>>,
 }
 
 impl Discovery {
@@ -251,13 +260,13 @@
             hosts: Arc::default(),
             notices: Arc::default(),
             silent: Arc::default(),
-            closes: Arc::default(),
-            mute: Arc::default(),
-            halts: Arc::default(),
-            spoils: Arc::default(),
-            slow: Arc::default(),
-            refuses: Arc::default(),
-            asked: Arc::default(),
+            close_connections: Arc::default(),
+            mute_watches: Arc::default(),
+            halt_after_line: Arc::default(),
+            malformed_first_line: Arc::default(),
+            poll_delay_ms: Arc::default(),
+            reject_notices: Arc::default(),
+            requests: Arc::default(),
         };
         let peer = discovery.clone();
         thread::spawn(move || {
@@ -269,14 +278,14 @@
         discovery
     }
 
-    /// Sends the change to all watches, and the full snapshot to later polls.
+    /// Sends the change to all watches, and applies it to the full snapshot that polls receive.
     pub fn push(&self, seq: u64, hosts: &[Value]) {
-        let mut whole = self.hosts.lock().unwrap();
+        let mut snapshot = self.hosts.lock().unwrap();
         for host in hosts {
-            whole.retain(|known| known["host"] != host["host"]);
-            whole.extend((host["health"] != "removed").then(|| host.clone()));
+            snapshot.retain(|known| known["host"] != host["host"]);
+            snapshot.extend((host["health"] != "removed").then(|| host.clone()));
         }
-        drop(whole);
+        drop(snapshot);
         self.push_text(
             seq,
             json!({"seq": seq, "whole": false, "hosts": hosts}).to_string(),
@@ -288,13 +297,13 @@
     }
 
     /// Sets the full snapshot.
-    pub fn set_whole(&self, hosts: Vec<Value>) {
+    pub fn set_full_list(&self, hosts: Vec<Value>) {
         *self.hosts.lock().unwrap() = hosts;
     }
 
-    /// Requests so far whose first line has this.
-    pub fn asked_for(&self, what: &str) -> usize {
-        self.asked
+    /// Number of requests received whose request line contains the text.
+    pub fn request_count(&self, what: &str) -> usize {
+        self.requests
             .lock()
             .unwrap()
             .iter()
@@ -302,14 +311,14 @@
             .count()
     }
 
-    /// Waits until this number of watches was opened, or fails the test.
-    pub fn until_watched(&self, times: usize) {
-        until("a watch", || {
-            (self.asked_for("follow=1") >= times).then_some(())
+    /// Waits until this number of watches has been opened.
+    pub fn wait_for_watches(&self, times: usize) {
+        wait_until("a watch", || {
+            (self.request_count("follow=1") >= times).then_some(())
         });
     }
 
-    pub fn notice_of(&self, id: &str) -> Option<Value> {
+    pub fn notice_for(&self, id: &str) -> Option<Value> {
         self.notices
             .lock()
             .unwrap()
@@ -328,9 +337,9 @@
                 .unwrap_or(0);
             let mut body = vec![0; length];
             reader.read_exact(&mut body).ok()?;
-            self.asked.lock().unwrap().push(first.clone());
+            self.requests.lock().unwrap().push(first.clone());
             if first.starts_with("POST") {
-                if self.refuses.load(Ordering::SeqCst) {
+                if self.reject_notices.load(Ordering::SeqCst) {
                     writer
                         .write_all(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
                         .ok()?;
@@ -348,9 +357,9 @@
                 thread::sleep(Duration::from_millis(2));
             }
             thread::sleep(Duration::from_millis(
-                self.slow.load(Ordering::SeqCst).into(),
+                self.poll_delay_ms.load(Ordering::SeqCst).into(),
             ));
-            if self.closes.load(Ordering::SeqCst) {
+            if self.close_connections.load(Ordering::SeqCst) {
                 return None;
             }
             let Some((_, since)) = first.split_once("since=") else {
@@ -373,25 +382,25 @@
                 continue;
             };
             let since: u64 = since.split_whitespace().next()?.parse().ok()?;
-            if self.mute.load(Ordering::SeqCst) {
+            if self.mute_watches.load(Ordering::SeqCst) {
                 drop(reader.read(&mut [0]));
                 return None;
             }
             writer
                 .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 .ok()?;
-            if self.spoils.load(Ordering::SeqCst) {
+            if self.malformed_first_line.load(Ordering::SeqCst) {
                 writer.write_all(b"6\r\nnoise\n\r\n").ok()?;
             }
-            // A watch that fell silent stays so: only a new one gets later changes.
-            let mut told = 0;
-            let mut beat = Instant::now();
+            // A watch that has fallen silent stays silent: only a new watch receives later changes.
+            let mut sent = 0;
+            let mut last_heartbeat = Instant::now();
             loop {
                 if self.silent.load(Ordering::SeqCst) {
                     drop(reader.read(&mut [0]));
                     return None;
                 }
-                if self.closes.load(Ordering::SeqCst) {
+                if self.close_connections.load(Ordering::SeqCst) {
                     return None;
                 }
                 let lines: Vec<_> = self
@@ -399,19 +408,19 @@
                     .lock()
                     .unwrap()
                     .iter()
-                    .skip(told)
+                    .skip(sent)
                     .cloned()
                     .collect();
-                told += lines.len();
+                sent += lines.len();
                 for (_, line) in lines.into_iter().filter(|(seq, _)| *seq > since) {
                     write!(writer, "{:x}\r\n{line}\n\r\n", line.len() + 1).ok()?;
-                    if self.halts.load(Ordering::SeqCst) {
+                    if self.halt_after_line.load(Ordering::SeqCst) {
                         drop(reader.read(&mut [0]));
                         return None;
                     }
                 }
-                if beat.elapsed() > Duration::from_millis(500) {
-                    beat = Instant::now();
+                if last_heartbeat.elapsed() > Duration::from_millis(500) {
+                    last_heartbeat = Instant::now();
                     writer.write_all(b"1\r\n\n\r\n").ok()?;
                 }
                 thread::sleep(Duration::from_millis(2));
@@ -420,12 +429,13 @@
     }
 }
 
-/// An entry of the list.
+/// An entry of the host list.
 pub fn entry(name: &str, address: SocketAddr, block: u16, health: &str) -> Value {
     json!({"host": name, "dial": address.to_string(), "site": "dc", "class": "partner", "block": block,
         "health": health, "share": 200.0, "born_ms": 0})
 }
 
+/// Default settings: three message classes, and one tenant, `acme`.
 pub fn settings() -> Value {
     json!({
         "dcs": ["dc"], "discovery": "push", "skus": ["major-partner", "partner"],
@@ -448,7 +458,7 @@
     })
 }
 
-/// Sends a signal, such as `-HUP`, to a process that runs.
+/// Sends a signal, such as `-HUP`, to a running process.
 pub fn send_signal(process: &Child, name: &str) {
     assert!(Command::new("kill")
         .args([name, &process.id().to_string()])
@@ -457,23 +467,23 @@
         .success());
 }
 
-/// A relay, its folder and its discovery.
-pub struct Scene {
+/// A relay with its state folder and its discovery service. Dropping it kills the relay and deletes the folder.
+pub struct TestBed {
     pub discovery: Discovery,
     pub listen: SocketAddr,
     pub folder: PathBuf,
     pub config: Value,
     pub relay: Option<Child>,
-    /// The text of the operator file, if there is one.
+    /// The contents of the operator file; without it, the relay is started without `--operator`.
     pub operator: Option<String>,
-    /// Faults of the relay's system calls.
+    /// Faults to inject into the relay's system calls.
     pub faults: Option<faults::Faults>,
-    next: u32,
+    next_id: u32,
 }
 
-impl Scene {
-    /// A relay that knows these hosts; it is not started yet.
-    pub fn new(known: Vec<Value>) -> Scene {
+impl TestBed {
+    /// Prepares a relay whose configuration and discovery list these hosts, without starting it.
+    pub fn new(hosts: Vec<Value>) -> TestBed {
         let discovery = Discovery::new();
         let listen = bind().local_addr().expect("bound");
         let folder = std::env::temp_dir().join(format!(
@@ -483,13 +493,13 @@
         ));
         drop(std::fs::remove_dir_all(&folder));
         std::fs::create_dir_all(folder.join("state")).expect("a folder");
-        discovery.set_whole(known.clone());
+        discovery.set_full_list(hosts.clone());
         let config = json!({
             "name": "n0", "listen": listen.to_string(), "discovery": discovery.address.to_string(),
             "seed": "8c1f30d27a5be964", "settings": settings(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
-            "known": {"seq": 1, "whole": true, "hosts": known}});
-        Scene {
+            "known": {"seq": 1, "whole": true, "hosts": hosts}});
+        TestBed {
             discovery,
             listen,
             folder,
@@ -497,15 +507,15 @@
             relay: None,
             operator: None,
             faults: None,
-            next: 1,
+            next_id: 1,
         }
     }
 
-    /// The same, started.
-    pub fn started(known: Vec<Value>) -> Scene {
-        let mut scene = Scene::new(known);
-        scene.start();
-        scene
+    /// Starts a relay whose configuration and discovery list these hosts, and waits until it is ready.
+    pub fn started(hosts: Vec<Value>) -> TestBed {
+        let mut test_bed = TestBed::new(hosts);
+        test_bed.start();
+        test_bed
     }
 
     pub fn command(&self) -> Command {
@@ -531,10 +541,10 @@
 
     pub fn start(&mut self) {
         self.spawn();
-        self.until_ready();
+        self.wait_until_ready();
     }
 
-    /// Starts the process without waiting until it is ready.
+    /// Starts the process without waiting until it is ready; appends its standard error to the log.
     pub fn spawn(&mut self) {
         let log = std::fs::File::options()
             .create(true)
@@ -545,8 +555,9 @@
         self.relay = Some(command.spawn().expect("starts"));
     }
 
-    /// The same relay in this process, where the test has points between its lines; `first` has come before its first turn.
-    pub fn inside(&self, first: &[Signal]) -> Inside {
+    /// Starts the relay in a thread of this process, where the test can hook into its system calls. The signals in
+    /// `first` are pending before its event loop starts.
+    pub fn start_in_process(&self, first: &[Signal]) -> InProcessRelay {
         let path = self.folder.join("config.json");
         std::fs::write(&path, self.config.to_string()).expect("a file");
         let log = std::fs::File::options()
@@ -559,12 +570,12 @@
             variable("BALANCER_CONFIG", path),
             variable("BALANCER_STATE", self.folder.join("state")),
         ];
-        Inside::start(variables, log.expect("a log"), first)
+        InProcessRelay::start(variables, log.expect("a log"), first)
     }
 
-    /// Waits until the relay takes clients.
-    pub fn until_ready(&self) {
-        until("the relay to be ready", || {
+    /// Waits until the relay answers a client.
+    pub fn wait_until_ready(&self) {
+        wait_until("the relay to be ready", || {
             let mut client = TcpStream::connect(self.listen).ok()?;
             client.write_all(b"*1\r\n$4\r\nPING\r\n").ok()?;
             let mut pong = [0; 7];
@@ -581,7 +592,7 @@
         self.folder.join("state/journal")
     }
 
-    /// SIGKILL.
+    /// Kills the process with SIGKILL and waits for it to exit.
     pub fn kill(&mut self) {
         let mut relay = self.relay.take().expect("runs");
         relay.kill().expect("killed");
@@ -593,32 +604,34 @@
         send_signal(self.relay.as_ref().expect("runs"), name);
     }
 
-    /// SIGTERM; the process goes on.
-    pub fn term(&self) {
+    /// Sends SIGTERM without waiting for the process to exit.
+    pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// SIGHUP, with discovery elsewhere.
+    /// Changes the address of discovery in the configuration and sends SIGHUP.
     pub fn move_discovery(&mut self, to: &Discovery) {
         self.config["discovery"] = to.address.to_string().into();
         std::fs::write(self.folder.join("config.json"), self.config.to_string()).expect("a file");
         self.signal("-HUP");
     }
 
-    pub fn end(&mut self) -> ExitStatus {
+    /// Waits for the process to exit.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut relay = self.relay.take().expect("runs");
-        until("the relay to end", || relay.try_wait().expect("waits"))
+        wait_until("the relay to exit", || relay.try_wait().expect("waits"))
     }
 
+    /// Opens a client connection.
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.listen).expect("connects");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         Client {
             reader: BufReader::new(stream),
         }
     }
 
-    /// Submits a message and returns its id and the reply.
+    /// Submits a message with a deadline of 20 s; returns its id and the reply.
     pub fn enqueue(&mut self, class: &str, block: u16) -> (String, String) {
         self.enqueue_body(class, block, 20_000, b"body")
     }
@@ -627,37 +640,44 @@
         &mut self,
         class: &str,
         block: u16,
-        left: u64,
+        deadline_ms: u64,
         body: &[u8],
     ) -> (String, String) {
         let id = self.id();
         let mut client = self.client();
-        client.send(&request(&id, class, block, left, body));
+        client.send(&request(&id, class, block, deadline_ms, body));
         (id, client.line())
     }
 
-    /// A new id.
+    /// Returns a new message id.
     pub fn id(&mut self) -> String {
-        self.next += 1;
-        format!("m{:04}", self.next - 1)
+        self.next_id += 1;
+        format!("m{:04}", self.next_id - 1)
     }
 
-    /// The same for a tenant.
+    /// Submits a message for a tenant; returns its id and the reply.
     pub fn enqueue_for(
         &mut self,
         tenant: &str,
         class: &str,
         block: u16,
-        left: u64,
+        deadline_ms: u64,
     ) -> (String, String) {
         let id = self.id();
         let mut client = self.client();
-        client.send(&request_for(tenant, &id, class, block, left, b"body"));
+        client.send(&request_for(
+            tenant,
+            &id,
+            class,
+            block,
+            deadline_ms,
+            b"body",
+        ));
         (id, client.line())
     }
 }
 
-impl Drop for Scene {
+impl Drop for TestBed {
     fn drop(&mut self) {
         if let Some(relay) = &mut self.relay {
             drop(relay.kill());
@@ -670,6 +690,7 @@
     }
 }
 
+/// Encodes a RESP2 array of bulk strings.
 pub fn frame(parts: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", parts.len()).into_bytes();
     for part in parts {
@@ -680,8 +701,8 @@
     out
 }
 
-pub fn request(id: &str, class: &str, block: u16, left: u64, body: &[u8]) -> Vec<u8> {
-    request_for("acme", id, class, block, left, body)
+pub fn request(id: &str, class: &str, block: u16, deadline_ms: u64, body: &[u8]) -> Vec<u8> {
+    request_for("acme", id, class, block, deadline_ms, body)
 }
 
 pub fn request_for(
@@ -689,7 +710,7 @@
     id: &str,
     class: &str,
     block: u16,
-    left: u64,
+    deadline_ms: u64,
     body: &[u8],
 ) -> Vec<u8> {
     let key = if class == "event" {
@@ -697,7 +718,7 @@
     } else {
         String::new()
     };
-    let list = format!("c={class},t={tenant},d={left},{key}dest={block}");
+    let list = format!("c={class},t={tenant},d={deadline_ms},{key}dest={block}");
     frame(&[
         b"ENQUEUE",
         b"0000000000000000",
@@ -716,7 +737,7 @@
         self.reader.get_mut().write_all(bytes).expect("sent");
     }
 
-    /// Whether the relay has ended the connection, as far as is known here.
+    /// Whether the end of the connection has arrived at this side.
     pub fn has_ended(&self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).expect("set");
@@ -725,22 +746,22 @@
         !matches!(peeked, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Sends where the connection may have ended.
+    /// Sends bytes on a connection that the relay may have closed.
     pub fn try_send(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.reader.get_mut().write_all(bytes)
     }
 
-    /// The next line without its end; none where the connection ended before the whole of it.
-    pub fn whole_line(&mut self) -> Option<String> {
+    /// Reads the next line, without its line end; `None` if the connection ended before the line was complete.
+    pub fn complete_line(&mut self) -> Option<String> {
         let mut line = String::new();
         self.reader.read_line(&mut line).ok()?;
         Some(line.strip_suffix("\r\n")?.to_string())
     }
 
-    /// The next line, or nothing where the connection has ended.
+    /// Reads the next line, without its line end; empty if the connection has ended.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
-        // A close with bytes of ours unread comes as a reset.
+        // If the relay closes with unread input, the read fails with a reset.
         drop(self.reader.read_line(&mut line));
         line.trim_end().to_string()
     }
--- a/crates/relay/tests/terms.rs
+++ b/crates/relay/tests/terms.rs
@@ -1,13 +1,13 @@
 //! The platform's terms at their limits, with faults of system calls; docs/terms-audit.md has the clause of each test.
 
-mod scene;
+mod support;
 
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use scene::faults::Faults;
-use scene::*;
+use support::faults::Faults;
+use support::*;
 
 /// How far the wall clock is stepped.
 const STEP_MS: i64 = 3_600_000;
@@ -25,35 +25,35 @@
     bind().local_addr().expect("bound")
 }
 
-fn scene_with_faults(known: Vec<serde_json::Value>) -> (Scene, Faults) {
-    let mut scene = Scene::new(known);
-    let faults = Faults::new(&scene.folder);
-    scene.faults = Some(faults.clone());
-    (scene, faults)
+fn scene_with_faults(known: Vec<serde_json::Value>) -> (TestBed, Faults) {
+    let mut test_bed = TestBed::new(known);
+    let faults = Faults::new(&test_bed.folder);
+    test_bed.faults = Some(faults.clone());
+    (test_bed, faults)
 }
 
-fn accept_messages(scene: &mut Scene, count: usize, time_to_live_ms: u64) -> Vec<String> {
+fn accept_messages(test_bed: &mut TestBed, count: usize, time_to_live_ms: u64) -> Vec<String> {
     let classes = ["update", "payout", "event"];
     (0..count)
         .map(|number| {
             let class = classes[number % classes.len()];
-            let (id, answer) = scene.enqueue_body(class, 1, time_to_live_ms, b"body");
+            let (id, answer) = test_bed.enqueue_body(class, 1, time_to_live_ms, b"body");
             assert_eq!(answer, "+OK");
             id
         })
         .collect()
 }
 
-fn has_ended(scene: &Scene, host: Option<&Host>, id: &str) -> bool {
+fn has_ended(test_bed: &TestBed, host: Option<&Host>, id: &str) -> bool {
     let was_called = host.is_some_and(|host| !host.calls_of(id).is_empty());
-    was_called || scene.discovery.notice_of(id).is_some()
+    was_called || test_bed.discovery.notice_for(id).is_some()
 }
 
 /// Waits until each message was called or has its notification.
-fn wait_for_ends(scene: &Scene, host: &Host, ids: &[String]) {
-    until("an end of each accepted message", || {
+fn wait_for_ends(test_bed: &TestBed, host: &Host, ids: &[String]) {
+    wait_until("an end of each accepted message", || {
         ids.iter()
-            .all(|id| has_ended(scene, Some(host), id))
+            .all(|id| has_ended(test_bed, Some(host), id))
             .then_some(())
     });
 }
@@ -61,53 +61,59 @@
 /// Accepts messages that cannot be delivered, kills the process, steps the wall clock, and checks that each message
 /// ends when its time is up.
 fn assert_deadlines_hold_over_restart(step_ms: i64) {
-    let (mut scene, faults) = scene_with_faults(vec![entry("a", closed_port(), 1, "up")]);
-    scene.start();
+    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", closed_port(), 1, "up")]);
+    test_bed.start();
     let accepted_at = Instant::now();
-    let ids = accept_messages(&mut scene, 9, 4000);
+    let ids = accept_messages(&mut test_bed, 9, 4000);
     let last_accepted_at = Instant::now();
-    scene.kill();
+    test_bed.kill();
     faults.step_wall_clock(step_ms);
-    scene.start();
+    test_bed.start();
     let latest = (last_accepted_at + Duration::from_secs(4) + NOTIFICATION_SLACK)
         .max(Instant::now() + RESTART_SLACK)
         + MACHINE_SLACK;
     thread::sleep((accepted_at + Duration::from_secs(2)).saturating_duration_since(Instant::now()));
-    let ended_early = ids.iter().filter(|id| has_ended(&scene, None, id)).count();
+    let ended_early = ids
+        .iter()
+        .filter(|id| has_ended(&test_bed, None, id))
+        .count();
     assert_eq!(ended_early, 0, "given up with half of their time left");
-    while Instant::now() < latest && !ids.iter().all(|id| has_ended(&scene, None, id)) {
+    while Instant::now() < latest && !ids.iter().all(|id| has_ended(&test_bed, None, id)) {
         thread::sleep(Duration::from_millis(5));
     }
-    let ended = ids.iter().filter(|id| has_ended(&scene, None, id)).count();
+    let ended = ids
+        .iter()
+        .filter(|id| has_ended(&test_bed, None, id))
+        .count();
     assert_eq!(ended, ids.len(), "ended in time");
 }
 
 #[test]
-fn deadlines_hold_over_a_restart_and_a_wall_clock_set_back() {
+fn deadlines_hold_after_restart_with_wall_clock_set_back() {
     assert_deadlines_hold_over_restart(-STEP_MS);
 }
 
 #[test]
-fn deadlines_hold_over_a_restart_and_a_wall_clock_set_forward() {
+fn deadlines_hold_after_restart_with_wall_clock_set_forward() {
     assert_deadlines_hold_over_restart(STEP_MS);
 }
 
 /// What a restart finds untried is still tried, whatever the wall clock says by then.
 #[test]
-fn untried_messages_are_called_after_a_restart_with_a_stepped_wall_clock() {
+fn unattempted_messages_are_called_after_restart_with_stepped_wall_clock() {
     for step_ms in [STEP_MS, -STEP_MS, 5000, -5000] {
         let port = bind();
         let address = port.local_addr().expect("bound");
         drop(port);
-        let (mut scene, faults) = scene_with_faults(vec![entry("a", address, 1, "up")]);
-        scene.start();
-        let ids = accept_messages(&mut scene, 9, 20_000);
-        scene.kill();
+        let (mut test_bed, faults) = scene_with_faults(vec![entry("a", address, 1, "up")]);
+        test_bed.start();
+        let ids = accept_messages(&mut test_bed, 9, 20_000);
+        test_bed.kill();
         let listener = std::net::TcpListener::bind(address).expect("the host is back");
         let host = Host::at(listener, |_, _| ok());
         faults.step_wall_clock(step_ms);
-        scene.start();
-        wait_for_ends(&scene, &host, &ids);
+        test_bed.start();
+        wait_for_ends(&test_bed, &host, &ids);
         let called = ids.iter().filter(|id| !host.calls_of(id).is_empty());
         assert_eq!(called.count(), ids.len(), "called after {step_ms} ms");
     }
@@ -115,19 +121,19 @@
 
 /// A step while the process runs changes no deadline, in either direction.
 #[test]
-fn deadlines_hold_while_the_wall_clock_is_stepped_under_a_running_process() {
-    let (mut scene, faults) = scene_with_faults(vec![entry("a", closed_port(), 1, "up")]);
-    scene.start();
+fn deadlines_hold_when_wall_clock_is_stepped_at_runtime() {
+    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", closed_port(), 1, "up")]);
+    test_bed.start();
     let accepted_at = Instant::now();
-    let ids = accept_messages(&mut scene, 9, 3000);
+    let ids = accept_messages(&mut test_bed, 9, 3000);
     for step_ms in [STEP_MS, -STEP_MS, 0, 7000] {
         faults.step_wall_clock(step_ms);
         thread::sleep(Duration::from_millis(300));
-        assert!(ids.iter().all(|id| !has_ended(&scene, None, id)));
+        assert!(ids.iter().all(|id| !has_ended(&test_bed, None, id)));
     }
-    until("an end of each", || {
+    wait_until("an end of each", || {
         ids.iter()
-            .all(|id| has_ended(&scene, None, id))
+            .all(|id| has_ended(&test_bed, None, id))
             .then_some(())
     });
     assert!(
@@ -156,7 +162,7 @@
     thread::spawn(move || {
         let stream = std::net::TcpStream::connect(listen).expect("connects");
         stream.set_nodelay(true).expect("set");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let mut client = Client {
             reader: std::io::BufReader::new(stream),
         };
@@ -171,7 +177,7 @@
             if client.try_send(&bytes).is_err() {
                 return;
             }
-            let answer = client.whole_line();
+            let answer = client.complete_line();
             let mut log = log.lock().unwrap();
             match answer.as_deref() {
                 Some("+OK") => log.accepted.push(id),
@@ -190,21 +196,21 @@
 #[test]
 fn every_request_between_sigterm_and_sigkill_is_answered() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::started(vec![entry("a", host.address, 1, "up")]);
+    let mut test_bed = TestBed::started(vec![entry("a", host.address, 1, "up")]);
     let log = Arc::new(Mutex::new(Requests::default()));
     let clients: Vec<_> = (0..20)
         .map(|number| {
             let pause = Duration::from_millis(1 + number % 7);
-            send_until_end(scene.listen, format!("c{number}"), pause, log.clone())
+            send_until_end(test_bed.listen, format!("c{number}"), pause, log.clone())
         })
         .collect();
     thread::sleep(Duration::from_millis(300));
     let stopped_at = Instant::now();
-    scene.term();
-    scene.term();
+    test_bed.terminate();
+    test_bed.terminate();
     thread::sleep((stopped_at + KILL_AFTER_STOP).saturating_duration_since(Instant::now()));
     let killed_at = Instant::now();
-    scene.kill();
+    test_bed.kill();
     for client in clients {
         client.join().expect("no panic");
     }
@@ -225,24 +231,24 @@
         "{}",
         requests.accepted.len()
     );
-    scene.start();
-    wait_for_ends(&scene, &host, &requests.accepted);
+    test_bed.start();
+    wait_for_ends(&test_bed, &host, &requests.accepted);
 }
 
 /// Reads and writes may be short without the socket being drained or full.
 #[test]
-fn short_transfers_lose_no_request_and_delay_none() {
+fn short_transfers_neither_lose_nor_delay_requests() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
+    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
     faults.seed(1);
     faults.shorten_transfers(30);
     faults.fail_network_calls(10);
-    scene.start();
+    test_bed.start();
     let log = Arc::new(Mutex::new(Requests::default()));
     let clients: Vec<_> = (0..8)
         .map(|number| {
             let pause = Duration::from_millis(2);
-            send_until_end(scene.listen, format!("c{number}"), pause, log.clone())
+            send_until_end(test_bed.listen, format!("c{number}"), pause, log.clone())
         })
         .collect();
     thread::sleep(Duration::from_secs(3));
@@ -250,19 +256,19 @@
     assert!(requests.unanswered.is_empty(), "{:?}", requests.unanswered);
     // Each client alone is good for a hundred a second; a transfer that waits for an edge costs seconds.
     assert!(requests.accepted.len() > 400, "{}", requests.accepted.len());
-    wait_for_ends(&scene, &host, &requests.accepted);
+    wait_for_ends(&test_bed, &host, &requests.accepted);
     faults.shorten_transfers(0);
     faults.fail_network_calls(0);
     // One that had to make room for others was handed back, and the rest was called once.
     for id in &requests.accepted {
-        let was_handed_back = scene.discovery.notice_of(id).is_some();
+        let was_handed_back = test_bed.discovery.notice_for(id).is_some();
         assert_eq!(
             host.calls_of(id).len() + usize::from(was_handed_back),
             1,
             "{id}"
         );
     }
-    scene.kill();
+    test_bed.kill();
     for client in clients {
         client.join().expect("no panic");
     }
@@ -270,45 +276,45 @@
 
 /// What a moment's failures of system calls and writes do to a start: nothing that lasts.
 #[test]
-fn a_start_outlasts_failures_of_system_calls_and_writes() {
+fn startup_succeeds_despite_transient_system_call_and_write_failures() {
     let host = Host::new(|_, _| ok());
-    let (mut scene, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
+    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
     for seed in 0..8 {
         faults.seed(seed);
         faults.fail_network_calls(60);
         faults.fail_file_writes(80);
-        scene.spawn();
+        test_bed.spawn();
         thread::sleep(Duration::from_millis(300));
         faults.fail_network_calls(0);
         faults.fail_file_writes(0);
-        let id = scene.relay.as_mut().expect("spawned").try_wait();
+        let id = test_bed.relay.as_mut().expect("spawned").try_wait();
         assert_eq!(id.expect("waits"), None, "ended, seed {seed}");
-        scene.until_ready();
-        let (id, answer) = scene.enqueue("update", 1);
+        test_bed.wait_until_ready();
+        let (id, answer) = test_bed.enqueue("update", 1);
         assert_eq!(answer, "+OK");
-        until("the call", || host.calls_of(&id).first().cloned());
-        scene.kill();
+        wait_until("the call", || host.calls_of(&id).first().cloned());
+        test_bed.kill();
     }
 }
 
 /// A message that is delivered while the disk takes nothing has its one end, also over a restart once the disk is well.
 #[test]
-fn ends_that_the_disk_did_not_take_hold_over_a_restart() {
-    let host = Host::new(|_, _| Answer::Later(400, ok_text()));
-    let (mut scene, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
-    scene.start();
-    let (id, answer) = scene.enqueue("update", 1);
+fn ends_that_could_not_be_journaled_hold_after_restart() {
+    let host = Host::new(|_, _| HostResponse::Delayed(400, ok_text()));
+    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
+    test_bed.start();
+    let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    until("the call", || host.calls_of(&id).first().cloned());
+    wait_until("the call", || host.calls_of(&id).first().cloned());
     faults.fail_file_writes(100);
     thread::sleep(Duration::from_millis(700));
     faults.fail_file_writes(0);
     thread::sleep(Duration::from_millis(700));
-    scene.kill();
-    scene.start();
-    let (next, _) = scene.enqueue("update", 1);
-    until("a later call", || host.calls_of(&next).first().cloned());
+    test_bed.kill();
+    test_bed.start();
+    let (next, _) = test_bed.enqueue("update", 1);
+    wait_until("a later call", || host.calls_of(&next).first().cloned());
     thread::sleep(Duration::from_millis(300));
     assert_eq!(host.calls_of(&id).len(), 1, "delivered once");
-    assert_eq!(scene.discovery.notice_of(&id), None);
+    assert_eq!(test_bed.discovery.notice_for(&id), None);
 }
--- a/crates/relay/tests/transcripts.rs
+++ b/crates/relay/tests/transcripts.rs
@@ -1,7 +1,7 @@
 //! Transcripts of what the relay says on the wire to clients, hosts, discovery and operators, compared with golden
 //! files in `tests/golden`. No test rewrites them.
 
-mod scene;
+mod support;
 
 use std::fs;
 use std::io::{Read, Write};
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use scene::*;
 use serde_json::json;
+use support::*;
 
 /// Compares a transcript with its golden file, line by line.
 fn assert_transcript(name: &str, lines: &[String]) {
@@ -133,9 +133,9 @@
 }
 
 #[test]
-fn answers_to_clients() {
+fn client_replies_match_golden_transcript() {
     let host = Host::new(|_, _| ok());
-    let scene = Scene::started(vec![entry("a", host.address, 7, "up")]);
+    let test_bed = TestBed::started(vec![entry("a", host.address, 7, "up")]);
     let texts: Vec<Vec<u8>> = vec![
         frame(&[b"PING"]),
         frame(&[b"ping"]),
@@ -197,8 +197,8 @@
     ];
     let mut lines = Vec::new();
     for text in texts {
-        let mut stream = TcpStream::connect(scene.listen).expect("connects");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        let mut stream = TcpStream::connect(test_bed.listen).expect("connects");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         stream.write_all(&text).expect("sent");
         stream.shutdown(Shutdown::Write).expect("shut");
         let mut answer = Vec::new();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn calls_to_hosts() {
+fn host_calls_match_golden_transcript() {
     let host = Host::new(|_, before| {
         if before == 0 {
             status("500 Broken")
@@ -224,14 +224,14 @@
         }
     });
     let recorder = Recorder::new(host.address);
-    let mut scene = Scene::started(vec![entry("a", recorder.address, 7, "up")]);
+    let mut test_bed = TestBed::started(vec![entry("a", recorder.address, 7, "up")]);
     for (class, body, calls) in [
         ("event", &b"\r\n\x00body"[..], 2),
         ("update", b"", 3),
         ("payout", b"body", 4),
     ] {
-        assert_eq!(scene.enqueue_body(class, 7, 20_000, body).1, "+OK");
-        until("the calls", || (host.calls().len() == calls).then_some(()));
+        assert_eq!(test_bed.enqueue_body(class, 7, 20_000, body).1, "+OK");
+        wait_until("the calls", || (host.calls().len() == calls).then_some(()));
     }
     let requests = recorder.requests().into_iter().map(|request| {
         let request = without_time(&request).replace(&recorder.address.to_string(), "ADDRESS");
@@ -241,22 +241,22 @@
 }
 
 #[test]
-fn requests_to_discovery() {
-    let host = Host::new(|_, _| Answer::Close);
+fn discovery_requests_match_golden_transcript() {
+    let host = Host::new(|_, _| HostResponse::Close);
     // An address that takes no connections.
     let closed = bind().local_addr().expect("bound");
-    let mut scene = Scene::new(vec![
+    let mut test_bed = TestBed::new(vec![
         entry("a", host.address, 7, "up"),
         entry("b", closed, 8, "up"),
     ]);
-    let recorder = Recorder::new(scene.discovery.address);
-    scene.config["discovery"] = json!(recorder.address.to_string());
-    scene.start();
-    scene.discovery.until_watched(1);
-    let (failed, _) = scene.enqueue("payout", 7);
-    until("the notice", || scene.discovery.notice_of(&failed));
-    let (deferred, _) = scene.enqueue_body("update", 8, 1500, b"body");
-    until("the notice", || scene.discovery.notice_of(&deferred));
+    let recorder = Recorder::new(test_bed.discovery.address);
+    test_bed.config["discovery"] = json!(recorder.address.to_string());
+    test_bed.start();
+    test_bed.discovery.wait_for_watches(1);
+    let (failed, _) = test_bed.enqueue("payout", 7);
+    wait_until("the notice", || test_bed.discovery.notice_for(&failed));
+    let (deferred, _) = test_bed.enqueue_body("update", 8, 1500, b"body");
+    wait_until("the notice", || test_bed.discovery.notice_for(&deferred));
     let requests = recorder.requests().into_iter().map(|request| {
         let request = request.replace(&recorder.address.to_string(), "ADDRESS");
         format!("relay: {}", escaped(request.as_bytes()))
@@ -265,12 +265,12 @@
 }
 
 #[test]
-fn answers_to_operators() {
+fn control_socket_replies_match_golden_transcript() {
     let host = Host::new(|_, _| ok());
-    let mut scene = Scene::new(vec![entry("a", host.address, 7, "up")]);
+    let mut test_bed = TestBed::new(vec![entry("a", host.address, 7, "up")]);
     let control = bind().local_addr().expect("bound");
-    scene.config["control"] = json!(control.to_string());
-    scene.start();
+    test_bed.config["control"] = json!(control.to_string());
+    test_bed.start();
     let mut lines = Vec::new();
     let texts: [&[u8]; 11] = [
         b"ready\n",
@@ -287,7 +287,7 @@
     ];
     for text in texts {
         let mut stream = TcpStream::connect(control).expect("connects");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         stream.write_all(text).expect("sent");
         let mut answer = Vec::new();
         stream.read_to_end(&mut answer).expect("read");
--- a/crates/relay/tests/undeliverable/batches_and_rules.rs
+++ b/crates/relay/tests/undeliverable/batches_and_rules.rs
@@ -3,21 +3,21 @@
 use super::*;
 
 #[test]
-fn a_batch_is_counted_first_keeps_its_rate_and_stops_when_failures_mount() {
+fn batch_counts_first_keeps_its_rate_and_stops_after_failures() {
     let ledger = Ledger::new();
-    let host = Host::new(|_, _| Answer::Close);
-    let mut desk = Desk::new(up(&host), &ledger, "at_once = 8", 100);
+    let host = Host::new(|_, _| HostResponse::Close);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "at_once = 8", 100);
     host.script(only_good);
-    let _good = Good::traffic(&desk.scene);
+    let _good = Good::traffic(&bed.test_bed);
     thread::sleep(Duration::from_millis(300));
     let mut all = BTreeMap::new();
     for _ in 0..20 {
-        all = desk.given_up("payout", 1);
+        all = bed.given_up("payout", 1);
     }
     let plan = |name: &str, stop: u32| {
         let body = json!({"name": name, "filter": {"class": "payout"}, "per_second": 200.0, "at_once": 2,
             "stop_after": stop});
-        desk.api.ask(
+        bed.api.send(
             "POST",
             "/v1/undeliverable-batches",
             &[JSON],
@@ -48,16 +48,16 @@
     assert_eq!(bad(), calls, "a plan sends nothing");
     let order = |name: &str, order: &str| {
         let path = format!("/v1/undeliverable-batches/{name}/{order}");
-        desk.api.ask("POST", &path, &[("if-match", "*")], "")
+        bed.api.send("POST", &path, &[("if-match", "*")], "")
     };
     let state = |name: &str| {
-        desk.api
+        bed.api
             .get(&format!("/v1/undeliverable-batches/{name}"))
             .body
     };
     assert_eq!(order("night", "run").status, 200);
     // The host still fails: three failures stop it.
-    let stopped = until("the stop", || {
+    let stopped = wait_until("the stop", || {
         Some(state("night")).filter(|batch| batch["state"] == "stopped")
     });
     assert!(
@@ -73,19 +73,19 @@
     });
     assert_eq!(order("night", "pause").status, 200);
     assert_eq!(order("night", "run").status, 200);
-    let done = until("the end", || {
+    let done = wait_until("the end", || {
         Some(state("night")).filter(|batch| batch["state"] == "done")
     });
     assert_eq!(order("night", "run").status, 409);
     // Those that failed in the batch are open still, and another batch takes them.
     assert!(plan("rest", 5).status == 201 && order("rest", "run").status == 200);
-    until("the rest", || {
+    wait_until("the rest", || {
         Some(state("rest")).filter(|batch| batch["state"] == "done")
     });
-    let records = desk.all("");
+    let records = bed.all("");
     for name in all.keys() {
         assert_eq!(
-            (ledger.times(name), records[name]["state"].as_str()),
+            (ledger.applied_count(name), records[name]["state"].as_str()),
             (1, Some("delivered")),
             "{name} {done}"
         );
@@ -93,13 +93,13 @@
 }
 
 #[test]
-fn rules_send_by_themselves_once_the_partner_is_well_again() {
+fn rules_resend_automatically_after_partner_recovers() {
     let ledger = Ledger::new();
-    let host = Host::new(|_, _| Answer::Close);
+    let host = Host::new(|_, _| HostResponse::Close);
     let rule =
         "at_once = 8\n[[undeliverable.rules]]\nname = \"back\"\nwhen = \"recovered\"\nper_minute = 6000\n";
-    let mut desk = Desk::new(up(&host), &ledger, rule, 100);
-    let all = desk.given_up("payout", 5);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, rule, 100);
+    let all = bed.given_up("payout", 5);
     host.script({
         let book = ledger.clone();
         move |seen, _| {
@@ -108,13 +108,13 @@
         }
     });
     // Live messages show that it has recovered.
-    until("all to be delivered", || {
-        desk.scene.enqueue("update", 1);
+    wait_until("all to be delivered", || {
+        bed.test_bed.enqueue("update", 1);
         thread::sleep(Duration::from_millis(50));
-        let records = desk.all("&state=delivered");
+        let records = bed.all("&state=delivered");
         all.keys()
             .all(|name| records.contains_key(name))
             .then_some(())
     });
-    assert!(all.keys().all(|name| ledger.times(name) == 1));
+    assert!(all.keys().all(|name| ledger.applied_count(name) == 1));
 }
--- a/crates/relay/tests/undeliverable/load.rs
+++ b/crates/relay/tests/undeliverable/load.rs
@@ -5,7 +5,7 @@
 /// Another number of payouts: `PAYOUTS=10000 cargo test --release -p relay --test undeliverable ten_thousand`.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn ten_thousand_payouts_are_applied_once_whoever_is_killed() {
+fn ten_thousand_payouts_are_applied_once_despite_kills() {
     let count: usize = std::env::var("PAYOUTS")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -17,16 +17,16 @@
         if before % 3 == 0 {
             book.apply(&seen.id);
         }
-        Answer::Close
+        HostResponse::Close
     });
     let mut hosts = up(&host);
     hosts[0]["share"] = json!(5000.0);
-    let mut desk = Desk::new(hosts, &ledger, "at_once = 64", 20_000);
-    let mut client = desk.scene.client();
+    let mut bed = UndeliverableTestBed::new(hosts, &ledger, "at_once = 64", 20_000);
+    let mut client = bed.test_bed.client();
     let mut ids = Vec::new();
     for chunk in (0..count).collect::<Vec<_>>().chunks(100) {
         for _ in chunk {
-            let id = desk.scene.id();
+            let id = bed.test_bed.id();
             client.send(&request(&id, "payout", 1, 50_000, b"body"));
             ids.push(id);
         }
@@ -36,35 +36,35 @@
     let good = ledger.clone();
     let silent = Arc::new(std::sync::atomic::AtomicU32::new(0));
     let turn = silent.clone();
-    until("a third to be given up", || {
-        (desk.all("").len() >= 3.min(count)).then_some(())
+    wait_until("a third to be given up", || {
+        (bed.all("").len() >= 3.min(count)).then_some(())
     });
     host.script(move |seen, _| {
         // It still applies one in ten without saying so, and drops one in ten.
         match turn.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 10 {
             0 => {
                 good.apply(&seen.id);
-                Answer::Close
+                HostResponse::Close
             }
-            5 => Answer::Close,
+            5 => HostResponse::Close,
             _ => {
                 good.apply(&seen.id);
                 ok()
             }
         }
     });
-    until("all to be delivered or kept", || {
-        let kept = desk.all("");
+    wait_until("all to be delivered or kept", || {
+        let kept = bed.all("");
         let done = ids
             .iter()
-            .filter(|id| kept.contains_key(*id) || ledger.times(id) > 0)
+            .filter(|id| kept.contains_key(*id) || ledger.applied_count(id) > 0)
             .count();
         (done == ids.len()).then_some(())
     });
     // Two operators run batches of all records, again and again, and the relay is killed meanwhile.
     let mut round = 0;
     loop {
-        let records = desk.all("");
+        let records = bed.all("");
         let open = records
             .values()
             .filter(|record| record["state"] == "open")
@@ -78,13 +78,13 @@
         }
         assert!(round < 60 + count / 50, "{open} records are open still");
         for operator in ["ops", "second"] {
-            let (api, name) = (desk.as_of(operator), format!("{operator}-{round}"));
+            let (api, name) = (bed.as_of(operator), format!("{operator}-{round}"));
             let body =
                 json!({"name": name, "per_second": 1000.0, "at_once": 64, "stop_after": 1000})
                     .to_string();
             let path = "/v1/undeliverable-batches";
-            if api.ask("POST", path, &[JSON], &body).status == 201 {
-                api.ask(
+            if api.send("POST", path, &[JSON], &body).status == 201 {
+                api.send(
                     "POST",
                     &format!("{path}/{name}/run"),
                     &[("if-match", "*")],
@@ -94,15 +94,15 @@
         }
         thread::sleep(Duration::from_millis(300));
         if round < 6 {
-            desk.scene.kill();
-            desk.scene.start();
+            bed.test_bed.kill();
+            bed.test_bed.start();
         }
         thread::sleep(Duration::from_millis(700));
         round += 1;
     }
-    let records = desk.all("");
+    let records = bed.all("");
     for id in &ids {
-        assert_eq!(ledger.times(id), 1, "{id}: {:?}", records.get(id));
+        assert_eq!(ledger.applied_count(id), 1, "{id}: {:?}", records.get(id));
         if let Some(record) = records.get(id) {
             assert!(["delivered", "applied-before"]
                 .contains(&record["state"].as_str().expect("a state")));
@@ -118,38 +118,38 @@
 /// --nocapture`. Takes a quiet machine and half a minute.
 #[test]
 #[ignore = "a measurement, which wants the cores to itself"]
-fn live_messages_are_as_fast_while_a_batch_runs() {
+fn live_messages_are_not_slowed_by_a_batch() {
     let ledger = Ledger::new();
     // Live messages take 20 ms at their host, as do resends.
     let host = Host::new(|seen, _| match seen.body.as_slice() {
-        b"live" => Answer::Later(20, ok_text()),
-        _ => Answer::Close,
+        b"live" => HostResponse::Delayed(20, ok_text()),
+        _ => HostResponse::Close,
     });
-    let mut desk = Desk::new(up(&host), &ledger, "", 20_000);
-    let good = Good::traffic(&desk.scene);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "", 20_000);
+    let good = Good::traffic(&bed.test_bed);
     let given_up = 330;
     host.script(|seen, _| match seen.body.as_slice() {
-        b"live" => Answer::Later(20, ok_text()),
+        b"live" => HostResponse::Delayed(20, ok_text()),
         b"good" => ok(),
-        _ => Answer::Close,
+        _ => HostResponse::Close,
     });
-    let mut client = desk.scene.client();
+    let mut client = bed.test_bed.client();
     for _ in 0..given_up {
-        let id = desk.scene.id();
+        let id = bed.test_bed.id();
         client.send(&request(&id, "payout", 1, 50_000, b"payout"));
         assert_eq!(client.line(), "+OK");
         // Few enough beside the successful ones that the circuit breaker stays closed.
         thread::sleep(Duration::from_millis(40));
     }
-    until("all to be kept", || {
-        (desk.all("").len() >= given_up).then_some(())
+    wait_until("all to be kept", || {
+        (bed.all("").len() >= given_up).then_some(())
     });
-    host.script(|_, _| Answer::Later(20, ok_text()));
+    host.script(|_, _| HostResponse::Delayed(20, ok_text()));
     drop(good);
     thread::sleep(Duration::from_secs(3));
     // Hand-in to host, for messages 15 ms apart.
     let measure = |first: usize| {
-        let mut client = desk.scene.client();
+        let mut client = bed.test_bed.client();
         let mut sent = Vec::new();
         for n in 0..700 {
             let id = format!("l{:06}", first + n);
@@ -158,7 +158,7 @@
             assert_eq!(client.line(), "+OK");
             thread::sleep(Duration::from_millis(15));
         }
-        let seen: BTreeMap<String, std::time::Instant> = until("all calls", || {
+        let seen: BTreeMap<String, std::time::Instant> = wait_until("all calls", || {
             let seen: BTreeMap<_, _> = host
                 .calls()
                 .into_iter()
@@ -182,17 +182,17 @@
         let body =
             json!({"name": name, "per_second": 8.0, "at_once": 2, "stop_after": 1000}).to_string();
         let path = "/v1/undeliverable-batches";
-        assert_eq!(desk.api.ask("POST", path, &[JSON], &body).status, 201);
-        desk.api.ask(
+        assert_eq!(bed.api.send("POST", path, &[JSON], &body).status, 201);
+        bed.api.send(
             "POST",
             &format!("{path}/{name}/run"),
             &[("if-match", "*")],
             "",
         );
         let with = measure(round * 10_000 + 5_000);
-        let batch = desk
+        let batch = bed
             .api
-            .ask(
+            .send(
                 "POST",
                 &format!("{path}/{name}/cancel"),
                 &[("if-match", "*")],
--- a/crates/relay/tests/undeliverable/main.rs
+++ b/crates/relay/tests/undeliverable/main.rs
@@ -6,9 +6,9 @@
 mod load;
 mod records;
 mod resends;
-#[path = "../scene/mod.rs"]
-mod scene;
 mod store;
+#[path = "../support/mod.rs"]
+mod support;
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -18,8 +18,8 @@
 use std::time::Duration;
 
 use api::*;
-use scene::*;
 use serde_json::{json, Value};
+use support::*;
 
 /// A partner that can be asked whether a message took effect.
 #[derive(Clone)]
@@ -28,8 +28,8 @@
     /// How often each message was applied.
     applied: Arc<Mutex<BTreeMap<String, u32>>>,
     /// What is answered in place of the truth.
-    lies: Arc<Mutex<Option<String>>>,
-    asked: Arc<Mutex<Vec<String>>>,
+    forced_response: Arc<Mutex<Option<String>>>,
+    queries: Arc<Mutex<Vec<String>>>,
 }
 
 impl Ledger {
@@ -38,8 +38,8 @@
         let ledger = Ledger {
             address: listener.local_addr().expect("bound"),
             applied: Arc::default(),
-            lies: Arc::default(),
-            asked: Arc::default(),
+            forced_response: Arc::default(),
+            queries: Arc::default(),
         };
         let peer = ledger.clone();
         thread::spawn(move || {
@@ -55,12 +55,12 @@
                         .split_whitespace()
                         .next()?
                         .to_string();
-                    peer.asked.lock().unwrap().push(id.clone());
+                    peer.queries.lock().unwrap().push(id.clone());
                     let known = peer.applied.lock().unwrap().contains_key(&id);
-                    let lie = peer.lies.lock().unwrap().clone();
-                    let truth =
+                    let forced = peer.forced_response.lock().unwrap().clone();
+                    let actual =
                         json!({"status": if known { "done" } else { "absent" }}).to_string();
-                    let body = lie.unwrap_or(truth);
+                    let body = forced.unwrap_or(actual);
                     if body.is_empty() {
                         thread::sleep(Duration::from_millis(4000));
                     }
@@ -80,34 +80,34 @@
         *self.applied.lock().unwrap().entry(id.into()).or_default() += 1;
     }
 
-    fn times(&self, id: &str) -> u32 {
+    fn applied_count(&self, id: &str) -> u32 {
         self.applied.lock().unwrap().get(id).copied().unwrap_or(0)
     }
 
-    fn answers(&self, lie: Option<&str>) {
-        *self.lies.lock().unwrap() = lie.map(String::from);
+    fn force_response(&self, response: Option<&str>) {
+        *self.forced_response.lock().unwrap() = response.map(String::from);
     }
 }
 
 /// A relay that keeps what is given up, with the API of its administrator.
-struct Desk {
-    scene: Scene,
+struct UndeliverableTestBed {
+    test_bed: TestBed,
     api: Api,
     address: String,
 }
 
 const JSON: (&str, &str) = ("content-type", "application/json");
 
-impl Desk {
-    fn new(hosts: Vec<Value>, ledger: &Ledger, more: &str, held: u32) -> Desk {
-        let (mut scene, address) = hosted(hosts, "", "");
-        scene.config["settings"]["limits"]["mostHeld"] = json!(held);
+impl UndeliverableTestBed {
+    fn new(hosts: Vec<Value>, ledger: &Ledger, more: &str, held: u32) -> UndeliverableTestBed {
+        let (mut test_bed, address) = new_with_tenants(hosts, "", "");
+        test_bed.config["settings"]["limits"]["mostHeld"] = json!(held);
         if held > 1000 {
-            scene.config["limits"]["disk_mb"] = json!(64);
+            test_bed.config["limits"]["disk_mb"] = json!(64);
         }
-        let folder = scene.folder.join("kept");
+        let folder = test_bed.folder.join("kept");
         std::fs::create_dir_all(&folder).expect("a folder");
-        let text = scene.operator.take().expect("a file");
+        let text = test_bed.operator.take().expect("a file");
         let (admin, tokens) = text.split_once("[[admin.tokens]]").expect("tokens");
         let section = format!(
             "[undeliverable]\nfolder = {:?}\nsettle_s = 0.0\n{more}\n[[undeliverable.partners]]\ndestination = 1\n\
@@ -129,13 +129,13 @@
             format!("{head}sha256 = \"{digest}\"\ntenants = [{scope}]\n")
         };
         let more_tokens = operator("second", "\"*\"") + &operator("nobodys", "");
-        scene.operator = Some(format!(
+        test_bed.operator = Some(format!(
             "{tenants}[admin]{admin}[[admin.tokens]]{tokens}{more_tokens}{section}"
         ));
-        scene.start();
+        test_bed.start();
         let api = Api::new(&address, Some(&token("ops")));
-        Desk {
-            scene,
+        UndeliverableTestBed {
+            test_bed,
             api,
             address,
         }
@@ -149,12 +149,12 @@
     fn given_up(&mut self, class: &str, count: usize) -> BTreeMap<String, Value> {
         let ids: Vec<String> = (0..count)
             .map(|_| {
-                let (id, answer) = self.scene.enqueue(class, 1);
+                let (id, answer) = self.test_bed.enqueue(class, 1);
                 assert_eq!(answer, "+OK");
                 id
             })
             .collect();
-        until("the records", || {
+        wait_until("the records", || {
             let all = self.all("");
             ids.iter().all(|id| all.contains_key(id)).then_some(all)
         })
@@ -185,21 +185,21 @@
         self.api.get(&format!("/v1/undeliverable/{id}")).body
     }
 
-    fn act(&self, id: &Value, act: &str) -> Reply {
+    fn act(&self, id: &Value, act: &str) -> ApiResponse {
         act_as(&self.api, id, act, "*")
     }
 
     fn in_state(&self, id: &Value, state: &str) -> Value {
-        until(state, || {
+        wait_until(state, || {
             Some(self.one(id)).filter(|record| record["state"] == state)
         })
     }
 }
 
-fn act_as(api: &Api, id: &Value, act: &str, tag: &str) -> Reply {
+fn act_as(api: &Api, id: &Value, act: &str, tag: &str) -> ApiResponse {
     // A record rests for a second after its message was given up.
-    until("an answer after the rest", || {
-        let reply = api.ask(
+    wait_until("an answer after the rest", || {
+        let reply = api.send(
             "POST",
             &format!("/v1/undeliverable/{id}/{act}"),
             &[("if-match", tag)],
@@ -209,9 +209,9 @@
     })
 }
 
-fn attest(api: &Api, id: &Value, says: &str) -> Reply {
+fn attest(api: &Api, id: &Value, says: &str) -> ApiResponse {
     let body = json!({ "says": says }).to_string();
-    api.ask(
+    api.send(
         "POST",
         &format!("/v1/undeliverable/{id}/attest"),
         &[("if-match", "*"), JSON],
@@ -226,9 +226,9 @@
 );
 
 impl Good {
-    fn traffic(scene: &Scene) -> Good {
+    fn traffic(test_bed: &TestBed) -> Good {
         let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
-        let (mut client, stopped) = (scene.client(), stop.clone());
+        let (mut client, stopped) = (test_bed.client(), stop.clone());
         let thread = thread::spawn(move || {
             for n in 0.. {
                 if stopped.load(std::sync::atomic::Ordering::Relaxed) {
@@ -254,11 +254,11 @@
 }
 
 /// Good messages are answered, others are not.
-fn only_good(seen: &Seen, _: usize) -> Answer {
+fn only_good(seen: &RecordedCall, _: usize) -> HostResponse {
     if seen.body == b"good" {
         ok()
     } else {
-        Answer::Close
+        HostResponse::Close
     }
 }
 
@@ -266,7 +266,7 @@
     vec![entry("a", host.address, 1, "up")]
 }
 
-fn problem(reply: &Reply) -> (u16, String) {
+fn problem(reply: &ApiResponse) -> (u16, String) {
     let kind = reply.body["type"]
         .as_str()
         .unwrap_or("")
--- a/crates/relay/tests/undeliverable/records.rs
+++ b/crates/relay/tests/undeliverable/records.rs
@@ -4,11 +4,11 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn what_is_given_up_is_kept_with_its_story_and_shown_to_those_who_may() {
+fn undeliverable_message_is_recorded_with_history_and_shown_to_authorized_tokens() {
     let ledger = Ledger::new();
-    let host = Host::new(|_, _| Answer::Close);
-    let mut desk = Desk::new(up(&host), &ledger, "", 100);
-    let all = desk.given_up("payout", 5);
+    let host = Host::new(|_, _| HostResponse::Close);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "", 100);
+    let all = bed.given_up("payout", 5);
     assert_eq!(all.len(), 5);
     let (name, record) = all.iter().next().expect("one");
     assert_eq!(
@@ -23,10 +23,10 @@
     assert_eq!(record["attempts"][0]["outcome"], "broken");
     assert_eq!(record["may_have_run"], true);
     // Its one final notification was sent all the same.
-    until("the notice", || desk.scene.discovery.notice_of(name));
+    wait_until("the notice", || bed.test_bed.discovery.notice_for(name));
     let id = &record["id"];
     let body = format!("/v1/undeliverable/{id}/body");
-    let raw = desk.as_of("eyes").try_ask("GET", &body, &[], "");
+    let raw = bed.as_of("eyes").try_send("GET", &body, &[], "");
     assert_eq!(raw.expect("an answer").status, 403);
     // Filters.
     for (filter, found) in [
@@ -39,7 +39,7 @@
         ("&until=2020-01-01T00:00:00Z", 0),
         ("&since=2020-01-01T00:00:00Z", 5),
     ] {
-        assert_eq!(desk.all(filter).len(), found, "{filter}");
+        assert_eq!(bed.all(filter).len(), found, "{filter}");
     }
     for bad in [
         "reason=none",
@@ -49,22 +49,22 @@
         "colour=red",
     ] {
         assert_eq!(
-            desk.api.get(&format!("/v1/undeliverable?{bad}")).status,
+            bed.api.get(&format!("/v1/undeliverable?{bad}")).status,
             400,
             "{bad}"
         );
     }
     // Cursors stay where they are while records come.
-    let first = desk.api.get("/v1/undeliverable?limit=2").body;
+    let first = bed.api.get("/v1/undeliverable?limit=2").body;
     let newest: Vec<u64> = first["items"]
         .as_array()
         .expect("items")
         .iter()
         .filter_map(|r| r["id"].as_u64())
         .collect();
-    desk.given_up("payout", 1);
+    bed.given_up("payout", 1);
     let cursor = first["next"].as_str().expect("more");
-    let second = desk
+    let second = bed
         .api
         .get(&format!("/v1/undeliverable?limit=2&cursor={cursor}"))
         .body;
@@ -73,13 +73,13 @@
         newest.last().map(|id| id - 1)
     );
     // Counts and scopes.
-    let counts = desk.api.get("/v1/undeliverable/counts?by=reason").body;
+    let counts = bed.api.get("/v1/undeliverable/counts?by=reason").body;
     assert_eq!(
         counts["items"],
         json!([{"value": "may-have-run", "records": 6}])
     );
     for name in ["team", "nobodys"] {
-        let theirs = desk.as_of(name);
+        let theirs = bed.as_of(name);
         assert_eq!(
             theirs.get("/v1/undeliverable").body["items"],
             json!([]),
@@ -96,33 +96,33 @@
             "{name}"
         );
     }
-    let team = desk.as_of("team");
+    let team = bed.as_of("team");
     assert_eq!(team.get("/v1/undeliverable").body["items"], json!([]));
     assert_eq!(team.get(&format!("/v1/undeliverable/{id}")).status, 404);
     assert_eq!(act_as(&team, id, "discard", "*").status, 404);
     assert_eq!(team.get("/v1/undeliverable/counts?by=reason").status, 403);
-    assert_eq!(act_as(&desk.as_of("eyes"), id, "claim", "*").status, 403);
+    assert_eq!(act_as(&bed.as_of("eyes"), id, "claim", "*").status, 403);
     // A change without a version, and one for another version.
     let path = format!("/v1/undeliverable/{id}/claim");
-    assert_eq!(desk.api.ask("POST", &path, &[], "").status, 428);
-    assert_eq!(act_as(&desk.api, id, "claim", "\"7\"").status, 412);
-    let status = desk.api.get("/v1/undeliverable/status").body;
+    assert_eq!(bed.api.send("POST", &path, &[], "").status, 428);
+    assert_eq!(act_as(&bed.api, id, "claim", "\"7\"").status, 412);
+    let status = bed.api.get("/v1/undeliverable/status").body;
     // The document is true of what is answered.
-    let document = desk.api.get("/v1/openapi.json").body;
+    let document = bed.api.get("/v1/openapi.json").body;
     let batch = json!({"name": "b", "filter": {"reason": "may-have-run"}});
-    let batch = desk.api.ask(
+    let batch = bed.api.send(
         "POST",
         "/v1/undeliverable-batches",
         &[JSON],
         &batch.to_string(),
     );
     assert_eq!(batch.status, 201);
-    let nobodys = desk.as_of("nobodys");
+    let nobodys = bed.as_of("nobodys");
     assert_eq!(
         nobodys.get("/v1/undeliverable-batches").body["items"],
         json!([])
     );
-    let run = nobodys.ask(
+    let run = nobodys.send(
         "POST",
         "/v1/undeliverable-batches/b/run",
         &[("if-match", "*")],
@@ -131,11 +131,11 @@
     assert_eq!(run.status, 404);
     for (name, body) in [
         ("UndeliverablePage", &second),
-        ("UndeliverableRecord", &desk.one(id)),
+        ("UndeliverableRecord", &bed.one(id)),
         ("UndeliverableCounts", &counts),
         ("UndeliverableStatus", &status),
         ("ResendBatch", &batch.body),
-        ("BatchList", &desk.api.get("/v1/undeliverable-batches").body),
+        ("BatchList", &bed.api.get("/v1/undeliverable-batches").body),
     ] {
         let mut schema = document["components"]["schemas"][name].clone();
         schema["components"] = document["components"].clone();
@@ -150,29 +150,29 @@
 }
 
 #[test]
-fn a_message_whose_tenant_is_gone_is_kept_and_not_sent() {
+fn message_of_removed_tenant_is_recorded_and_not_resent() {
     let ledger = Ledger::new();
-    let host = Host::new(|_, _| Answer::Close);
-    let mut desk = Desk::new(up(&host), &ledger, "# hosted", 100);
-    let root = desk.as_of("root");
-    until("the tenant", || {
+    let host = Host::new(|_, _| HostResponse::Close);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "# hosted", 100);
+    let root = bed.as_of("root");
+    wait_until("the tenant", || {
         (root.get("/v1/tenants/acme").status == 200).then_some(())
     });
-    let all = desk.given_up("payout", 1);
+    let all = bed.given_up("payout", 1);
     let (name, record) = all.iter().next().expect("one");
     let id = &record["id"];
     assert_eq!(root.change("DELETE", "acme").status, 202);
-    until("it to be gone", || {
+    wait_until("it to be gone", || {
         (root.get("/v1/tenants/acme").status == 410).then_some(())
     });
-    assert_eq!(desk.act(id, "ask").status, 202);
-    until("the word", || desk.one(id)["needs"].is_null().then_some(()));
+    assert_eq!(bed.act(id, "ask").status, 202);
+    wait_until("the word", || bed.one(id)["needs"].is_null().then_some(()));
     assert_eq!(
-        problem(&desk.act(id, "resend")),
+        problem(&bed.act(id, "resend")),
         (409, "not-handed-over".into())
     );
     assert_eq!(
-        (desk.one(id)["state"].as_str(), host.calls_of(name).len()),
+        (bed.one(id)["state"].as_str(), host.calls_of(name).len()),
         (Some("open"), 1)
     );
 }
--- a/crates/relay/tests/undeliverable/resends.rs
+++ b/crates/relay/tests/undeliverable/resends.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_message_that_may_have_run_goes_only_by_the_partners_word() {
+fn message_that_may_have_executed_is_resent_only_with_partner_attestation() {
     let ledger = Ledger::new();
     let book = ledger.clone();
     // Every second call is applied; none is answered.
@@ -11,10 +11,10 @@
         if before % 2 == 0 {
             book.apply(&seen.id);
         }
-        Answer::Close
+        HostResponse::Close
     });
-    let mut desk = Desk::new(up(&host), &ledger, "", 100);
-    let all = desk.given_up("payout", 6);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "", 100);
+    let all = bed.given_up("payout", 6);
     host.script({
         let book = ledger.clone();
         move |seen, _| {
@@ -24,22 +24,22 @@
     });
     for (name, record) in &all {
         let id = &record["id"];
-        let applied = ledger.times(name) == 1;
-        assert_eq!(desk.one(id)["needs"], "needs-word");
+        let applied = ledger.applied_count(name) == 1;
+        assert_eq!(bed.one(id)["needs"], "needs-word");
         // A resend is rejected, and the partner is queried meanwhile.
-        assert_eq!(problem(&desk.act(id, "resend")), (409, "needs-word".into()));
+        assert_eq!(problem(&bed.act(id, "resend")), (409, "needs-word".into()));
         if applied {
-            desk.in_state(id, "applied-before");
+            bed.in_state(id, "applied-before");
             assert_eq!(
-                problem(&desk.act(id, "resend")),
+                problem(&bed.act(id, "resend")),
                 (409, "record-closed".into())
             );
         } else {
-            until("the word", || desk.one(id)["needs"].is_null().then_some(()));
-            until("the resend", || {
-                (desk.act(id, "resend").status == 202).then_some(())
+            wait_until("the word", || bed.one(id)["needs"].is_null().then_some(()));
+            wait_until("the resend", || {
+                (bed.act(id, "resend").status == 202).then_some(())
             });
-            let record = desk.in_state(id, "delivered");
+            let record = bed.in_state(id, "delivered");
             assert_eq!(
                 (
                     record["resends"].as_u64(),
@@ -50,18 +50,18 @@
         }
     }
     for name in all.keys() {
-        assert_eq!(ledger.times(name), 1, "{name}");
+        assert_eq!(ledger.applied_count(name), 1, "{name}");
     }
 }
 
 #[test]
-fn a_partners_word_that_says_nothing_lets_nothing_go() {
+fn inconclusive_partner_response_permits_no_resend() {
     let ledger = Ledger::new();
     let host = Host::new(only_good);
-    let mut desk = Desk::new(up(&host), &ledger, "", 100);
-    let _good = Good::traffic(&desk.scene);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "", 100);
+    let _good = Good::traffic(&bed.test_bed);
     thread::sleep(Duration::from_millis(300));
-    let all = desk.given_up("payout", 1);
+    let all = bed.given_up("payout", 1);
     let id = &all.values().next().expect("one")["id"];
     // Unknown, no JSON, late.
     for lie in [
@@ -70,26 +70,26 @@
         r#"{"status":["absent"]}"#,
         "",
     ] {
-        ledger.answers(Some(lie));
-        let before = ledger.asked.lock().unwrap().len();
-        assert_eq!(desk.act(id, "ask").status, 202, "{lie}");
-        until("the question", || {
-            (ledger.asked.lock().unwrap().len() > before).then_some(())
+        ledger.force_response(Some(lie));
+        let before = ledger.queries.lock().unwrap().len();
+        assert_eq!(bed.act(id, "ask").status, 202, "{lie}");
+        wait_until("the question", || {
+            (ledger.queries.lock().unwrap().len() > before).then_some(())
         });
         thread::sleep(Duration::from_millis(2300));
         assert_eq!(
-            problem(&desk.act(id, "resend")),
+            problem(&bed.act(id, "resend")),
             (409, "needs-word".into()),
             "{lie}"
         );
     }
     // Concurrent partner queries are bounded; a further one is answered 429.
-    ledger.answers(Some(""));
-    let more = desk.given_up("payout", 9);
+    ledger.force_response(Some(""));
+    let more = bed.given_up("payout", 9);
     let asked = more
         .values()
         .filter(|record| record["id"] != *id)
-        .map(|record| problem(&desk.act(&record["id"], "ask")));
+        .map(|record| problem(&bed.act(&record["id"], "ask")));
     let refused: Vec<(u16, String)> = asked.filter(|(status, _)| *status != 202).collect();
     assert_eq!(refused, [(429, "too-much-under-way".to_string())]);
     thread::sleep(Duration::from_millis(2300));
@@ -98,55 +98,53 @@
         (r#"{"status":"absent"}"#, Value::Null),
         (r#"{"status":"done"}"#, json!("needs-agreement")),
     ] {
-        ledger.answers(Some(lie));
-        assert_eq!(desk.act(id, "ask").status, 202);
-        until("the word", || {
-            (desk.one(id)["needs"] == needs).then_some(())
-        });
+        ledger.force_response(Some(lie));
+        assert_eq!(bed.act(id, "ask").status, 202);
+        wait_until("the word", || (bed.one(id)["needs"] == needs).then_some(()));
     }
     assert_eq!(
-        problem(&desk.act(id, "resend")),
+        problem(&bed.act(id, "resend")),
         (409, "needs-agreement".into())
     );
-    assert_eq!(attest(&desk.api, id, "not-applied").status, 200);
-    assert_eq!(attest(&desk.api, id, "not-applied").status, 200);
+    assert_eq!(attest(&bed.api, id, "not-applied").status, 200);
+    assert_eq!(attest(&bed.api, id, "not-applied").status, 200);
     assert_eq!(
-        desk.one(id)["needs"],
+        bed.one(id)["needs"],
         "needs-agreement",
         "one operator, twice"
     );
-    assert_eq!(attest(&desk.as_of("second"), id, "not-applied").status, 200);
+    assert_eq!(attest(&bed.as_of("second"), id, "not-applied").status, 200);
     host.script(|_, _| ok());
-    until("the resend", || {
-        (desk.act(id, "resend").status == 202).then_some(())
+    wait_until("the resend", || {
+        (bed.act(id, "resend").status == 202).then_some(())
     });
-    desk.in_state(id, "delivered");
+    bed.in_state(id, "delivered");
 }
 
 #[test]
-fn two_operators_and_repeated_requests_make_one_resend() {
+fn concurrent_and_repeated_resend_requests_cause_one_resend() {
     let ledger = Ledger::new();
     let host = Host::new(|_, _| status("500 Broken"));
-    let mut desk = Desk::new(up(&host), &ledger, "at_once = 64", 100);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "at_once = 64", 100);
     // Given up without a call that may have run: its time is up.
-    let (name, answer) = desk.scene.enqueue_body("update", 1, 300, b"body");
+    let (name, answer) = bed.test_bed.enqueue_body("update", 1, 300, b"body");
     assert_eq!(answer, "+OK");
-    let record = until("the record", || desk.all("").remove(&name));
+    let record = wait_until("the record", || bed.all("").remove(&name));
     let (id, tag) = (&record["id"], format!("\"{}\"", record["version"]));
     // A claim keeps the other one out.
-    assert_eq!(desk.act(id, "claim").status, 200);
+    assert_eq!(bed.act(id, "claim").status, 200);
     assert_eq!(
-        problem(&act_as(&desk.as_of("second"), id, "resend", "*")),
+        problem(&act_as(&bed.as_of("second"), id, "resend", "*")),
         (423, "record-claimed".into())
     );
-    assert_eq!(desk.act(id, "release").status, 200);
-    assert_eq!(act_as(&desk.api, id, "resend", &tag).status, 412);
-    let tag = format!("\"{}\"", desk.one(id)["version"]);
-    host.script(|_, _| Answer::Later(300, ok_text()));
+    assert_eq!(bed.act(id, "release").status, 200);
+    assert_eq!(act_as(&bed.api, id, "resend", &tag).status, 412);
+    let tag = format!("\"{}\"", bed.one(id)["version"]);
+    host.script(|_, _| HostResponse::Delayed(300, ok_text()));
     let before = host.calls_of(&name).len();
     let askers: Vec<_> = (0..8)
         .map(|n| {
-            let api = desk.as_of(if n % 2 == 0 { "ops" } else { "second" });
+            let api = bed.as_of(if n % 2 == 0 { "ops" } else { "second" });
             let (id, tag) = (id.clone(), tag.clone());
             thread::spawn(move || act_as(&api, &id, "resend", &tag).status)
         })
@@ -166,11 +164,11 @@
             .all(|status| [202, 409, 412].contains(status)),
         "{statuses:?}"
     );
-    desk.in_state(id, "delivered");
+    bed.in_state(id, "delivered");
     assert_eq!(host.calls_of(&name).len(), before + 1);
     // No second final answer.
-    let told = desk
-        .scene
+    let told = bed
+        .test_bed
         .discovery
         .notices
         .lock()
@@ -182,26 +180,22 @@
 }
 
 #[test]
-fn a_resend_that_fails_again_adds_to_the_story_and_makes_it_no_younger() {
+fn failed_resend_extends_history_and_keeps_record_age() {
     let ledger = Ledger::new();
     let host = Host::new(only_good);
-    let mut desk = Desk::new(up(&host), &ledger, "max_resends = 2", 100);
-    let _good = Good::traffic(&desk.scene);
+    let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "max_resends = 2", 100);
+    let _good = Good::traffic(&bed.test_bed);
     thread::sleep(Duration::from_millis(300));
-    let first = desk
-        .given_up("payout", 1)
-        .into_values()
-        .next()
-        .expect("one");
+    let first = bed.given_up("payout", 1).into_values().next().expect("one");
     let id = &first["id"];
     for resends in 1..=2 {
-        assert_eq!(desk.act(id, "ask").status, 202);
-        until("the word", || desk.one(id)["needs"].is_null().then_some(()));
-        until("the resend", || {
-            (desk.act(id, "resend").status == 202).then_some(())
+        assert_eq!(bed.act(id, "ask").status, 202);
+        wait_until("the word", || bed.one(id)["needs"].is_null().then_some(()));
+        wait_until("the resend", || {
+            (bed.act(id, "resend").status == 202).then_some(())
         });
-        let record = until("its end", || {
-            Some(desk.one(id)).filter(|r| {
+        let record = wait_until("its end", || {
+            Some(bed.one(id)).filter(|r| {
                 r["state"] == "open" && r["attempts"].as_array().map(Vec::len) == Some(1 + resends)
             })
         });
@@ -222,38 +216,39 @@
         );
     }
     assert_eq!(
-        problem(&desk.act(id, "resend")),
+        problem(&bed.act(id, "resend")),
         (409, "resends-spent".into())
     );
-    assert_eq!(desk.act(id, "discard").status, 200);
-    assert_eq!(desk.one(id)["state"], "discarded");
+    assert_eq!(bed.act(id, "discard").status, 200);
+    assert_eq!(bed.one(id)["state"], "discarded");
 }
 
 #[test]
-fn a_killed_relay_goes_on_with_a_resend_and_does_not_begin_it_anew() {
+fn resend_continues_after_kill_without_restarting() {
     let ledger = Ledger::new();
     let host = Host::new(|_, _| status("500 Broken"));
-    let mut desk = Desk::new(up(&host), &ledger, "at_once = 4\nmax_resends = 2", 100);
-    let (name, _) = desk.scene.enqueue_body("update", 1, 300, b"body");
-    let record = until("the record", || desk.all("").remove(&name));
+    let mut bed =
+        UndeliverableTestBed::new(up(&host), &ledger, "at_once = 4\nmax_resends = 2", 100);
+    let (name, _) = bed.test_bed.enqueue_body("update", 1, 300, b"body");
+    let record = wait_until("the record", || bed.all("").remove(&name));
     let id = &record["id"];
     let first = record["attempts"].as_array().expect("attempts").len();
-    assert_eq!(desk.act(id, "resend").status, 202);
-    until("a call", || {
+    assert_eq!(bed.act(id, "resend").status, 202);
+    wait_until("a call", || {
         (host.calls_of(&name).len() > first).then_some(())
     });
-    desk.scene.kill();
-    desk.scene.start();
-    let shown = desk.one(id);
+    bed.test_bed.kill();
+    bed.test_bed.start();
+    let shown = bed.one(id);
     assert_eq!(
         (shown["state"].as_str(), shown["resends"].as_u64()),
         (Some("sending"), Some(1))
     );
     assert_eq!(
-        problem(&desk.act(id, "resend")),
+        problem(&bed.act(id, "resend")),
         (409, "record-sending".into())
     );
     host.script(|_, _| ok());
-    let record = desk.in_state(id, "delivered");
+    let record = bed.in_state(id, "delivered");
     assert_eq!(record["resends"].as_u64(), Some(1));
 }
--- a/crates/relay/tests/unstarted_attempts.rs
+++ b/crates/relay/tests/unstarted_attempts.rs
@@ -1,13 +1,13 @@
 //! An attempt of which no byte was written is not counted as one that may have been executed, wherever a kill falls.
 
-mod scene;
+mod support;
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 use std::time::Duration;
 
-use scene::*;
 use socket2::{Domain, Socket, Type};
+use support::*;
 
 /// Payouts that wait for a connection at the kill.
 const PAYOUTS: usize = 10;
@@ -35,7 +35,7 @@
     fn new() -> Self {
         let address: SocketAddr = bind().local_addr().expect("bound");
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        bind_again(&socket, address);
+        rebind(&socket, address);
         socket.listen(BACKLOG).expect("listens");
         let connect = || TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok();
         FullBacklog {
@@ -56,29 +56,29 @@
 }
 
 /// A relay with payouts for a host, as accepted.
-fn relay_with_payouts(host: SocketAddr, dial_timeout_micros: u64) -> (Scene, Vec<String>) {
-    let mut scene = Scene::new(vec![entry("a", host, 1, "up")]);
-    scene.config["settings"]["limits"]["dialTimeout"] = dial_timeout_micros.into();
-    scene.start();
+fn relay_with_payouts(host: SocketAddr, dial_timeout_micros: u64) -> (TestBed, Vec<String>) {
+    let mut test_bed = TestBed::new(vec![entry("a", host, 1, "up")]);
+    test_bed.config["settings"]["limits"]["dialTimeout"] = dial_timeout_micros.into();
+    test_bed.start();
     let payouts = (0..PAYOUTS).map(|_| {
-        let (id, answer) = scene.enqueue_body("payout", 1, TIME_TO_LIVE_MS, b"body");
+        let (id, answer) = test_bed.enqueue_body("payout", 1, TIME_TO_LIVE_MS, b"body");
         assert_eq!(answer, "+OK");
         id
     });
     let payouts = payouts.collect();
-    (scene, payouts)
+    (test_bed, payouts)
 }
 
 /// Restarts the relay, and waits until the host has received each payout exactly once, before or after the kill.
-fn assert_delivered_after_restart(mut scene: Scene, host: &Host, payouts: &[String]) {
-    scene.start();
+fn assert_delivered_after_restart(mut test_bed: TestBed, host: &Host, payouts: &[String]) {
+    test_bed.start();
     for id in payouts {
-        until("a call of each payout", || {
+        wait_until("a call of each payout", || {
             // One that was called right before the kill may have been executed, and fails.
             if !host.calls_of(id).is_empty() {
                 return Some(());
             }
-            let notice = scene.discovery.notice_of(id);
+            let notice = test_bed.discovery.notice_for(id);
             assert!(
                 notice.is_none(),
                 "{id} is given up without a call: {notice:?}"
@@ -101,25 +101,25 @@
 
 /// Guards against an attempt that is journaled as started before its connection is up.
 #[test]
-fn payouts_that_wait_for_a_full_backlog_are_delivered_after_a_kill() {
+fn payouts_waiting_on_full_backlog_are_delivered_after_kill() {
     for_each_kill(KILLS_WHILE_CONNECTING_MS, |moment| {
         let host = FullBacklog::new();
-        let (mut scene, payouts) = relay_with_payouts(host.address(), 1_000_000);
+        let (mut test_bed, payouts) = relay_with_payouts(host.address(), 1_000_000);
         thread::sleep(moment);
-        scene.kill();
-        assert_delivered_after_restart(scene, &host.open(), &payouts);
+        test_bed.kill();
+        assert_delivered_after_restart(test_bed, &host.open(), &payouts);
     });
 }
 
 /// The same where the connections come up late, and the kill falls around that moment.
 #[test]
-fn payouts_whose_connections_come_up_late_are_delivered_once_after_a_kill() {
+fn payouts_with_late_connections_are_delivered_once_after_kill() {
     for_each_kill(KILLS_AROUND_THE_CONNECTION_MS, |moment| {
         let host = FullBacklog::new();
-        let (mut scene, payouts) = relay_with_payouts(host.address(), 3_000_000);
+        let (mut test_bed, payouts) = relay_with_payouts(host.address(), 3_000_000);
         let host = host.open();
         thread::sleep(moment);
-        scene.kill();
-        assert_delivered_after_restart(scene, &host, &payouts);
+        test_bed.kill();
+        assert_delivered_after_restart(test_bed, &host, &payouts);
     });
 }
