--- a/crates/relay/tests/leaving.rs
+++ b/crates/relay/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Hosts announced as leaving get nothing new, whatever becomes of the relay's process and of its discovery meanwhile.
+//! Hosts announced as leaving get no new calls, whatever happens to the relay process and to discovery meanwhile.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use serde_json::json;
 use support::*;
 
-/// After this long since discovery announced that a host drains, no new call may go to it.
+/// Time after the announcement that a host drains from which on no new call may go to the host.
 const GRACE: Duration = Duration::from_secs(2);
 
-/// A relay of a large fleet with one host, `a`, for destination 1, and one that is to take its place.
+/// Starts a relay of a large fleet with one host, `a`, for destination 1; returns it with that host and its replacement.
 fn fleet() -> (TestBed, Host, Host) {
     let (old, new) = (Host::new(|_, _| ok()), Host::new(|_, _| ok()));
     let mut test_bed = TestBed::new(vec![entry("a", old.address, 1, "up")]);
@@ -21,6 +21,7 @@
     (test_bed, old, new)
 }
 
+/// Announces that host `a` drains and that `b` replaces it.
 fn replace_host(discovery: &Discovery, seq: u64, old: &Host, new: &Host) {
     discovery.push(
         seq,
@@ -31,8 +32,8 @@
     );
 }
 
-/// Submits messages, one after the other, until the new host has received that many, and returns the time of the last call
-/// to the old one after a moment.
+/// Submits messages one after the other until the new host has received `calls` calls. Returns how long after `since` the
+/// old host received its last call, or `None` if it received none after `since`.
 fn submit(
     test_bed: &mut TestBed,
     old: &Host,
@@ -64,7 +65,7 @@
         if killed {
             test_bed.kill();
         } else {
-            // Without calls and clients it leaves early.
+            // Without calls and clients the process exits early.
             test_bed.terminate();
             assert!(test_bed.wait_for_exit().success());
         }
@@ -94,13 +95,15 @@
     assert!(old.calls().is_empty(), "{:?}", old.calls());
 }
 
-/// What is owed from before waits for the answer too.
+/// Recovered messages wait for discovery's response as well.
 #[test]
 fn recovered_messages_are_not_sent_to_a_host_that_has_left() {
     let (mut test_bed, old, new) = fleet();
     old.script(|_, _| status("503 Busy"));
     let ids: Vec<String> = (0..3).map(|_| test_bed.enqueue("payout", 1).0).collect();
-    wait_until("a refusal", || (!old.calls().is_empty()).then_some(()));
+    wait_until("a rejected call", || {
+        (!old.calls().is_empty()).then_some(())
+    });
     test_bed.kill();
     let before = old.calls().len();
     replace_host(&test_bed.discovery, 2, &old, &new);
@@ -121,7 +124,7 @@
     let (id, _) = test_bed.enqueue("update", 1);
     let call = wait_until("the call", || old.calls_of(&id).first().cloned());
     let held = call.at.checked_duration_since(start).unwrap_or_default();
-    assert!(held < Duration::from_secs(5), "held for {held:?}");
+    assert!(held < Duration::from_secs(5), "delayed by {held:?}");
     assert!(
         test_bed
             .log()
@@ -131,12 +134,12 @@
     );
 }
 
-/// What a silent watch misses counts as announced six seconds after it fell silent.
+/// Changes that a silent watch misses count as announced six seconds after it fell silent.
 #[test]
 fn watch_that_falls_silent_is_reopened_in_time() {
     let (mut test_bed, old, new) = fleet();
     test_bed.discovery.silent.store(true, SeqCst);
-    // Long enough for the watch to see it.
+    // Long enough for the watch to notice the flag.
     std::thread::sleep(Duration::from_millis(100));
     let silent = Instant::now();
     replace_host(&test_bed.discovery, 2, &old, &new);
@@ -145,8 +148,8 @@
     assert!(last < Some(Duration::from_secs(6) + GRACE), "{last:?}");
 }
 
-/// A watch that never says a word, and one that falls silent in the middle of a list, under settings that leave a drain more
-/// time and less.
+/// Covers a watch that never sends a byte and a watch that falls silent in the middle of a list, with a shorter and a longer
+/// drain grace period.
 #[test]
 fn watch_silent_from_first_byte_is_reopened_in_time() {
     for grace in [1, 3].map(Duration::from_secs) {
@@ -163,7 +166,7 @@
         assert!(last < Some(Duration::from_secs(6) + grace), "{last:?}");
         // The rest of this list never arrives; its changes count as announced.
         let spare = Host::new(|_, _| ok());
-        let told = Instant::now();
+        let announced_at = Instant::now();
         let list = vec![
             entry("b", new.address, 1, "draining"),
             entry("c", spare.address, 1, "up"),
@@ -174,28 +177,28 @@
             3,
             "{\"seq\":3,\"whole\":false,\"hosts\":[{\"host\":\"b\"".into(),
         );
-        let last = submit(&mut test_bed, &new, &spare, 1, told);
+        let last = submit(&mut test_bed, &new, &spare, 1, announced_at);
         assert!(last < Some(grace), "{last:?}");
     }
 }
 
-/// Where lists are pushed, what the agent has counts as announced, whether or not a watch is open.
+/// When lists are pushed, the contents of the agent count as announced, whether or not a watch is open.
 #[test]
 fn closed_watch_is_reopened_immediately() {
     let (mut test_bed, old, new) = fleet();
     test_bed.discovery.close_connections.store(true, SeqCst);
     let before = test_bed.discovery.request_count("follow=1");
-    wait_until("another try", || {
+    wait_until("another attempt to open a watch", || {
         (test_bed.discovery.request_count("follow=1") > before + 1).then_some(())
     });
     replace_host(&test_bed.discovery, 2, &old, &new);
-    let told = Instant::now();
+    let announced_at = Instant::now();
     test_bed.discovery.close_connections.store(false, SeqCst);
-    let last = submit(&mut test_bed, &old, &new, 1, told);
+    let last = submit(&mut test_bed, &old, &new, 1, announced_at);
     assert!(last < Some(GRACE), "{last:?}");
 }
 
-/// After SIGHUP the new discovery's list counts as announced four seconds later, also where its first answer fails.
+/// The list of the new discovery service counts as announced four seconds after SIGHUP, even if its first responses fail.
 #[test]
 fn drain_known_to_moved_discovery_takes_effect_in_time() {
     let (mut test_bed, old, new) = fleet();
@@ -205,17 +208,17 @@
         entry("b", new.address, 1, "up"),
     ]);
     moved.close_connections.store(true, SeqCst);
-    let told = Instant::now();
+    let announced_at = Instant::now();
     test_bed.move_discovery(&moved);
-    wait_until("calls", || {
+    wait_until("polls of the moved discovery", || {
         (moved.request_count("members HTTP") >= 4).then_some(())
     });
     moved.close_connections.store(false, SeqCst);
-    let last = submit(&mut test_bed, &old, &new, 1, told);
+    let last = submit(&mut test_bed, &old, &new, 1, announced_at);
     assert!(last < Some(Duration::from_secs(4) + GRACE), "{last:?}");
 }
 
-/// A discovery that is behind takes no drain back, but its own drains are heeded.
+/// A discovery service with an older list cannot revoke a drain, but drains that it announces take effect.
 #[test]
 fn older_list_removes_hosts_but_restores_none() {
     let (mut test_bed, old, new) = fleet();
@@ -236,7 +239,7 @@
     ]);
     let before = old.calls().len();
     test_bed.move_discovery(&behind);
-    wait_until("more than one call", || {
+    wait_until("several polls", || {
         (behind.request_count("members HTTP") >= 3).then_some(())
     });
     let (others, seen) = (other.calls().len(), new.calls().len());
@@ -244,10 +247,10 @@
     assert_eq!(
         old.calls().len(),
         before,
-        "its list of before the drain was taken for news"
+        "the list from before the drain was applied"
     );
     assert_eq!(test_bed.enqueue("update", 2).1, "+OK");
-    // It catches up, and what waited goes on.
+    // Discovery catches up, and waiting messages are sent.
     behind.push(
         11,
         &[
@@ -260,7 +263,7 @@
     assert_eq!(
         other.calls().len(),
         others,
-        "the drain that it told was passed over"
+        "the drain in the older list was ignored"
     );
     assert_eq!(old.calls().len(), before);
 }
@@ -282,15 +285,15 @@
     assert_eq!(
         test_bed.discovery.request_count("members HTTP"),
         whole,
-        "it was not understood"
+        "the indented list was not accepted: the relay polled for a full list"
     );
 }
 
-/// The rest of a truncated list never arrives; its changes count as announced.
+/// Changes in a truncated list count as announced, although its rest never arrives.
 #[test]
 fn truncated_list_is_polled_again_immediately() {
     let (mut test_bed, old, new) = fleet();
-    let told = Instant::now();
+    let announced_at = Instant::now();
     test_bed.discovery.set_full_list(vec![
         entry("a", old.address, 1, "draining"),
         entry("b", new.address, 1, "up"),
@@ -299,11 +302,11 @@
         2,
         "{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":\"a\"".into(),
     );
-    let last = submit(&mut test_bed, &old, &new, 1, told);
+    let last = submit(&mut test_bed, &old, &new, 1, announced_at);
     assert!(last < Some(GRACE), "{last:?}");
 }
 
-/// A flood of lists that can't be read becomes neither one of calls nor one of lines in the log.
+/// A flood of malformed lists causes neither a flood of polls nor a flood of log lines.
 #[test]
 fn malformed_lists_are_polled_at_a_bounded_rate() {
     let (mut test_bed, old, _) = fleet();
@@ -312,14 +315,14 @@
         test_bed.discovery.push_text(seq, "{\"seq\":true}".into());
     }
     std::thread::sleep(Duration::from_millis(1000));
-    let asked = test_bed.discovery.request_count("members HTTP") - before;
-    assert!((1..40).contains(&asked), "{asked} calls for the list");
+    let polls = test_bed.discovery.request_count("members HTTP") - before;
+    assert!((1..40).contains(&polls), "{polls} polls for the list");
     let (id, _) = test_bed.enqueue("update", 1);
     wait_until("the call", || old.calls_of(&id).first().cloned());
     assert!(test_bed.log().lines().count() < 60, "{}", test_bed.log());
 }
 
-/// The same where whole lists are sound and each watch is not.
+/// Covers valid full lists with watches that each fail immediately.
 #[test]
 fn watches_that_fail_immediately_are_reopened_at_a_bounded_rate() {
     let (mut test_bed, old, _) = fleet();
@@ -334,8 +337,8 @@
     });
     test_bed.discovery.close_connections.store(false, SeqCst);
     std::thread::sleep(Duration::from_millis(1000));
-    let asked = test_bed.discovery.request_count("members HTTP") - before;
-    assert!((1..20).contains(&asked), "{asked} calls for the list");
+    let polls = test_bed.discovery.request_count("members HTTP") - before;
+    assert!((1..20).contains(&polls), "{polls} polls for the list");
     let (id, _) = test_bed.enqueue("update", 1);
     wait_until("the call", || old.calls_of(&id).first().cloned());
 }
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Daily operation over loopback sockets: control socket, metrics, drains, changed settings, and upgrades under load.
+//! Operation over loopback sockets: control socket, metrics, drains, configuration reloads, and upgrades under load.
 
 mod api;
 mod support;
@@ -18,7 +18,7 @@
     entry(name, host.address, block, "up")
 }
 
-/// The control socket's complete answer to some bytes.
+/// Sends bytes to the control socket and returns its complete reply.
 fn send_to_control_socket(at: SocketAddr, text: &[u8]) -> String {
     let mut stream = TcpStream::connect(at).expect("the control socket accepts connections");
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
@@ -32,7 +32,7 @@
     send_to_control_socket(at, format!("{word}\n").as_bytes())
 }
 
-/// The figures by name, which end with `eof`.
+/// All metrics by name. The reply must end with `eof`.
 fn metrics(at: SocketAddr) -> BTreeMap<String, u64> {
     let text = control_command(at, "show-stat");
     assert!(
@@ -51,7 +51,7 @@
     metrics(at)[name]
 }
 
-/// A relay with a control socket.
+/// Prepares a relay with a control socket; returns it with the address of the socket.
 fn with_control_socket(known: Vec<Value>) -> (TestBed, SocketAddr) {
     let mut test_bed = TestBed::new(known);
     let control_address = bind().local_addr().expect("bound");
@@ -85,16 +85,16 @@
             "{answer}"
         );
     }
-    // Half a line, and then nothing more to come.
+    // Half a line, then the end of the stream.
     let mut half = TcpStream::connect(control_address).expect("open");
     half.write_all(b"rea").expect("sent");
     half.shutdown(Shutdown::Write).expect("shut");
     let mut rest = String::new();
     drop(half.read_to_string(&mut rest));
     assert!(!rest.starts_with("ok"), "{rest}");
-    // Callers that say nothing keep no other out.
+    // Silent connections do not block other callers.
     let silent: Vec<_> = (0..200)
-        .map(|_| TcpStream::connect(control_address).expect("taken"))
+        .map(|_| TcpStream::connect(control_address).expect("connects"))
         .collect();
     let start = Instant::now();
     assert!(control_command(control_address, "ready").starts_with("ok"));
@@ -102,7 +102,7 @@
     drop(silent);
 }
 
-/// However often metrics are requested, messages are served, and each answer is complete.
+/// Messages are served and each reply is complete, however often metrics are requested.
 #[test]
 fn flood_of_control_connections_does_not_delay_commands() {
     let host = Host::new(|_, _| ok());
@@ -122,7 +122,7 @@
     }
     for caller in callers {
         let seen = caller.join().expect("all calls are answered");
-        assert!(seen.is_sorted(), "a count never falls: {seen:?}");
+        assert!(seen.is_sorted(), "a counter must not decrease: {seen:?}");
     }
     wait_until("the deliveries", || {
         (metric(control_address, "success.update") == 20).then_some(())
@@ -153,7 +153,7 @@
     for _ in 0..5 {
         assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
     }
-    // An unsafe message that may have run fails for good.
+    // An unsafe message that may have executed fails permanently.
     assert_eq!(
         test_bed.enqueue_body("payout", 1, 20_000, b"fails").1,
         "+OK"
@@ -162,20 +162,20 @@
         .enqueue("update", 9)
         .1
         .starts_with("-ERR unknown destination"));
-    // Nobody serves this one, and its time is short.
+    // No active host serves this destination, and the deadline is short.
     assert_eq!(test_bed.enqueue_body("update", 2, 300, b"b").1, "+OK");
-    wait_until("all to end", || {
+    wait_until("all messages to end", || {
         (metric(control_address, "concurrent") == 0).then_some(())
     });
-    let told = metrics(control_address);
-    let of = |name: &str| told[name];
+    let counted = metrics(control_address);
+    let of = |name: &str| counted[name];
     assert_eq!(
         (of("success.update"), of("error.payout"), of("error.update")),
         (5, 1, 1)
     );
     assert_eq!((of("overload.update"), of("success.payout")), (1, 0));
     assert_eq!(of("dispatches"), host.calls().len() as u64);
-    wait_until("the view of hosts", || {
+    wait_until("the host count", || {
         (metric(control_address, "targets_disabled") >= 1).then_some(())
     });
     assert_eq!(metric(control_address, "targets"), 2);
@@ -198,24 +198,27 @@
     let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
     assert!(control_command(control_address, "drain").starts_with("ok"));
-    assert!(ping(&test_bed).starts_with("-ERR"), "it says no at once");
+    assert!(
+        ping(&test_bed).starts_with("-ERR"),
+        "a draining relay rejects PING immediately"
+    );
     assert!(control_command(control_address, "ready").starts_with("fail"));
     assert!(
         control_command(control_address, "drain").starts_with("ok"),
-        "drained twice is drained"
+        "a second drain succeeds"
     );
     let start = Instant::now();
     assert_eq!(idle.line(), "", "the connection is closed");
     assert!(start.elapsed() < Duration::from_millis(1900));
-    // Past the time of the front, a message is refused and harmless elsewhere.
-    wait_until("a refusal", || {
+    // Once the front end has had its time to stop sending, a message is rejected and can safely be submitted elsewhere.
+    wait_until("a rejection", || {
         test_bed
             .enqueue("update", 1)
             .1
             .starts_with("-BUSY")
             .then_some(())
     });
-    wait_until("the held message", || {
+    wait_until("the queued message", || {
         (metric(control_address, "success.update") >= 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
@@ -223,7 +226,7 @@
     assert_eq!(ping(&test_bed), "+PONG");
     assert!(
         control_command(control_address, "resume").starts_with("ok"),
-        "resumed undrained is at work"
+        "resume succeeds without a drain"
     );
     assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
 }
@@ -249,7 +252,7 @@
         .expect("a list")
         .remove(0);
     reload(&test_bed, &new.to_string());
-    wait_until("the file to be taken", || {
+    wait_until("the file to be applied", || {
         (metric(control_address, "reload_success") == 1).then_some(())
     });
     assert_eq!(test_bed.enqueue("fresh", 1).1, "+OK");
@@ -258,17 +261,17 @@
             .enqueue("event", 1)
             .1
             .starts_with("-ERR unknown class"),
-        "it went"
+        "the class was removed"
     );
     assert_eq!(
         metrics(control_address)["success.event"],
         0,
-        "what it counted stays"
+        "the metrics of a removed class remain"
     );
     let change = |at: &str, value: Value| {
         let mut bad = new.clone();
         *bad.pointer_mut(at).expect("a key") = value;
-        // Nothing of a broken file counts, discovery included.
+        // No part of an invalid file takes effect, the discovery address included.
         bad["discovery"] = json!("127.0.0.1:1");
         bad.to_string()
     };
@@ -295,9 +298,9 @@
     ];
     for (number, text) in broken.iter().enumerate() {
         reload(&test_bed, text);
-        let turned_down =
+        let rejected =
             || (metric(control_address, "reload_failure") == number as u64 + 1).then_some(());
-        wait_until("the file to be turned down", turned_down);
+        wait_until("the file to be rejected", rejected);
         assert_eq!(test_bed.enqueue("fresh", 1).1, "+OK", "{text}");
     }
     assert_eq!(metric(control_address, "reload_success"), 1);
@@ -315,10 +318,10 @@
     wait_until("the first call", || {
         (!host.calls_of(&id).is_empty()).then_some(())
     });
-    // The class turns unsafe for what comes from now on, and another one goes.
+    // The class becomes unsafe for messages accepted from now on.
     test_bed.config["settings"]["services"][1]["effect"] = json!("fragile");
     reload(&test_bed, &test_bed.config.to_string());
-    wait_until("the file to be taken", || {
+    wait_until("the file to be applied", || {
         (metric(control_address, "reload_success") == 1).then_some(())
     });
     let before = host.calls_of(&id).len();
@@ -332,34 +335,34 @@
         (host.calls_of(&id).len() > before).then_some(())
     });
     host.script(|_, _| ok());
-    wait_until("its delivery", || {
+    wait_until("the delivery", || {
         (metric(control_address, "success.update") == 1).then_some(())
     });
-    // One that is taken now is unsafe: after an error it is never called again.
+    // A message accepted now is unsafe: after an error it is never sent again.
     host.script(|_, _| status("500 Broken"));
     let (id, _) = test_bed.enqueue("update", 1);
-    wait_until("its end", || {
+    wait_until("the failure of the message", || {
         (metric(control_address, "error.update") == 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
 }
 
-/// The clients' listening socket, which the platform holds and every process inherits.
-struct Held {
+/// The listening socket for clients, which the platform holds and every process inherits.
+struct SharedListener {
     socket: Socket,
 }
 
-impl Held {
-    fn new(test_bed: &TestBed) -> Held {
+impl SharedListener {
+    fn new(test_bed: &TestBed) -> SharedListener {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_reuse_address(true).expect("set");
         rebind(&socket, test_bed.listen);
         socket.listen(128).expect("listens");
         socket.set_cloexec(false).expect("set");
-        Held { socket }
+        SharedListener { socket }
     }
 
-    /// Starts a process with a control socket of its own beside those that run.
+    /// Starts a process with its own control socket beside the running ones.
     fn start(&self, test_bed: &TestBed) -> (Child, SocketAddr) {
         let control_address = bind().local_addr().expect("bound");
         let log = std::fs::File::options()
@@ -378,8 +381,8 @@
     }
 }
 
-fn ready(control_address: SocketAddr) {
-    wait_until("it to be ready", || {
+fn wait_until_ready(control_address: SocketAddr) {
+    wait_until("the process to be ready", || {
         let mut stream = TcpStream::connect(control_address).ok()?;
         stream.write_all(b"ready\n").ok()?;
         let mut line = String::new();
@@ -388,7 +391,8 @@
     });
 }
 
-fn end(mut child: Child) {
+/// Kills a process and reaps it.
+fn kill(mut child: Child) {
     drop(child.kill());
     drop(child.wait());
 }
@@ -398,10 +402,10 @@
     let slow = Host::new(|_, _| HostResponse::Delayed(1200, ok_text()));
     let down = bind().local_addr().expect("bound");
     let test_bed = &mut TestBed::new(vec![up("a", &slow, 1), entry("b", down, 2, "up")]);
-    let held = Held::new(test_bed);
-    let (mut old, old_control_address) = held.start(test_bed);
-    ready(old_control_address);
-    // One call is out at the moment of handing over, unsafe as it is; one message waits for a host that is down.
+    let shared_listener = SharedListener::new(test_bed);
+    let (mut old, old_control_address) = shared_listener.start(test_bed);
+    wait_until_ready(old_control_address);
+    // At the hand-over, an unsafe call is in flight and one message waits for a host that is down.
     let (out, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
     let (waits, answer) = test_bed.enqueue("update", 2);
@@ -409,42 +413,44 @@
     wait_until("the call", || {
         (!slow.calls_of(&out).is_empty()).then_some(())
     });
-    let (new, control_address) = held.start(test_bed);
-    ready(control_address);
+    let (new, control_address) = shared_listener.start(test_bed);
+    wait_until_ready(control_address);
     assert!(
         control_command(old_control_address, "ready").starts_with("fail")
             || old.try_wait().expect("waits").is_some()
     );
     assert_eq!(metric(control_address, "concurrent"), 2);
-    // Submitted again while its call is in flight at the other process: it is recognised, and nothing is sent twice.
+    // The message is submitted again while its call is in flight at the other process: it is recognised and not sent twice.
     let mut client = test_bed.client();
     client.send(&request(&out, "payout", 1, 20_000, b"body"));
     assert_eq!(client.line(), "+OK");
     wait_until("the end of the call", || {
         (metric(control_address, "success.payout") == 1).then_some(())
     });
-    wait_until("the old process to leave", || {
-        old.try_wait().expect("waits")
-    });
+    wait_until("the old process to exit", || old.try_wait().expect("waits"));
     assert_eq!(slow.calls_of(&out).len(), 1);
     let mut client = test_bed.client();
     client.send(&request(&out, "payout", 1, 20_000, b"body"));
-    assert_eq!(client.line(), "+OK", "what was over is known too");
-    // The one that waited is the new process's now.
+    assert_eq!(
+        client.line(),
+        "+OK",
+        "ids of ended messages are recognised too"
+    );
+    // The new process sends the message that waited.
     let listener = std::net::TcpListener::bind(down).expect("bound");
     let (mut stream, _) = listener.accept().expect("called");
     let mut text = [0; 2048];
     let n = stream.read(&mut text).expect("read");
     assert!(String::from_utf8_lossy(&text[..n]).contains(&waits));
     stream.write_all(ok_text().as_bytes()).expect("answered");
-    wait_until("its delivery", || {
+    wait_until("the delivery", || {
         (metric(control_address, "success.update") == 1).then_some(())
     });
     assert_eq!(slow.calls_of(&out).len(), 1);
-    wait_until("the folder to be tidy", || {
+    wait_until("the hand-over state to be removed", || {
         (!test_bed.folder.join("state/upgrade.state").exists()).then_some(())
     });
-    end(new);
+    kill(new);
 }
 
 #[test]
@@ -457,19 +463,19 @@
         }
     });
     let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
-    let held = Held::new(test_bed);
-    let (old, old_control_address) = held.start(test_bed);
-    ready(old_control_address);
+    let shared_listener = SharedListener::new(test_bed);
+    let (old, old_control_address) = shared_listener.start(test_bed);
+    wait_until_ready(old_control_address);
     let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
     wait_until("the call", || {
         (!host.calls_of(&id).is_empty()).then_some(())
     });
-    let (new, control_address) = held.start(test_bed);
-    ready(control_address);
-    end(old);
-    // It is unsafe: it fails, and does not go again.
-    wait_until("its notice", || {
+    let (new, control_address) = shared_listener.start(test_bed);
+    wait_until_ready(control_address);
+    kill(old);
+    // The message is unsafe: it fails and is not sent again.
+    wait_until("the notice", || {
         let notices = test_bed.discovery.notices.lock().unwrap();
         notices
             .iter()
@@ -478,16 +484,16 @@
     });
     assert_eq!(host.calls_of(&id).len(), 1);
     assert_eq!(metric(control_address, "error.payout"), 1);
-    end(new);
+    kill(new);
 }
 
 #[test]
 fn new_version_killed_during_takeover_leaves_the_old_one_serving() {
     let host = Host::new(|_, _| HostResponse::Delayed(700, ok_text()));
     let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
-    let held = Held::new(test_bed);
-    let (old, old_control_address) = held.start(test_bed);
-    ready(old_control_address);
+    let shared_listener = SharedListener::new(test_bed);
+    let (old, old_control_address) = shared_listener.start(test_bed);
+    wait_until_ready(old_control_address);
     assert!(control_command(old_control_address, "drain").starts_with("ok"));
     assert!(control_command(old_control_address, "resume").starts_with("ok"));
     let (id, answer) = test_bed.enqueue("payout", 1);
@@ -495,13 +501,13 @@
     wait_until("the call", || {
         (!host.calls_of(&id).is_empty()).then_some(())
     });
-    // It takes over, and dies.
-    let (new, control_address) = held.start(test_bed);
-    ready(control_address);
-    end(new);
-    ready(old_control_address);
+    // The new process takes over and is killed.
+    let (new, control_address) = shared_listener.start(test_bed);
+    wait_until_ready(control_address);
+    kill(new);
+    wait_until_ready(old_control_address);
     assert_eq!(ping(test_bed), "+PONG");
-    wait_until("the call to end where it began", || {
+    wait_until("the call to end at the old process", || {
         (metric(old_control_address, "success.payout") == 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
@@ -511,29 +517,29 @@
         (metric(old_control_address, "success.update") == 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
-    // A request that its process did not live to see answered is dropped, and the next one is served.
+    // A take-over request left by a process that has died is dropped, and the next one is served.
     std::fs::write(test_bed.folder.join("state/upgrade.ask"), b"").expect("a file");
-    wait_until("the request to go", || {
+    wait_until("the request to be dropped", || {
         (!test_bed.folder.join("state/upgrade.ask").exists()).then_some(())
     });
     assert!(control_command(old_control_address, "ready").starts_with("ok"));
-    let (new, control_address) = held.start(test_bed);
-    ready(control_address);
-    end(new);
-    end(old);
+    let (new, control_address) = shared_listener.start(test_bed);
+    wait_until_ready(control_address);
+    kill(new);
+    kill(old);
 }
 
-/// A new version that gets SIGTERM before the old one has read its request takes nothing over.
+/// A new version that receives SIGTERM before the old one has read its request takes nothing over.
 #[test]
 fn new_version_stopped_while_waiting_leaves_the_old_one_serving() {
     let host = Host::new(|_, _| ok());
     let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
-    let held = Held::new(test_bed);
-    let (old, old_control_address) = held.start(test_bed);
-    ready(old_control_address);
-    // It stands still, so that it cannot hand over first.
+    let shared_listener = SharedListener::new(test_bed);
+    let (old, old_control_address) = shared_listener.start(test_bed);
+    wait_until_ready(old_control_address);
+    // The old process is suspended so that it cannot hand over first.
     send_signal(&old, "-STOP");
-    let (mut new, _) = held.start(test_bed);
+    let (mut new, _) = shared_listener.start(test_bed);
     wait_until("the request", || {
         test_bed
             .folder
@@ -544,33 +550,34 @@
     send_signal(&new, "-TERM");
     assert!(wait_until("the new one to end", || new.try_wait().expect("waits")).success());
     send_signal(&old, "-CONT");
-    ready(old_control_address);
+    wait_until_ready(old_control_address);
     let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
     wait_until("a delivery", || {
         (metric(old_control_address, "success.payout") == 1).then_some(())
     });
     assert_eq!(host.calls_of(&id).len(), 1);
-    end(old);
+    kill(old);
 }
 
-/// The old version gets SIGTERM while a call of its own is in flight: it completes the call and reports its end to the new one.
+/// The old version receives SIGTERM while a call of its own is in flight: it completes the call and reports the outcome to
+/// the new one.
 #[test]
 fn old_version_stopped_during_handover_completes_its_calls() {
     let host = Host::new(|_, _| HostResponse::Delayed(1500, ok_text()));
     let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
-    let held = Held::new(test_bed);
-    let (mut old, old_control_address) = held.start(test_bed);
-    ready(old_control_address);
+    let shared_listener = SharedListener::new(test_bed);
+    let (mut old, old_control_address) = shared_listener.start(test_bed);
+    wait_until_ready(old_control_address);
     let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
     wait_until("the call", || {
         (!host.calls_of(&id).is_empty()).then_some(())
     });
-    let (new, control_address) = held.start(test_bed);
-    ready(control_address);
+    let (new, control_address) = shared_listener.start(test_bed);
+    wait_until_ready(control_address);
     send_signal(&old, "-TERM");
-    assert!(wait_until("the old one to leave", || old.try_wait().expect("waits")).success());
+    assert!(wait_until("the old one to exit", || old.try_wait().expect("waits")).success());
     wait_until("the end of the call", || {
         (metric(control_address, "success.payout") == 1).then_some(())
     });
@@ -578,30 +585,30 @@
         (host.calls_of(&id).len(), test_bed.discovery.notice_for(&id)),
         (1, None)
     );
-    end(new);
+    kill(new);
 }
 
 #[test]
 fn drain_is_handed_over_and_a_third_process_is_rejected() {
     let host = Host::new(|_, _| HostResponse::Delayed(2500, ok_text()));
     let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
-    let held = Held::new(test_bed);
-    let (mut old, old_control_address) = held.start(test_bed);
-    ready(old_control_address);
+    let shared_listener = SharedListener::new(test_bed);
+    let (mut old, old_control_address) = shared_listener.start(test_bed);
+    wait_until_ready(old_control_address);
     assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
     wait_until("the call", || (!host.calls().is_empty()).then_some(()));
     assert!(control_command(old_control_address, "drain").starts_with("ok"));
-    let (new, control_address) = held.start(test_bed);
+    let (new, control_address) = shared_listener.start(test_bed);
     wait_until("its control socket", || {
         TcpStream::connect(control_address).ok()
     });
-    wait_until("it to have taken over", || {
+    wait_until("the new process to have taken over", || {
         control_command(control_address, "ready")
             .contains("draining")
             .then_some(())
     });
-    // While the old one's call is out there are two; a third is one too many.
-    let (mut third, _) = held.start(test_bed);
+    // While the old process has a call in flight, two processes run; a third is rejected.
+    let (mut third, _) = shared_listener.start(test_bed);
     let status = wait_until("the third to end", || third.try_wait().expect("waits"));
     assert!(!status.success());
     assert!(
@@ -613,11 +620,9 @@
     );
     assert!(control_command(control_address, "resume").starts_with("ok"));
     assert_eq!(ping(test_bed), "+PONG");
-    wait_until("the old process to leave", || {
-        old.try_wait().expect("waits")
-    });
+    wait_until("the old process to exit", || old.try_wait().expect("waits"));
     assert_eq!(host.calls().len(), 1);
-    end(new);
+    kill(new);
 }
 
 #[test]
@@ -653,7 +658,7 @@
         "977",
         "cannot listen on descriptor 977",
     );
-    // A journal of a form to come is left as it is.
+    // A journal in the format of a newer version is left unchanged.
     let journal = test_bed.journal();
     let body = [200u8, 1, 2, 3];
     let mut text = (body.len() as u32).to_le_bytes().to_vec();
@@ -664,21 +669,21 @@
     assert_eq!(std::fs::read(&journal).expect("a file"), text);
 }
 
-/// No client may meet a refused, reset or unread connection, whatever it does while versions change.
+/// No client may meet a refused, reset or unread connection during upgrades, whatever it does.
 #[test]
 fn clients_see_no_errors_during_upgrades_under_load() {
     let host = Host::new(|_, _| ok());
     let test_bed = &mut TestBed::new(vec![up("a", &host, 1)]);
-    let held = Held::new(test_bed);
-    let (mut old, control_address) = held.start(test_bed);
-    ready(control_address);
+    let shared_listener = SharedListener::new(test_bed);
+    let (mut old, control_address) = shared_listener.start(test_bed);
+    wait_until_ready(control_address);
     let listen = test_bed.listen;
     let over = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let workers: Vec<_> = (0..4)
         .map(|worker| {
             let over = over.clone();
             std::thread::spawn(move || {
-                // A connection that the relay has closed between two requests is replaced, as the protocol has it.
+                // As the protocol requires, a connection that the relay closed between two requests is replaced.
                 let (mut sent, mut unread, mut open) = (0u32, 0u32, None);
                 while !over.load(std::sync::atomic::Ordering::SeqCst) {
                     let id = format!("w{worker}x{sent}");
@@ -694,7 +699,7 @@
                             assert_eq!(&answer, b"+OK\r\n");
                             sent += 1;
                             std::thread::sleep(Duration::from_millis(3));
-                            // Closed meanwhile?
+                            // Check whether the relay has closed the connection meanwhile.
                             stream.set_nonblocking(true).expect("set");
                             let closed = matches!(stream.peek(&mut [0]), Ok(0));
                             stream.set_nonblocking(false).expect("set");
@@ -708,23 +713,21 @@
         })
         .collect();
     for _ in 0..3 {
-        let (new, control_address) = held.start(test_bed);
-        ready(control_address);
-        wait_until("the old process to leave", || {
-            old.try_wait().expect("waits")
-        });
+        let (new, control_address) = shared_listener.start(test_bed);
+        wait_until_ready(control_address);
+        wait_until("the old process to exit", || old.try_wait().expect("waits"));
         old = new;
     }
     over.store(true, std::sync::atomic::Ordering::SeqCst);
     let (mut sent, mut unread) = (0, 0);
     for worker in workers {
-        let (s, u) = worker.join().expect("a worker ends well");
+        let (s, u) = worker.join().expect("no worker panics");
         (sent, unread) = (sent + s, unread + u);
     }
-    assert!(sent > 20, "only {sent} were sent");
+    assert!(sent > 20, "only {sent} requests were sent");
     assert!(
         unread <= 6,
-        "{unread} of {sent} met a connection that was closed before it was read"
+        "{unread} of {sent} requests met a connection that was closed before it was read"
     );
     wait_until("all deliveries", || {
         let ids: std::collections::BTreeSet<_> =
@@ -734,20 +737,20 @@
     let calls = host.calls();
     let ids: std::collections::BTreeSet<_> = calls.iter().map(|seen| &seen.id).collect();
     assert_eq!(ids.len(), calls.len(), "a message was called twice");
-    end(old);
+    kill(old);
 }
 
-/// Answers to administrators and the used rates of tenants are handed over as well.
+/// The new version answers administrators, and the used rates of tenants are handed over.
 #[test]
 fn administration_api_responses_and_used_rates_are_handed_over() {
     let host = Host::new(|_, _| ok());
     let (mut test_bed, address) =
         api::new_with_tenants(vec![up("a", &host, 1)], "import = false", "");
-    let held = Held::new(&test_bed);
-    let (mut old, old_control_address) = held.start(&test_bed);
-    ready(old_control_address);
+    let shared_listener = SharedListener::new(&test_bed);
+    let (mut old, old_control_address) = shared_listener.start(&test_bed);
+    wait_until_ready(old_control_address);
     let api = api::Api::new(&address, Some(&api::token("root")));
-    // Three at once, and then one a minute.
+    // A burst of three, then one message per minute.
     let rate = json!({"weight": 1, "rate": {"per_second": 1.0 / 60.0, "burst": 3}});
     assert_eq!(api.create("acme", rate).status, 201);
     for _ in 0..3 {
@@ -759,9 +762,9 @@
     for weight in 2..5 {
         let before = test_bed.enqueue_for("acme", "update", 1, 9000).1;
         assert!(before.starts_with("-BUSY"), "{before}");
-        let (new, control_address) = held.start(&test_bed);
-        ready(control_address);
-        // It serves the API before it says yes.
+        let (new, control_address) = shared_listener.start(&test_bed);
+        wait_until_ready(control_address);
+        // The new process serves the API before it reports that it is ready.
         let shown = api.get("/v1/tenants/acme");
         assert_eq!(
             (shown.status, shown.body["spec"]["weight"].as_u64()),
@@ -773,10 +776,8 @@
         assert_eq!(changed.status, 200);
         let after = test_bed.enqueue_for("acme", "update", 1, 9000).1;
         assert!(after.starts_with("-BUSY"), "{after}");
-        wait_until("the old process to leave", || {
-            old.try_wait().expect("waits")
-        });
+        wait_until("the old process to exit", || old.try_wait().expect("waits"));
         (old, _) = (new, control_address);
     }
-    end(old);
+    kill(old);
 }
--- a/crates/relay/tests/races.rs
+++ b/crates/relay/tests/races.rs
@@ -1,5 +1,5 @@
-//! What comes between two lines of the relay: each test does it at a point where the relay stands, so that the order is
-//! the bad one every time. docs/races.md lists the places.
+//! Races between two lines of the relay: each test acts in a hook at a fixed point of the relay, so that the unfavourable
+//! order occurs in every run. docs/races.md lists the places.
 
 mod support;
 
@@ -22,7 +22,7 @@
         .expect("set");
 }
 
-/// Reads a call to its end and gives its id.
+/// Reads a complete call and returns its id.
 fn read_call(stream: &mut TcpStream) -> String {
     stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     let mut text = Vec::new();
@@ -35,18 +35,18 @@
     let id = text
         .lines()
         .find_map(|line| line.strip_prefix("x-trace-id: "));
-    id.expect("a name").into()
+    id.expect("an id").into()
 }
 
-/// A client that rests until the relay closes its connection sends a request just then: it is not read, which the client
-/// learns by a reset, and sent once more on a new connection it has one effect.
+/// An idle client sends a request just as the relay closes its connection. The request is not read, which the client
+/// learns from the reset; sent again on a new connection, it has one effect.
 #[test]
 fn request_between_last_input_check_and_close_is_not_partly_processed() {
     let host = Host::new(|_, _| ok());
     let mut test_bed = TestBed::new(vec![entry("a", host.address, 1, "up")]);
     let relay = test_bed.start_in_process(&[]);
     test_bed.wait_until_ready();
-    // A connection that says nothing at first is the one that is closed soonest.
+    // A connection that has sent nothing yet is closed soonest.
     let mut client = test_bed.client();
     let id = test_bed.id();
     let late = request(&id, "payout", 1, 20_000, b"body");
@@ -56,11 +56,11 @@
     relay.set_hook(move |point| {
         if point == HookPoint::ClientInputChecked && *times.lock().unwrap() == 0 {
             *times.lock().unwrap() += 1;
-            sender.write_all(&text).expect("the connection stands");
+            sender.write_all(&text).expect("the connection is open");
         }
     });
     let read = client.reader.get_mut().read(&mut [0]);
-    let reset = read.expect_err("it was closed with the request unread");
+    let reset = read.expect_err("the connection was closed with the request unread");
     assert_eq!(reset.kind(), std::io::ErrorKind::ConnectionReset);
     assert_eq!(*sent.lock().unwrap(), 1);
     relay.signal(Signal::Stop);
@@ -75,8 +75,9 @@
     assert_eq!(host.calls_of(&id).len(), 1);
 }
 
-/// A process that was read from and ends, or is killed, loses what it has not answered by then. So what comes shortly before
-/// its end is answered before it is read, and the connection closes behind the answer, with nothing under way.
+/// A request that a process has read but not answered is lost if the process exits or is killed. Requests that arrive
+/// shortly before its end are therefore answered before they are read, and the connection is closed after the reply, with
+/// no request in progress.
 #[test]
 fn requests_shortly_before_sigkill_are_answered_before_being_read() {
     let host = Host::new(|_, _| ok());
@@ -103,7 +104,11 @@
     client.send(&[second, &frame(&[b"PING"])].concat());
     assert!(client.line().starts_with("-BUSY"));
     assert!(client.line().starts_with("-ERR"));
-    assert_eq!(client.line(), "", "it closes behind the answer");
+    assert_eq!(
+        client.line(),
+        "",
+        "the connection is closed after the reply"
+    );
     assert_eq!(relay.wait_for_exit(), Ok(()));
     assert_eq!(
         *points.lock().unwrap(),
@@ -112,7 +117,7 @@
     assert!(host.calls().is_empty());
 }
 
-/// Whether a connection of this machine still counts as open at one of its sides.
+/// Whether a connection of this machine is still established at the given side.
 fn is_established(side: &std::io::Result<SocketAddr>, other: &std::io::Result<SocketAddr>) -> bool {
     const ESTABLISHED: &str = "01";
     let port = |address: &std::io::Result<SocketAddr>| {
@@ -127,15 +132,15 @@
     })
 }
 
-/// How a host ends a kept connection.
+/// How a host ends an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Ends {
     Reset,
     Close,
 }
 
-/// A kept connection that ends between the look and the first byte: after a reset nothing is written, and the call goes out
-/// on a new connection; after a close the relay has to assume that what was written may have executed.
+/// An idle connection ends between the check for input and the first byte of a call. After a reset nothing is written, and
+/// the call is sent on a new connection; after a close the relay has to assume that the written call may have executed.
 #[test]
 fn idle_connection_ending_at_first_byte_causes_no_second_effect() {
     for (class, ends) in [
@@ -144,13 +149,13 @@
         ("update", Ends::Reset),
         ("update", Ends::Close),
     ] {
-        // Too slow: the call came before the connection was kept. The order is what counts, so once more.
-        while !ends_under_the_first_byte(class, ends) {}
+        // The call came before the connection was returned to the pool. The test needs that order, so it tries again.
+        while !connection_ends_at_first_byte(class, ends) {}
     }
 }
 
-/// False if the kept connection was not used.
-fn ends_under_the_first_byte(class: &str, ends: Ends) -> bool {
+/// Runs one case. Returns false if the idle connection was not used.
+fn connection_ends_at_first_byte(class: &str, ends: Ends) -> bool {
     let listener = bind();
     let mut test_bed = TestBed::new(vec![entry(
         "a",
@@ -171,7 +176,7 @@
     let over = Arc::new(Mutex::new(false));
     let (mine, done, told) = (kept.clone(), ended.clone(), over.clone());
     relay.set_hook(move |point| {
-        // Its end is in the journal once its connection is kept.
+        // The end of the first message is journaled once its connection has been returned to the pool.
         *told.lock().unwrap() |= point == HookPoint::JournalWritten;
         if let Some(stream) = mine
             .lock()
@@ -184,8 +189,8 @@
                 Ends::Reset => reset(stream),
                 Ends::Close => drop(stream),
             }
-            // On a busy machine the end takes a moment to arrive; a write before that has been sent.
-            wait_until("the end to arrive", || {
+            // On a busy machine the end of the connection arrives with a delay; a write before that is sent.
+            wait_until("the end of the connection to arrive", || {
                 (!is_established(&ports.0, &ports.1)).then_some(())
             });
         }
@@ -206,7 +211,7 @@
             .filter(|seen| **seen == id)
             .count()
     };
-    let notice = wait_until("its end or its call", || {
+    let notice = wait_until("the end or the call of the message", || {
         let notice = test_bed.discovery.notice_for(&id);
         (notice.is_some() || times() > 0).then_some(notice)
     });
@@ -219,14 +224,18 @@
             notice.map(|notice| notice["status"].clone()),
             Some("undeliverable".into())
         );
-        assert_eq!(times(), 0, "it may have run");
+        assert_eq!(
+            times(),
+            0,
+            "the message may have executed, and must not be sent again"
+        );
     } else {
         assert_eq!((times(), notice), (1, None), "{class} {ends:?}");
     }
     true
 }
 
-/// Answers all calls, and notes them.
+/// Answers all calls and records their ids.
 fn serve(listener: TcpListener, seen: Arc<Mutex<Vec<String>>>) {
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -243,8 +252,8 @@
     });
 }
 
-/// A client that disconnects once its message is in the journal and before the reply: the message has one end, and what the
-/// client sends anew is another message.
+/// A client disconnects after its message was journaled and before the reply. The message has one end, and what the client
+/// sends afterwards is another message.
 #[test]
 fn client_disconnected_before_ok_leaves_one_message() {
     let host = Host::new(|_, _| ok());
@@ -280,24 +289,25 @@
     assert_eq!(relay.wait_for_exit(), Ok(()));
 }
 
-/// Signals that come before the first list, in the start and together: the process ends by itself, and what it owes is kept.
+/// Signals arrive during startup before the first host list, one or two at once: the process exits by itself and keeps its
+/// pending messages.
 #[test]
 fn signals_before_first_list_end_the_process_without_loss() {
     use Signal::{Reload, Stop};
     let cases = [&[Stop][..], &[Stop, Stop], &[Reload, Stop], &[Stop, Reload]];
     thread::scope(|threads| {
         cases
-            .map(|first| threads.spawn(move || signals_first(first)))
+            .map(|first| threads.spawn(move || assert_exit_without_loss(first)))
             .map(drop)
     });
 }
 
-fn signals_first(first: &[Signal]) {
+fn assert_exit_without_loss(first: &[Signal]) {
     let host = Host::new(|_, _| status("503 Busy"));
     let mut test_bed = TestBed::started(vec![entry("a", host.address, 1, "up")]);
     let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    wait_until("a refused call", || host.calls_of(&id).first().cloned());
+    wait_until("a rejected call", || host.calls_of(&id).first().cloned());
     test_bed.kill();
     test_bed.discovery.silent.store(true, SeqCst);
     assert_eq!(
--- a/crates/relay/tests/restart.rs
+++ b/crates/relay/tests/restart.rs
@@ -1,4 +1,4 @@
-//! Accepted messages that were never attempted are still attempted after a restart, whatever fails then.
+//! Accepted messages that were never attempted are attempted after a restart, whatever else fails at that time.
 
 mod support;
 
@@ -10,12 +10,14 @@
 use serde_json::{json, Value};
 use support::*;
 
-/// Calls a second that the destination takes when warm.
+/// Calls per second that the warmed-up destination accepts.
 const CALLS_PER_SECOND: f64 = 10.0;
-/// Messages that are submitted before the process ends, and their time to live.
+/// Number of messages submitted before the process is killed.
 const MESSAGES: usize = 40;
+/// Time to live of a message in milliseconds.
 const DEADLINE_MS: u64 = 5_000;
 
+/// Prepares a relay with one host at the rate limit, in a fleet of `siblings` relays.
 fn new_test_bed(siblings: u64, host: &Host) -> TestBed {
     let mut line = entry("a", host.address, 1, "up");
     line["share"] = CALLS_PER_SECOND.into();
@@ -26,7 +28,8 @@
     test_bed
 }
 
-/// Takes messages on for a host that says nothing, and ends the process; gives those that were not called.
+/// Submits messages for a host that does not respond, kills the process, and returns the ids of the messages that were not
+/// sent to the host.
 fn submit_unattempted(test_bed: &mut TestBed, host: &Host, class: &str, left: u64) -> Vec<String> {
     host.script(|_, _| HostResponse::Hang);
     test_bed.start();
@@ -45,16 +48,16 @@
         .collect();
     assert!(
         rest.len() > MESSAGES / 2,
-        "most wait behind the fuse: {}",
+        "most messages must wait behind the circuit breaker: {}",
         rest.len()
     );
     rest
 }
 
-/// Waits until each has its end, and gives how many were called.
+/// Waits until each message was sent to the host or has a notice, and returns how many were sent.
 fn count_attempted(test_bed: &TestBed, host: &Host, ids: &[String]) -> usize {
     let called = |id: &String| !host.calls_of(id).is_empty();
-    wait_until("an end of each", || {
+    wait_until("the end of each message", || {
         ids.iter()
             .all(|id| called(id) || test_bed.discovery.notice_for(id).is_some())
             .then_some(())
@@ -62,7 +65,8 @@
     ids.iter().filter(|id| called(id)).count()
 }
 
-/// No more calls within the rule's span than a cold destination takes, with the rule's room for chance.
+/// Asserts that within the span of the overload rule, the host received no more calls than a cold destination accepts,
+/// plus the rule's allowance for chance.
 fn assert_not_overloaded(host: &Host, since: Instant) {
     let calls: Vec<Instant> = host
         .calls()
@@ -73,7 +77,7 @@
     let span = Duration::from_millis(1500);
     for (n, first) in calls.iter().enumerate() {
         let within = calls[n..].iter().filter(|at| **at < *first + span).count() as f64;
-        // Its capacity by the end of the span.
+        // Relative capacity of the destination at the end of the span.
         let cold = (0.2 + 0.8 * (first.duration_since(since) + span).as_secs_f64() / 9.0).min(1.0);
         let most = 2.0 * CALLS_PER_SECOND * cold * span.as_secs_f64();
         assert!(
@@ -134,7 +138,7 @@
         host.script(|_, _| ok());
         test_bed.discovery.silent.store(true, SeqCst);
         test_bed.start();
-        // The term names this second.
+        // The length of this pause, one second, is named in the terms of the platform.
         std::thread::sleep(Duration::from_secs(1));
         test_bed.kill();
         test_bed.start();
@@ -147,7 +151,7 @@
     }
 }
 
-/// New messages do not take the places of those.
+/// New messages do not evict recovered ones, even when they are worth more.
 #[test]
 fn recovered_messages_are_not_evicted_by_new_messages() {
     let host = Host::new(|_, _| ok());
@@ -156,7 +160,7 @@
     let ids = submit_unattempted(&mut test_bed, &host, "update", DEADLINE_MS);
     host.script(|_, _| ok());
     test_bed.start();
-    // Worth more than what is owed.
+    // Payouts are worth more than the recovered messages.
     for _ in 0..MESSAGES {
         test_bed.enqueue_body("payout", 1, 60_000, b"body");
     }
@@ -168,8 +172,8 @@
     );
 }
 
-/// A connection that is refused is no call: who met nothing else is not given up for what arrives, and goes first once
-/// the destination is back.
+/// A refused connection is not a call: a message that has met only refused connections is not evicted by new messages, and
+/// is sent first once the destination has recovered.
 #[test]
 fn recovered_messages_with_refused_connections_are_not_evicted_by_new_messages() {
     assert_attempted_after_refused_connections(
@@ -179,7 +183,7 @@
     );
 }
 
-/// The same for a tenant that held far more than its share as its process ended: others have no more than a fourth of that.
+/// The tenant held far more than its share when its process ended: the others have no more than a fourth of that.
 #[test]
 fn recovered_messages_of_tenant_over_its_share_are_not_evicted_by_another_tenant() {
     let other = json!({"name": "other", "quotaPerS": 1000.0, "share": 0.9});
@@ -190,8 +194,8 @@
     );
 }
 
-/// Restarts with messages that meet refused connections until another tenant, or the same one, has submitted more. A refused
-/// connection is an attempt, and `attempts` is the limit.
+/// Restarts with messages that meet refused connections until the tenant `arrives` has submitted more messages. A refused
+/// connection counts as an attempt; `attempts` is the limit.
 fn assert_attempted_after_refused_connections(tenants: Value, arrives: &str, attempts: u64) {
     let host = Host::new(|_, _| ok());
     let mut test_bed = new_test_bed(1, &host);
@@ -202,11 +206,11 @@
     settings_here["limits"]["maxAttempts"] = attempts.into();
     settings_here["tenants"] = tenants;
     let ids = submit_unattempted(&mut test_bed, &host, "update", 2 * DEADLINE_MS);
-    // It stands elsewhere now, where nobody listens yet.
+    // The host moves to an address where nothing listens yet.
     let moved = bind().local_addr().expect("bound");
     test_bed.discovery.push(2, &[entry("a", moved, 1, "up")]);
     test_bed.start();
-    wait_until("refused connections of most", || {
+    wait_until("refused connections of most messages", || {
         let log = test_bed.log();
         let failed = log
             .lines()
@@ -229,7 +233,7 @@
     );
 }
 
-/// Settings may have changed between two processes.
+/// The settings may change between two processes.
 #[test]
 fn recovered_messages_of_removed_tenant_are_attempted() {
     let host = Host::new(|_, _| ok());
--- a/crates/relay/tests/shutdown.rs
+++ b/crates/relay/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! The last moments of a process after SIGTERM. A process that is suspended meanwhile (SIGSTOP) finds
-//! them all at once when it goes on, its own time to end among them.
+//! The end of a process after SIGTERM. A process that is suspended meanwhile (SIGSTOP) finds all pending events at once
+//! when it resumes, the expiry of its own shutdown deadline among them.
 
 mod support;
 
@@ -7,11 +7,11 @@
 
 use support::*;
 
-/// Lets the process read the signal to stop and then stand still; false if it had ended by then.
+/// Sends SIGTERM, waits until the process has read it, and suspends the process. Returns false if it had exited by then.
 fn suspended_after_sigterm(test_bed: &TestBed) -> bool {
     let before = test_bed.log().matches("relay: shutdown_started").count();
     test_bed.terminate();
-    wait_until("the signal to be read", || {
+    wait_until("SIGTERM to be read", || {
         (test_bed.log().matches("relay: shutdown_started").count() > before).then_some(())
     });
     test_bed.signal("-STOP");
@@ -24,12 +24,12 @@
             .chars()
             .next()
     };
-    wait_until("the process to stand", || {
+    wait_until("the process to be suspended", || {
         state().filter(|state| "TZ".contains(*state))
     }) == 'T'
 }
 
-/// A message that waits as its destination asked for it goes out before the process ends.
+/// A message that waits for a Retry-After of its destination is sent before the process exits.
 #[test]
 fn process_without_clients_runs_until_its_messages_have_ended() {
     let host = Host::new(|_, calls| match calls {
@@ -41,7 +41,7 @@
     let mut test_bed = TestBed::started(vec![entry("a", host.address, 1, "up")]);
     let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
-    wait_until("the call that is told to wait", || {
+    wait_until("the call answered with Retry-After", || {
         host.calls_of(&id).first().cloned()
     });
     test_bed.terminate();
@@ -49,11 +49,11 @@
     assert_eq!(
         host.calls_of(&id).len(),
         2,
-        "it was sent again before the end"
+        "the message must be sent again before the process exits"
     );
 }
 
-/// A connection that came before the port closes and was not accepted yet has its answer.
+/// A connection that arrived before the port closed and was not yet accepted is answered.
 #[test]
 fn connection_pending_at_the_listener_at_exit_is_served() {
     let host = Host::new(|_, _| ok());
@@ -63,11 +63,11 @@
         if suspended_after_sigterm(&test_bed) {
             break;
         }
-        // Too slow: the process had ended. The order is what counts, so once more.
+        // The process had exited before it was suspended. The test needs that order, so it tries again.
         test_bed.signal("-CONT");
         test_bed.wait_for_exit();
     }
-    // By the time it goes on it has nothing to do and may end.
+    // When it resumes, the process has no work left and may exit.
     std::thread::sleep(Duration::from_millis(700));
     let mut client = test_bed.client();
     let id = test_bed.id();
@@ -91,9 +91,9 @@
     assert_eq!(client.line(), "+PONG");
     assert!(
         suspended_after_sigterm(&test_bed),
-        "it stays for its client"
+        "the process must keep running for its client"
     );
-    // Longer than it may take to its end.
+    // Longer than the process may take to exit.
     std::thread::sleep(Duration::from_millis(3700));
     client.send(&request(&id, "update", 1, 20_000, b"body"));
     test_bed.signal("-CONT");
--- a/crates/relay/tests/terms.rs
+++ b/crates/relay/tests/terms.rs
@@ -1,4 +1,4 @@
-//! The platform's terms at their limits, with faults of system calls; docs/terms-audit.md has the clause of each test.
+//! The limits of the platform's terms, tested with faults in system calls. docs/terms-audit.md lists the clause of each test.
 
 mod support;
 
@@ -9,24 +9,25 @@
 use support::faults::Faults;
 use support::*;
 
-/// How far the wall clock is stepped.
+/// Size of a wall clock step in milliseconds.
 const STEP_MS: i64 = 3_600_000;
 /// Latest time of a notification after a message's deadline (PROTOCOL, The rules on sockets).
 const NOTIFICATION_SLACK: Duration = Duration::from_millis(300);
 /// Time after the relay is ready again in which no notification counts as late.
 const RESTART_SLACK: Duration = Duration::from_millis(1500);
-/// SIGKILL comes no sooner after SIGTERM (PROTOCOL, Figures).
+/// Shortest time from SIGTERM to SIGKILL (PROTOCOL, Figures).
 const KILL_AFTER_STOP: Duration = Duration::from_millis(3700);
-/// The gate's machine may be busy; the relay's own part is far shorter.
+/// Allowance for a busy CI machine; the relay itself takes far less.
 const MACHINE_SLACK: Duration = Duration::from_secs(1);
 
-/// An address at which nobody listens.
+/// An address at which nothing listens.
 fn closed_port() -> std::net::SocketAddr {
     bind().local_addr().expect("bound")
 }
 
-fn scene_with_faults(known: Vec<serde_json::Value>) -> (TestBed, Faults) {
-    let mut test_bed = TestBed::new(known);
+/// Prepares a relay with a control file for faults.
+fn test_bed_with_faults(hosts: Vec<serde_json::Value>) -> (TestBed, Faults) {
+    let mut test_bed = TestBed::new(hosts);
     let faults = Faults::new(&test_bed.folder);
     test_bed.faults = Some(faults.clone());
     (test_bed, faults)
@@ -51,7 +52,7 @@
 
 /// Waits until each message was called or has its notification.
 fn wait_for_ends(test_bed: &TestBed, host: &Host, ids: &[String]) {
-    wait_until("an end of each accepted message", || {
+    wait_until("the end of each accepted message", || {
         ids.iter()
             .all(|id| has_ended(test_bed, Some(host), id))
             .then_some(())
@@ -59,9 +60,9 @@
 }
 
 /// Accepts messages that cannot be delivered, kills the process, steps the wall clock, and checks that each message
-/// ends when its time is up.
+/// ends at its deadline.
 fn assert_deadlines_hold_over_restart(step_ms: i64) {
-    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", closed_port(), 1, "up")]);
+    let (mut test_bed, faults) = test_bed_with_faults(vec![entry("a", closed_port(), 1, "up")]);
     test_bed.start();
     let accepted_at = Instant::now();
     let ids = accept_messages(&mut test_bed, 9, 4000);
@@ -77,7 +78,10 @@
         .iter()
         .filter(|id| has_ended(&test_bed, None, id))
         .count();
-    assert_eq!(ended_early, 0, "given up with half of their time left");
+    assert_eq!(
+        ended_early, 0,
+        "messages failed with half of their time to live left"
+    );
     while Instant::now() < latest && !ids.iter().all(|id| has_ended(&test_bed, None, id)) {
         thread::sleep(Duration::from_millis(5));
     }
@@ -98,14 +102,14 @@
     assert_deadlines_hold_over_restart(STEP_MS);
 }
 
-/// What a restart finds untried is still tried, whatever the wall clock says by then.
+/// Messages found unattempted at a restart are attempted, whatever the wall clock shows by then.
 #[test]
 fn unattempted_messages_are_called_after_restart_with_stepped_wall_clock() {
     for step_ms in [STEP_MS, -STEP_MS, 5000, -5000] {
         let port = bind();
         let address = port.local_addr().expect("bound");
         drop(port);
-        let (mut test_bed, faults) = scene_with_faults(vec![entry("a", address, 1, "up")]);
+        let (mut test_bed, faults) = test_bed_with_faults(vec![entry("a", address, 1, "up")]);
         test_bed.start();
         let ids = accept_messages(&mut test_bed, 9, 20_000);
         test_bed.kill();
@@ -119,10 +123,10 @@
     }
 }
 
-/// A step while the process runs changes no deadline, in either direction.
+/// A wall clock step in either direction while the process runs changes no deadline.
 #[test]
 fn deadlines_hold_when_wall_clock_is_stepped_at_runtime() {
-    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", closed_port(), 1, "up")]);
+    let (mut test_bed, faults) = test_bed_with_faults(vec![entry("a", closed_port(), 1, "up")]);
     test_bed.start();
     let accepted_at = Instant::now();
     let ids = accept_messages(&mut test_bed, 9, 3000);
@@ -131,7 +135,7 @@
         thread::sleep(Duration::from_millis(300));
         assert!(ids.iter().all(|id| !has_ended(&test_bed, None, id)));
     }
-    wait_until("an end of each", || {
+    wait_until("the end of each message", || {
         ids.iter()
             .all(|id| has_ended(&test_bed, None, id))
             .then_some(())
@@ -143,16 +147,16 @@
     );
 }
 
-/// What became of a client's requests.
+/// Outcomes of a client's requests.
 #[derive(Clone, Debug, Default)]
 struct Requests {
     accepted: Vec<String>,
     refused: usize,
-    /// Requests whose connection ended before the whole answer, each with when it was written.
+    /// Requests whose connection ended before the complete reply, each with the time at which it was written.
     unanswered: Vec<(String, Instant)>,
 }
 
-/// A client that sends one request after the other on one connection until the connection ends.
+/// Starts a client that sends one request after the other on one connection until the connection ends.
 fn send_until_end(
     listen: std::net::SocketAddr,
     name: String,
@@ -191,8 +195,8 @@
     })
 }
 
-/// Clients use the connections that they have for as long as these stay open: every request that is written to one that
-/// has not ended gets its answer. A connection that is in use ends behind an answer.
+/// Clients use their connections for as long as these stay open. Every request written to a connection that has not ended
+/// is answered; a connection in use ends only after a reply.
 #[test]
 fn every_request_between_sigterm_and_sigkill_is_answered() {
     let host = Host::new(|_, _| ok());
@@ -218,7 +222,7 @@
     let lost: Vec<_> = requests
         .unanswered
         .iter()
-        // What is written in the last moment crosses the kill, which is not the relay's.
+        // Requests written in the last 50 ms cross SIGKILL; the relay cannot answer them.
         .filter(|(_, written_at)| *written_at + Duration::from_millis(50) < killed_at)
         .map(|(id, written_at)| (id, written_at.duration_since(stopped_at)))
         .collect();
@@ -235,11 +239,11 @@
     wait_for_ends(&test_bed, &host, &requests.accepted);
 }
 
-/// Reads and writes may be short without the socket being drained or full.
+/// Reads and writes may be short although the socket is neither drained nor full.
 #[test]
 fn short_transfers_neither_lose_nor_delay_requests() {
     let host = Host::new(|_, _| ok());
-    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
+    let (mut test_bed, faults) = test_bed_with_faults(vec![entry("a", host.address, 1, "up")]);
     faults.seed(1);
     faults.shorten_transfers(30);
     faults.fail_network_calls(10);
@@ -254,12 +258,12 @@
     thread::sleep(Duration::from_secs(3));
     let requests = log.lock().unwrap().clone();
     assert!(requests.unanswered.is_empty(), "{:?}", requests.unanswered);
-    // Each client alone is good for a hundred a second; a transfer that waits for an edge costs seconds.
+    // A single client manages a hundred requests per second; a transfer that waits for an edge-triggered event costs seconds.
     assert!(requests.accepted.len() > 400, "{}", requests.accepted.len());
     wait_for_ends(&test_bed, &host, &requests.accepted);
     faults.shorten_transfers(0);
     faults.fail_network_calls(0);
-    // One that had to make room for others was handed back, and the rest was called once.
+    // A message that was evicted for others was handed back with a notice; each of the others was called once.
     for id in &requests.accepted {
         let was_handed_back = test_bed.discovery.notice_for(id).is_some();
         assert_eq!(
@@ -274,11 +278,11 @@
     }
 }
 
-/// What a moment's failures of system calls and writes do to a start: nothing that lasts.
+/// Temporary failures of system calls and writes during startup have no lasting effect.
 #[test]
 fn startup_succeeds_despite_transient_system_call_and_write_failures() {
     let host = Host::new(|_, _| ok());
-    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
+    let (mut test_bed, faults) = test_bed_with_faults(vec![entry("a", host.address, 1, "up")]);
     for seed in 0..8 {
         faults.seed(seed);
         faults.fail_network_calls(60);
@@ -288,7 +292,7 @@
         faults.fail_network_calls(0);
         faults.fail_file_writes(0);
         let id = test_bed.relay.as_mut().expect("spawned").try_wait();
-        assert_eq!(id.expect("waits"), None, "ended, seed {seed}");
+        assert_eq!(id.expect("waits"), None, "the relay exited, seed {seed}");
         test_bed.wait_until_ready();
         let (id, answer) = test_bed.enqueue("update", 1);
         assert_eq!(answer, "+OK");
@@ -297,11 +301,11 @@
     }
 }
 
-/// A message that is delivered while the disk takes nothing has its one end, also over a restart once the disk is well.
+/// A message that is delivered while writes to the disk fail has exactly one end, also after a restart once writes succeed.
 #[test]
 fn ends_that_could_not_be_journaled_hold_after_restart() {
     let host = Host::new(|_, _| HostResponse::Delayed(400, ok_text()));
-    let (mut test_bed, faults) = scene_with_faults(vec![entry("a", host.address, 1, "up")]);
+    let (mut test_bed, faults) = test_bed_with_faults(vec![entry("a", host.address, 1, "up")]);
     test_bed.start();
     let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
