--- a/crates/relay/src/discovery_client/error.rs
+++ b/crates/relay/src/discovery_client/error.rs
@@ -22,19 +22,19 @@
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
     /// The response does not have the expected status.
-    #[error("unexpected response status {0}")]
+    #[error("answered {0}")]
     UnexpectedStatus(StatusCode),
     /// The body of the response exceeds the size limit.
-    #[error("the response exceeds its size limit")]
+    #[error("length limit exceeded")]
     ResponseTooLong,
     /// Discovery closed the watch.
-    #[error("discovery closed the watch")]
+    #[error("it was closed")]
     WatchClosed,
     /// The address of discovery changed in the configuration.
-    #[error("the address of discovery changed")]
+    #[error("it moved")]
     AddressChanged,
     /// The event loop has stopped and accepts no events.
-    #[error("the event loop has stopped")]
+    #[error("channel closed")]
     EventLoopStopped,
     /// Discovery sent a list that cannot be used. Unlike after other errors, discovery assumes that the relay has received
     /// the contents of the list, so the relay has to request a full snapshot.
@@ -53,22 +53,22 @@
 #[derive(Debug, Error)]
 pub enum InvalidListError {
     /// The list is longer than [`MAX_LIST_BYTES`](super::list_decoder::MAX_LIST_BYTES).
-    #[error("the list exceeds its size limit")]
+    #[error("a list is too long")]
     TooLong,
     /// The list ended before its closing bracket.
-    #[error("the list is truncated")]
+    #[error("a list was cut off")]
     Truncated,
     /// The rest of the list did not arrive in time.
-    #[error("the rest of the list did not arrive in time")]
+    #[error("half of a list came")]
     Incomplete,
     /// The input is not a JSON object.
-    #[error("the line is not a list")]
+    #[error("a line is no list")]
     NotAList,
     /// The list is a JSON object that does not match the expected form.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// The list is older than the current one.
-    #[error("the received list {received} is older than the current list {current}")]
+    #[error("its list {received} is older than {current}")]
     Stale {
         /// Version of the list that was received.
         received: u64,
--- a/crates/relay/src/state_directory/handover_state.rs
+++ b/crates/relay/src/state_directory/handover_state.rs
@@ -79,7 +79,7 @@
         if bytes.len() > limit {
             return Err(io::Error::new(
                 io::ErrorKind::StorageFull,
-                "the hand-over snapshot exceeds its size limit",
+                "there is too much to hand over",
             ));
         }
         let mut used_rates = &self.used_rates[..];
