--- a/crates/relay/tests/admin/sessions.rs
+++ b/crates/relay/tests/admin/sessions.rs
@@ -29,7 +29,7 @@
     assert_eq!(client.line(), "-NOAUTH Authentication required.");
     client.send(&auth("acme", "tunafish"));
     assert!(client.line().starts_with("-WRONGPASS"));
-    // Pipelined: the name holds for what follows it.
+    // Pipelined: the authentication applies to the requests after it.
     client.send(
         &[
             auth("acme", "swordfish"),
@@ -43,26 +43,26 @@
         .line()
         .starts_with("-ERR the message is for another tenant"));
     wait_until("the call", || host.calls_of("a2").first().cloned());
-    // Another's message of the same name is another message.
+    // A message of another tenant with the same id is a separate message.
     let mut other = test_bed.client();
     other.send(&[auth("beta", "tunafish"), ask("beta", "a2")].concat());
     assert_eq!([other.line(), other.line()], ["+OK", "+OK"]);
     wait_until("its own call", || host.calls_of("a2").get(1).cloned());
-    // A secret that is taken away counts no more, on open connections too.
+    // A deleted secret becomes invalid, on open connections too.
     secret("acme", "next", "catfish");
     assert_eq!(api.change("DELETE", "acme/secrets/main").status, 200);
     client.send(&ask("acme", "a3"));
     assert_eq!(client.line(), "-NOAUTH Authentication required.");
     client.send(&[auth("acme", "catfish"), ask("acme", "a3")].concat());
     assert_eq!([client.line(), client.line()], ["+OK", "+OK"]);
-    // Who guesses is put off.
+    // A client is disconnected after three wrong secrets.
     let mut guesser = test_bed.client();
     for guess in ["1", "2", "3"] {
         guesser.send(&auth("acme", guess));
         assert!(guesser.line().starts_with("-WRONGPASS"), "{guess}");
     }
     assert_eq!(guesser.line(), "");
-    // What was pipelined behind the last guess is read with it, and so it is answered.
+    // Requests pipelined after the last guess are read with it and therefore answered.
     let mut hasty = test_bed.client();
     let guesses = auth("acme", "1").repeat(3);
     hasty.send(&[guesses, ask("acme", "a4"), frame(&[b"PING"])].concat());
--- a/crates/relay/tests/relay/client_connections.rs
+++ b/crates/relay/tests/relay/client_connections.rs
@@ -25,11 +25,11 @@
     ];
     for case in cases {
         let mut client = test_bed.client();
-        // It may be cut off before it has sent all.
+        // The relay may close the connection before all bytes are sent.
         drop(client.reader.get_mut().write_all(case));
         let answer = client.line();
         let shown = String::from_utf8_lossy(&case[..case.len().min(40)]).into_owned();
-        // Where bytes of ours are still unread, the close may overtake the answer.
+        // If the relay closes with unread input, the reset may overtake the reply.
         assert!(
             answer.starts_with("-ERR ") || (answer.is_empty() && case.len() > 4096),
             "{shown:?}: {answer}"
@@ -45,7 +45,7 @@
 fn unused_connections_do_not_block_new_clients() {
     let host = Host::new(|_, _| ok());
     let mut test_bed = TestBed::new(vec![up("a", &host, 1)]);
-    // Room for 20 clients.
+    // Leaves sockets for 20 clients.
     test_bed.config["limits"]["sockets"] = 64.into();
     test_bed.start();
     let (mut asked, mut silent) = (Vec::new(), Vec::new());
@@ -91,7 +91,7 @@
     let host = Host::new(|_, _| ok());
     let mut test_bed = TestBed::new(vec![up("a", &host, 1)]);
     test_bed.config["limits"]["sockets"] = 64.into();
-    // Requests stay open for a round.
+    // Requests stay pending for one round.
     test_bed.config["settings"]["tick"] = 1_000_000.into();
     test_bed.start();
     let mut first = test_bed.client();
@@ -157,7 +157,7 @@
     let host = Host::new(|_, _| ok());
     let test_bed = TestBed::started(vec![up("a", &host, 1)]);
     let mut client = test_bed.client();
-    // Far more than the relay has read when it finds the first byte wrong.
+    // Far more than the relay has read when it rejects the first byte.
     client.send(&vec![b'x'; 1 << 20]);
     assert_eq!(
         client.line(),
--- a/crates/relay/tests/relay/journal.rs
+++ b/crates/relay/tests/relay/journal.rs
@@ -1,4 +1,4 @@
-//! Kills, torn records and the bounds of the journal.
+//! The journal: kills, torn records and its size limit.
 
 use super::*;
 
@@ -22,7 +22,7 @@
     test_bed.kill();
     host.script(|_, _| ok());
     test_bed.start();
-    // Safe and keyed ones go again, under their names and keys.
+    // Safe and keyed messages are sent again, with their ids and keys.
     for id in &ids[..2] {
         let calls = wait_until("another call", || {
             Some(host.calls_of(id)).filter(|calls| calls.len() == 2)
@@ -32,7 +32,7 @@
             (&calls[1].key, &calls[1].body)
         );
     }
-    // A non-idempotent one must not, nor may its client be answered that resubmitting is safe.
+    // A non-idempotent message must not be sent again, nor may its client be told that resubmitting is safe.
     let notice = wait_until("the notice", || test_bed.discovery.notice_for(&ids[2]));
     assert_eq!(notice["status"], "undeliverable");
     assert_eq!(host.calls_of(&ids[2]).len(), 1);
@@ -55,7 +55,7 @@
     let (id, _) = test_bed.enqueue("event", 2);
     wait_until("the call", || host.calls_of(&id).first().cloned());
     test_bed.kill();
-    // The key is forgotten while the relay is down.
+    // The key expires while the relay is down.
     std::thread::sleep(Duration::from_millis(1600));
     test_bed.start();
     let notice = wait_until("the notice", || test_bed.discovery.notice_for(&id));
@@ -101,7 +101,7 @@
     host.script(|_, _| ok());
     test_bed.start();
     wait_until("another call", || host.calls_of(&id).get(1).cloned());
-    // What is written after the cut can be read again.
+    // Records written after the truncation can be read again.
     host.script(|_, _| HostResponse::Hang);
     let (second, _) = test_bed.enqueue("update", 1);
     wait_until("the call", || host.calls_of(&second).first().cloned());
--- a/crates/relay/tests/relay/retries.rs
+++ b/crates/relay/tests/relay/retries.rs
@@ -15,7 +15,7 @@
         wait_until("the call", || host.calls_of(id).first().cloned());
     }
     wait_until("another call", || host.calls_of(&first).get(1).cloned());
-    // Calls may cross the answer for a tenth of a second.
+    // Calls may still cross the response for 100 ms.
     let wait = start + Duration::from_millis(100)..start + Duration::from_millis(900);
     let early: Vec<_> = host
         .calls()
@@ -27,7 +27,7 @@
 
 #[test]
 fn connecting_call_is_held_back_by_retry_after_received_meanwhile() {
-    // A listener whose queue is full lets nobody in until it accepts.
+    // A listener whose backlog is full establishes no connection until it accepts one.
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: std::net::SocketAddr = bind().local_addr().expect("bound");
@@ -72,7 +72,7 @@
             stream.set_nonblocking(true).expect("set");
             std::io::Read::read(stream, &mut [0; 10]).unwrap_or(0)
         };
-        // Those that filled the queue come first and say nothing.
+        // The connections that filled the backlog are accepted first and send nothing.
         (
             reached.len(),
             reached.iter_mut().map(&mut read).sum::<usize>(),
@@ -88,7 +88,7 @@
 
 #[test]
 fn unsafe_message_is_retried_only_if_it_cannot_have_executed() {
-    // Nobody listens there: the call never began.
+    // Nothing listens there, so the call is never sent.
     let gone = bind().local_addr().expect("bound");
     let host = Host::new(|_, _| ok());
     let mut test_bed = TestBed::started(vec![entry("a", gone, 1, "up"), up("b", &host, 1)]);
@@ -97,7 +97,7 @@
         host.calls_of(&id).first().cloned()
     });
 
-    // Broken after the last byte, an error, and no HTTP at all: each may have run.
+    // A close after the last byte, an error and a malformed response: each call may have executed.
     let garbled = HostResponse::TextThenClose("what?\r\n\r\n".into());
     let odd = [
         HostResponse::Close,
@@ -184,7 +184,7 @@
 fn broken_idle_connections_do_not_suspend_their_destination() {
     let host = Host::new(|_, _| HostResponse::Delayed(100, ok_text()));
     let mut test_bed = TestBed::started(vec![up("a", &host, 1)]);
-    // Four at once, so that four connections are kept.
+    // Four concurrent calls, so that four idle connections remain.
     let mut client = test_bed.client();
     for number in 0..4 {
         client.send(&request(
@@ -199,7 +199,7 @@
         (host.calls().len() == 4).then_some(())
     });
     std::thread::sleep(Duration::from_millis(300));
-    // From here on each of them breaks under its next call, as if something between had forgotten it.
+    // From here on each of them breaks at its next call, as if a middlebox had dropped its state.
     host.script(|call, _| {
         if call.connection < 4 {
             HostResponse::Close
@@ -213,7 +213,7 @@
         Some(host.calls_of(&id))
             .filter(|calls| calls.last().is_some_and(|call| call.connection >= 4))
     });
-    // The others that stood as long are given up with it.
+    // The other connections that were idle as long are discarded with it.
     assert_eq!(calls.len(), 2, "{calls:?}");
 }
 
@@ -297,12 +297,12 @@
             b"spoilt" => HostResponse::Parts(vec![(0, answer.clone()), (120_000, String::new())]),
             _ => ok(),
         });
-        // Its time is far longer than this test waits.
+        // The deadline is far longer than this test waits.
         let (id, answer) = test_bed.enqueue_body("payout", block, 600_000, b"spoilt");
         assert_eq!(answer, "+OK");
         wait_until("the call", || host.calls_of(&id).first().cloned());
         if delivered {
-            // It is over for the relay, so the process ends without delay and owes nothing at the next start.
+            // The message has ended, so the process exits without delay and restores nothing at the next start.
             test_bed.terminate();
             assert!(test_bed.wait_for_exit().success());
             test_bed.start();
--- a/crates/relay/tests/soak.rs
+++ b/crates/relay/tests/soak.rs
@@ -28,7 +28,7 @@
 const KILL_AFTER_STOP: Duration = Duration::from_millis(3700);
 /// Time between SIGKILL and the next start.
 const RESTART_AFTER_KILL: Duration = Duration::from_millis(600);
-/// What a client writes in the last moment crosses the kill, which is not the relay's.
+/// Requests written this shortly before SIGKILL cross it; the relay cannot answer them.
 const CROSSES_KILL: Duration = Duration::from_millis(50);
 /// How long a message may be delivered.
 const TIME_TO_LIVE: Duration = Duration::from_secs(6);
@@ -154,7 +154,7 @@
         self.calls(request) > 0 || self.test_bed.discovery.notice_for(&request.id).is_some()
     }
 
-    /// What broke the rules.
+    /// Violations of the protocol rules.
     fn violations(&self) -> Vec<String> {
         let log = self.log.lock().unwrap();
         let mut violations = Vec::new();
