--- a/crates/relay/tests/configuration_errors.rs
+++ b/crates/relay/tests/configuration_errors.rs
@@ -1,4 +1,4 @@
-//! What the program says to a configuration that cannot be used: every message of its checks, word for word.
+//! Error messages for invalid configurations, compared word for word with a golden file.
 //!
 //! Lines of a case change a good configuration: `set POINTER JSON`, `remove POINTER`, `text TEXT` (the whole file),
 //! `variable NAME VALUE`, `no-variable NAME`, `no-file`.
--- a/crates/relay/tests/customers.rs
+++ b/crates/relay/tests/customers.rs
@@ -1,10 +1,10 @@
-//! Settings of other customers: what one of them has and another one has not.
+//! Settings that differ between customers: with and without tenants.
 
 mod support;
 
 use support::*;
 
-/// What a client without a tenant sends.
+/// A request without a tenant.
 fn untold(id: &str, class: &str, block: u16) -> Vec<u8> {
     let list = format!("c={class},d=20000,dest={block}");
     frame(&[
@@ -52,7 +52,7 @@
     }
 }
 
-/// Where there are tenants, a message is one of theirs.
+/// If tenants are configured, each message must name one of them.
 #[test]
 fn message_without_tenant_is_rejected_if_tenants_are_configured() {
     let host = Host::new(|_, _| ok());
--- a/crates/relay/tests/operator_file_errors.rs
+++ b/crates/relay/tests/operator_file_errors.rs
@@ -1,4 +1,4 @@
-//! What the program says to an operator file that cannot be used: every message of its checks, word for word.
+//! Error messages for invalid operator files, compared word for word with a golden file.
 //!
 //! Lines of a case are the file's, except those that begin with `%`: `%none` (there is no file), `%folder` (a folder of
 //! that name), `%bytes HEX` (these bytes), and `%repeat COUNT TEXT` (the text that many times, with `{n}` for the number of
--- a/crates/relay/tests/startup_errors/mod.rs
+++ b/crates/relay/tests/startup_errors/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::support::TEST_TIMEOUT;
 
-/// One input and what the program says to it.
+/// One input and the expected output of the program.
 pub struct Case {
     pub name: String,
     pub input: Vec<String>,
@@ -74,7 +74,7 @@
     format!("exit {code}\n{line}")
 }
 
-/// Compares every case with what the program says now, and names all that differ.
+/// Compares every case with the program's current output, and reports all that differ.
 pub fn check(file: &str, answer: impl Fn(&Case) -> String) {
     let cases = cases(file);
     let differ: Vec<String> = cases
--- a/crates/relay/tests/undeliverable/batches_and_rules.rs
+++ b/crates/relay/tests/undeliverable/batches_and_rules.rs
@@ -56,7 +56,7 @@
             .body
     };
     assert_eq!(order("night", "run").status, 200);
-    // The host still fails: three failures stop it.
+    // The host still fails: three failures stop the batch.
     let stopped = wait_until("the stop", || {
         Some(state("night")).filter(|batch| batch["state"] == "stopped")
     });
@@ -77,7 +77,7 @@
         Some(state("night")).filter(|batch| batch["state"] == "done")
     });
     assert_eq!(order("night", "run").status, 409);
-    // Those that failed in the batch are open still, and another batch takes them.
+    // Records that failed in the batch are still open, and another batch resends them.
     assert!(plan("rest", 5).status == 201 && order("rest", "run").status == 200);
     wait_until("the rest", || {
         Some(state("rest")).filter(|batch| batch["state"] == "done")
@@ -107,7 +107,7 @@
             ok()
         }
     });
-    // Live messages show that it has recovered.
+    // Live messages show that the host has recovered.
     wait_until("all to be delivered", || {
         bed.test_bed.enqueue("update", 1);
         thread::sleep(Duration::from_millis(50));
--- a/crates/relay/tests/undeliverable/main.rs
+++ b/crates/relay/tests/undeliverable/main.rs
@@ -1,4 +1,4 @@
-//! Messages that were given up: kept, shown, and sent again without a second effect.
+//! Undeliverable messages: they are recorded, shown, and sent again without a second effect.
 
 #[path = "../api/mod.rs"]
 mod api;
@@ -21,13 +21,13 @@
 use serde_json::{json, Value};
 use support::*;
 
-/// A partner that can be asked whether a message took effect.
+/// A partner that answers queries whether a message took effect.
 #[derive(Clone)]
 struct Ledger {
     address: SocketAddr,
     /// How often each message was applied.
     applied: Arc<Mutex<BTreeMap<String, u32>>>,
-    /// What is answered in place of the truth.
+    /// Response body to send in place of the true status.
     forced_response: Arc<Mutex<Option<String>>>,
     queries: Arc<Mutex<Vec<String>>>,
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// A relay that keeps what is given up, with the API of its administrator.
+/// A relay that records undeliverable messages, with a client of its administration API.
 struct UndeliverableTestBed {
     test_bed: TestBed,
     api: Api,
@@ -145,7 +145,7 @@
         Api::new(&self.address, Some(&token(name)))
     }
 
-    /// Hands messages in and waits until all are kept; gives their records by name.
+    /// Submits messages and waits until all are recorded; returns all records by message id.
     fn given_up(&mut self, class: &str, count: usize) -> BTreeMap<String, Value> {
         let ids: Vec<String> = (0..count)
             .map(|_| {
@@ -160,7 +160,7 @@
         })
     }
 
-    /// All records by name, over all pages.
+    /// All records by message id, over all pages.
     fn all(&self, filter: &str) -> BTreeMap<String, Value> {
         let (mut all, mut cursor) = (BTreeMap::new(), String::new());
         loop {
@@ -197,7 +197,7 @@
 }
 
 fn act_as(api: &Api, id: &Value, act: &str, tag: &str) -> ApiResponse {
-    // A record rests for a second after its message was given up.
+    // A record settles for a second after its message became undeliverable.
     wait_until("an answer after the rest", || {
         let reply = api.send(
             "POST",
--- a/crates/relay/tests/undeliverable/resends.rs
+++ b/crates/relay/tests/undeliverable/resends.rs
@@ -63,7 +63,7 @@
     thread::sleep(Duration::from_millis(300));
     let all = bed.given_up("payout", 1);
     let id = &all.values().next().expect("one")["id"];
-    // Unknown, no JSON, late.
+    // An unknown status, no JSON, a list, and no response in time.
     for lie in [
         r#"{"status":"queued"}"#,
         "yes",
@@ -93,7 +93,7 @@
     let refused: Vec<(u16, String)> = asked.filter(|(status, _)| *status != 202).collect();
     assert_eq!(refused, [(429, "too-much-under-way".to_string())]);
     thread::sleep(Duration::from_millis(2300));
-    // It changes its mind: not applied, then applied. Two operators have to agree.
+    // The partner contradicts itself: not applied, then applied. Two operators have to agree.
     for (lie, needs) in [
         (r#"{"status":"absent"}"#, Value::Null),
         (r#"{"status":"done"}"#, json!("needs-agreement")),
@@ -126,12 +126,12 @@
     let ledger = Ledger::new();
     let host = Host::new(|_, _| status("500 Broken"));
     let mut bed = UndeliverableTestBed::new(up(&host), &ledger, "at_once = 64", 100);
-    // Given up without a call that may have run: its time is up.
+    // The message fails at its deadline, without a call that may have executed.
     let (name, answer) = bed.test_bed.enqueue_body("update", 1, 300, b"body");
     assert_eq!(answer, "+OK");
     let record = wait_until("the record", || bed.all("").remove(&name));
     let (id, tag) = (&record["id"], format!("\"{}\"", record["version"]));
-    // A claim keeps the other one out.
+    // A claim excludes the other operator.
     assert_eq!(bed.act(id, "claim").status, 200);
     assert_eq!(
         problem(&act_as(&bed.as_of("second"), id, "resend", "*")),
@@ -166,7 +166,7 @@
     );
     bed.in_state(id, "delivered");
     assert_eq!(host.calls_of(&name).len(), before + 1);
-    // No second final answer.
+    // There is no second final notice.
     let told = bed
         .test_bed
         .discovery
@@ -205,7 +205,7 @@
             Some(resends as u64)
         );
         assert_eq!(record["ended_at"], first["ended_at"]);
-        // The word was given before the last attempt.
+        // The attestation was given before the last attempt.
         assert_eq!(
             record["needs"],
             if resends == 2 {
--- a/crates/relay/tests/unstarted_attempts.rs
+++ b/crates/relay/tests/unstarted_attempts.rs
@@ -15,11 +15,11 @@
 const TIME_TO_LIVE_MS: u64 = 15_000;
 /// More than the connections that come up at once, so that none of them is established at the relay alone.
 const BACKLOG: i32 = 32;
-/// A connection that is not up after this is in the backlog of nobody.
+/// A connection that is not established after this time is not in the backlog.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 /// When the process is killed, in milliseconds after the last payout was accepted.
 const KILLS_WHILE_CONNECTING_MS: [u64; 10] = [0, 5, 20, 50, 100, 200, 400, 600, 800, 950];
-/// The same where the connections come up after about a second, when their first packets are repeated.
+/// Kill times for connections that are established after about a second, when their first packets are retransmitted.
 const KILLS_AROUND_THE_CONNECTION_MS: [u64; 10] = [
     900, 960, 990, 1_000, 1_010, 1_020, 1_030, 1_050, 1_100, 1_200,
 ];
@@ -91,10 +91,10 @@
     }
 }
 
-/// Runs a test for each moment, side by side.
+/// Runs a test for each kill time, concurrently.
 fn for_each_kill(moments_ms: [u64; 10], test: fn(Duration)) {
     let tests = moments_ms.map(|moment| thread::spawn(move || test(Duration::from_millis(moment))));
-    // All have to end before the process does, as each ends its relay.
+    // All tests must end before this process does, as each of them kills its relay.
     let results = tests.map(thread::JoinHandle::join);
     assert!(results.iter().all(Result::is_ok), "it fails at some moment");
 }
@@ -111,7 +111,7 @@
     });
 }
 
-/// The same where the connections come up late, and the kill falls around that moment.
+/// The connections are established late, and the kill falls around that time.
 #[test]
 fn payouts_with_late_connections_are_delivered_once_after_kill() {
     for_each_kill(KILLS_AROUND_THE_CONNECTION_MS, |moment| {
