--- a/crates/relay/tests/startup_errors/mod.rs
+++ b/crates/relay/tests/startup_errors/mod.rs
@@ -8,9 +8,9 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-use crate::scene::LONG;
+use crate::support::TEST_TIMEOUT;
 
-/// One input and what the program says to it.
+/// One input and the expected output of the program.
 pub struct Case {
     pub name: String,
     pub input: Vec<String>,
@@ -55,7 +55,7 @@
         if let Some(status) = process.try_wait().expect("a status") {
             break status;
         }
-        if start.elapsed() > LONG {
+        if start.elapsed() > TEST_TIMEOUT {
             process.kill().expect("killed");
             process.wait().expect("ended");
             return "did not end".into();
@@ -74,7 +74,7 @@
     format!("exit {code}\n{line}")
 }
 
-/// Compares every case with what the program says now, and names all that differ.
+/// Compares every case with the program's current output, and reports all that differ.
 pub fn check(file: &str, answer: impl Fn(&Case) -> String) {
     let cases = cases(file);
     let differ: Vec<String> = cases
