--- a/crates/relay/src/cached_state.rs
+++ b/crates/relay/src/cached_state.rs
@@ -237,7 +237,7 @@
         if text.len() as f64 > limit as f64 * MAX_DISK_SHARE {
             return Err(io::Error::new(
                 io::ErrorKind::StorageFull,
-                "the list of hosts is too long to keep",
+                "the host list exceeds its share of the disk limit",
             ));
         }
         let path = folder.join(STATE_FILE);
--- a/crates/relay/src/config/error.rs
+++ b/crates/relay/src/config/error.rs
@@ -23,7 +23,7 @@
         source: io::Error,
     },
     /// The file is not valid JSON, lacks a key, or has a key of the wrong type.
-    #[error("{path} is no usable configuration: {source}")]
+    #[error("{path} is not a valid configuration: {source}")]
     Malformed {
         /// Path of the configuration file.
         path: String,
--- a/crates/relay/src/discovery_client/error.rs
+++ b/crates/relay/src/discovery_client/error.rs
@@ -22,19 +22,19 @@
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
     /// The response does not have the expected status.
-    #[error("answered {0}")]
+    #[error("unexpected response status {0}")]
     UnexpectedStatus(StatusCode),
     /// The body of the response exceeds the size limit.
-    #[error("length limit exceeded")]
+    #[error("the response exceeds its size limit")]
     ResponseTooLong,
     /// Discovery closed the watch.
-    #[error("it was closed")]
+    #[error("discovery closed the watch")]
     WatchClosed,
     /// The address of discovery changed in the configuration.
-    #[error("it moved")]
+    #[error("the address of discovery changed")]
     AddressChanged,
     /// The event loop has stopped and accepts no events.
-    #[error("channel closed")]
+    #[error("the event loop has stopped")]
     EventLoopStopped,
     /// Discovery sent a list that cannot be used. Unlike after other errors, discovery assumes that the relay has received
     /// the contents of the list, so the relay has to request a full snapshot.
@@ -53,22 +53,22 @@
 #[derive(Debug, Error)]
 pub enum InvalidListError {
     /// The list is longer than [`MAX_LIST_BYTES`](super::list_decoder::MAX_LIST_BYTES).
-    #[error("a list is too long")]
+    #[error("the list exceeds its size limit")]
     TooLong,
     /// The list ended before its closing bracket.
-    #[error("a list was cut off")]
+    #[error("the list is truncated")]
     Truncated,
     /// The rest of the list did not arrive in time.
-    #[error("half of a list came")]
+    #[error("the rest of the list did not arrive in time")]
     Incomplete,
     /// The input is not a JSON object.
-    #[error("a line is no list")]
+    #[error("the line is not a list")]
     NotAList,
     /// The list is a JSON object that does not match the expected form.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// The list is older than the current one.
-    #[error("its list {received} is older than {current}")]
+    #[error("the received list {received} is older than the current list {current}")]
     Stale {
         /// Version of the list that was received.
         received: u64,
--- a/crates/relay/src/event_loop/error.rs
+++ b/crates/relay/src/event_loop/error.rs
@@ -54,7 +54,7 @@
     #[error(transparent)]
     Configuration(#[from] ConfigError),
     /// A key of the configuration in force is missing, so the file may be incomplete.
-    #[error("the new one lacks {key}, so it may be half of a file")]
+    #[error("the new configuration lacks {key}; the file may be incomplete")]
     MissingKey {
         /// Path of the key.
         key: String,
--- a/crates/relay/src/journal/mod.rs
+++ b/crates/relay/src/journal/mod.rs
@@ -41,7 +41,7 @@
 const MAX_HOST_NAME_CHARS: usize = 64;
 
 /// Error text for messages and attempts that are refused while no space is reserved for the ends of messages.
-const NO_SPACE_FOR_ENDS: &str = "no room for the ends of messages";
+const NO_SPACE_FOR_ENDS: &str = "no disk space is reserved for the ends of messages";
 
 /// The journal of one state directory. A single process has it open.
 pub struct Journal<R: Runtime> {
@@ -322,7 +322,9 @@
     fn check_capacity(&self, message: &AcceptedMessage) -> io::Result<()> {
         let available = self.disk_limit * PENDING_SHARE - self.index.size() as f64;
         if message.journal_size() as f64 > available {
-            return Err(storage_full("the journal's part of the disk is full"));
+            return Err(storage_full(
+                "pending messages have reached their share of the disk limit",
+            ));
         }
         Ok(())
     }
@@ -398,7 +400,9 @@
         let snapshot = self.index.encode_snapshot()?;
         let both = self.file.length() + snapshot.len() as u64;
         if both > self.max_length() as u64 {
-            return Err(storage_full("the journal cannot be written anew"));
+            return Err(storage_full(
+                "no space for a new journal file beside the old one",
+            ));
         }
         self.replace_file(&snapshot)
     }
@@ -413,7 +417,7 @@
     fn compact(&mut self) -> io::Result<()> {
         let snapshot = self.index.encode_snapshot()?;
         if snapshot.len() as u64 >= self.file.length() {
-            return Err(storage_full("all that the journal holds is owed"));
+            return Err(storage_full("compaction would not shorten the journal"));
         }
         self.replace_file(&snapshot)
     }
--- a/crates/relay/src/journal/record_framing.rs
+++ b/crates/relay/src/journal/record_framing.rs
@@ -41,7 +41,7 @@
         Ok(value) => Ok(Some((value, HEADER_SIZE + payload.len()))),
         Err(_) => Err(io::Error::new(
             io::ErrorKind::InvalidData,
-            "a newer version of the program wrote it",
+            "the record was written by a newer version of the program",
         )),
     }
 }
--- a/crates/relay/src/operator_config/error.rs
+++ b/crates/relay/src/operator_config/error.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Error)]
 pub enum InvalidValue {
     /// A number is out of its range.
-    #[error("tenants.{key} is not from {min} to {max}")]
+    #[error("tenants.{key} must be from {min} to {max}")]
     OutOfRange {
         /// Name of the key in the section `tenants`.
         key: &'static str,
--- a/crates/relay/src/state_directory/error.rs
+++ b/crates/relay/src/state_directory/error.rs
@@ -24,6 +24,6 @@
         directory: PathBuf,
     },
     /// Another process already waits for the owner to hand over.
-    #[error("another process is about to take over already")]
+    #[error("another process is already waiting to take over")]
     SuccessorExists,
 }
--- a/crates/relay/src/state_directory/error/tests.rs
+++ b/crates/relay/src/state_directory/error/tests.rs
@@ -23,7 +23,7 @@
         ),
         (
             OwnershipError::SuccessorExists,
-            "another process is about to take over already",
+            "another process is already waiting to take over",
         ),
     ];
     for (error, message) in cases {
--- a/crates/relay/src/state_directory/handover_state.rs
+++ b/crates/relay/src/state_directory/handover_state.rs
@@ -79,7 +79,7 @@
         if bytes.len() > limit {
             return Err(io::Error::new(
                 io::ErrorKind::StorageFull,
-                "there is too much to hand over",
+                "the hand-over snapshot exceeds its size limit",
             ));
         }
         let mut used_rates = &self.used_rates[..];
--- a/crates/relay/src/state_directory/handover_state/tests.rs
+++ b/crates/relay/src/state_directory/handover_state/tests.rs
@@ -56,7 +56,10 @@
 fn snapshot_that_cannot_be_shortened_is_an_error() {
     let error = state(10, 10).encode_bounded(0).expect_err("no space");
     assert_eq!(error.kind(), ErrorKind::StorageFull);
-    assert_eq!(error.to_string(), "there is too much to hand over");
+    assert_eq!(
+        error.to_string(),
+        "the hand-over snapshot exceeds its size limit"
+    );
 }
 
 #[test]
--- a/crates/relay/src/state_directory/owner.rs
+++ b/crates/relay/src/state_directory/owner.rs
@@ -281,7 +281,7 @@
         let departing_lock = self.directory.lock(DEPARTING_LOCK)?.ok_or_else(|| {
             io::Error::new(
                 io::ErrorKind::WouldBlock,
-                "a process that handed over is still there",
+                "an earlier departing process still runs",
             )
         })?;
         let snapshot = state.encode_bounded(limit)?;
--- a/crates/relay/tests/operations.rs
+++ b/crates/relay/tests/operations.rs
@@ -614,7 +614,7 @@
     assert!(
         test_bed
             .log()
-            .contains("another process is about to take over already"),
+            .contains("another process is already waiting to take over"),
         "{}",
         test_bed.log()
     );
