--- a/crates/simulator/src/vast.rs
+++ b/crates/simulator/src/vast.rs
@@ -147,7 +147,7 @@
             warm_up_initial_share: 0.2,
             warm_up_time: Duration::from_secs(8),
             overload_window: Duration::from_millis(1_500),
-            max_in_flight: max_in_flight,
+            max_in_flight,
             max_queued_messages: max_queued,
             max_disk_bytes: 1_000_000,
             max_queued_bytes: 300_000,
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -314,9 +314,8 @@
                 .hosted
                 .as_ref()
                 .filter(|hosted| hosted.requires_auth);
-            let credentials = hosted.map(|hosted| hosted.tenant_of(number));
-            let credentials =
-                credentials.map(|tenant| (tenant.name.clone(), tenant.secret.clone()));
+            let tenant = hosted.map(|hosted| hosted.tenant_of(number));
+            let credentials = tenant.map(|tenant| (tenant.name.clone(), tenant.secret.clone()));
             let client = Client::new(
                 self.context.clone(),
                 relays.clone(),
