--- a/crates/relay/tests/configuration_errors.rs
+++ b/crates/relay/tests/configuration_errors.rs
@@ -1,6 +1,6 @@
 //! Error messages for invalid configurations, compared word for word with a golden file.
 //!
-//! Lines of a case change a good configuration: `set POINTER JSON`, `remove POINTER`, `text TEXT` (the whole file),
+//! The lines of a case change a valid configuration: `set POINTER JSON`, `remove POINTER`, `text TEXT` (the whole file),
 //! `variable NAME VALUE`, `no-variable NAME`, `no-file`.
 
 mod startup_errors;
@@ -15,7 +15,7 @@
 
 const FILE: &str = "config.json";
 
-/// Sets a value, also under a key that is not there.
+/// Sets a value, and adds the key if it is missing.
 fn set(config: &mut Value, pointer: &str, value: Value) {
     let (parent, key) = pointer.rsplit_once('/').expect("a pointer");
     match config.pointer_mut(parent).expect("a parent") {
@@ -53,7 +53,7 @@
             "variable" => drop(command.env(first, second)),
             "no-variable" => drop(command.env_remove(first)),
             "no-file" => is_there = false,
-            _ => panic!("{line} says nothing"),
+            _ => panic!("unknown instruction: {line}"),
         }
     }
     if is_there {
--- a/crates/relay/tests/customers.rs
+++ b/crates/relay/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Settings that differ between customers: with and without tenants.
+//! Settings with and without tenants, as customers use both.
 
 mod support;
 
@@ -16,7 +16,7 @@
     ])
 }
 
-/// Settings may name no tenants; then clients name none.
+/// If no tenants are configured, requests name none.
 #[test]
 fn messages_without_configured_tenants_are_delivered_and_survive_restart() {
     for listed in [true, false] {
@@ -38,10 +38,12 @@
         }
         host.script(|_, _| status("503 Busy"));
         let mut client = test_bed.client();
-        // Safe, as the process may be killed before it has read the refusal.
+        // The message is of a safe class, as the relay may be killed before it reads the rejection.
         client.send(&untold("three", "update", 1));
         assert_eq!(client.line(), "+OK");
-        wait_until("a refused call", || host.calls_of("three").first().cloned());
+        wait_until("a rejected call", || {
+            host.calls_of("three").first().cloned()
+        });
         test_bed.kill();
         host.script(|_, _| ok());
         let before = host.calls_of("three").len();
--- a/crates/relay/tests/log_events.rs
+++ b/crates/relay/tests/log_events.rs
@@ -1,5 +1,5 @@
-//! Every event that the sources log stands in the table of events in `docs/operations.md`, and every event of the table is
-//! logged somewhere.
+//! Every event that the sources log is listed in the table of events in `docs/operations.md`, and every event of the table
+//! is logged somewhere.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -7,7 +7,7 @@
 
 /// Packages whose sources write the relay's log.
 const LOGGING_PACKAGES: [&str; 2] = ["admin", "relay"];
-/// Text of the call log's events that is filled in where they are written, with the events that it stands for.
+/// Events of the call log, whose log line in the sources has the placeholder `{event}`.
 const CALL_LOG_EVENTS: [&str; 5] = [
     "message_arrived",
     "message_restored",
@@ -31,7 +31,7 @@
     }
 }
 
-/// The text of each `log!` call in a source: what stands between the first pair of quotation marks.
+/// The text of each `log!` call in a source: the text between the first pair of quotation marks.
 fn logged_texts(source: &str) -> Vec<&str> {
     source
         .split("log!(")
@@ -47,7 +47,7 @@
             .all(|letter| letter.is_ascii_lowercase() || letter.is_ascii_digit() || letter == '_')
 }
 
-/// `component: event` of a log line, which has nothing but keys with values behind them.
+/// Returns `component: event` of a log line, and checks that only `key=value` fields follow.
 fn event_of(text: &str) -> String {
     let (component, rest) = text.split_once(": ").unwrap_or_else(|| panic!("{text}"));
     let mut words = rest.split_whitespace();
@@ -79,7 +79,7 @@
         .collect();
     assert!(
         events.remove("call_log: {event}"),
-        "the call log names its events"
+        "the call log has no line with {{event}}"
     );
     events.extend(CALL_LOG_EVENTS.map(|event| format!("call_log: {event}")));
     events
@@ -100,7 +100,7 @@
         .map(|row| row.split_whitespace().take(2).collect::<Vec<_>>().join(" "))
         .collect();
     let distinct: BTreeSet<String> = events.iter().cloned().collect();
-    assert_eq!(distinct.len(), events.len(), "an event has one row");
+    assert_eq!(distinct.len(), events.len(), "an event has several rows");
     distinct
 }
 
@@ -110,6 +110,6 @@
     let missing: Vec<&String> = logged.difference(&documented).collect();
     let stale: Vec<&String> = documented.difference(&logged).collect();
     assert!(missing.is_empty(), "not in docs/operations.md: {missing:?}");
-    assert!(stale.is_empty(), "logged nowhere: {stale:?}");
+    assert!(stale.is_empty(), "documented but not logged: {stale:?}");
     assert!(logged.len() > 40, "{}", logged.len());
 }
--- a/crates/relay/tests/operator_file_errors.rs
+++ b/crates/relay/tests/operator_file_errors.rs
@@ -1,8 +1,8 @@
 //! Error messages for invalid operator files, compared word for word with a golden file.
 //!
-//! Lines of a case are the file's, except those that begin with `%`: `%none` (there is no file), `%folder` (a folder of
-//! that name), `%bytes HEX` (these bytes), and `%repeat COUNT TEXT` (the text that many times, with `{n}` for the number of
-//! each and `\n` for the end of a line).
+//! The lines of a case are the lines of the file, except those that begin with `%`: `%none` (there is no file),
+//! `%folder` (a folder of that name), `%bytes HEX` (these bytes), and `%repeat COUNT TEXT` (the text COUNT times, where
+//! `{n}` is the number of the repetition and `\n` the end of a line).
 
 mod startup_errors;
 mod support;
--- a/crates/relay/tests/platform.rs
+++ b/crates/relay/tests/platform.rs
@@ -1,5 +1,5 @@
-//! What the platform asks of the program: the deploy file is true, nothing that it refuses is called, and the least
-//! configuration starts.
+//! Requirements of the platform: the deploy files match the sources, the relay makes no system call that the platform
+//! refuses, and a minimal configuration starts.
 
 mod support;
 
@@ -31,7 +31,7 @@
         .collect()
 }
 
-/// The packages of this workspace that the relay is made of, by what their manifests say.
+/// The relay and the packages of this workspace that it depends on, according to their manifests.
 fn packages() -> BTreeSet<String> {
     let (mut found, mut to_do) = (BTreeSet::new(), vec!["relay".to_string()]);
     while let Some(package) = to_do.pop() {
@@ -49,7 +49,7 @@
     found
 }
 
-/// Files of the policy that decide nothing: data, tables, log text, and arithmetic that others use.
+/// Policy files without decisions: data, tables, log text, and arithmetic that other files use.
 const FILES_WITHOUT_DECISIONS: [&str; 14] = [
     "call.rs",
     "diagnostics.rs",
@@ -67,7 +67,7 @@
     "token_bucket.rs",
 ];
 
-/// All files of the policy beside its types, but for those that decide nothing.
+/// All source files of the policy except its types and the files without decisions.
 fn deciding_files() -> BTreeSet<String> {
     let folder = root().join("crates/policy/src");
     let names = std::fs::read_dir(folder).expect("a folder").map(|entry| {
@@ -142,7 +142,7 @@
         for word in refused {
             assert!(!text.contains(word), "{} has {word}", file.display());
         }
-        // Unix sockets are the administration's alone, which the deploy file does not switch on.
+        // Only the administration uses Unix sockets, and the deploy file does not enable it.
         allowed += u32::from(text.contains("UnixListener"));
         let unsafe_calls = text
             .lines()
@@ -151,7 +151,7 @@
         let may = usize::from(file.ends_with("runtime/src/inherited_listener.rs"));
         assert_eq!(unsafe_calls, may, "{}", file.display());
     }
-    assert_eq!(allowed, 1, "one place knows Unix sockets");
+    assert_eq!(allowed, 1, "exactly one file uses Unix sockets");
     let lock: toml::Table = read("Cargo.lock").parse().expect("TOML");
     let names = lock["package"]
         .as_array()
@@ -164,7 +164,7 @@
     }
 }
 
-/// No optional key of the file, and none of those in the settings that mean zero where they are absent.
+/// The configuration has no optional key, and none of the settings that default to zero.
 #[test]
 fn minimal_configuration_starts_and_serves() {
     let host = Host::new(|_, _| ok());
@@ -184,8 +184,8 @@
         "limits": {"sockets": 128, "disk_mb": 1}, "known": known, "settings": least});
     test_bed.start();
     assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
-    wait_until("its delivery", || (!host.calls().is_empty()).then_some(()));
-    // Without each of these keys it does not start, and says which.
+    wait_until("the delivery", || (!host.calls().is_empty()).then_some(()));
+    // Without any one of these keys, the relay fails to start and names the missing key.
     let keys = [
         "/settings/limits/maxAttempts",
         "/settings/services",
--- a/crates/relay/tests/relay/client_connections.rs
+++ b/crates/relay/tests/relay/client_connections.rs
@@ -76,8 +76,9 @@
     let mut alone = ask(&test_bed);
     std::thread::sleep(Duration::from_millis(4500));
     alone.send(&frame(&[b"PING"]));
-    assert_eq!(alone.line(), "+PONG", "one alone is kept");
-    // More than a third of the 20 places: clients that may hold no more of their own would be stuck.
+    assert_eq!(alone.line(), "+PONG", "an idle connection must stay open");
+    // Ten connections are more than a third of the 20 for clients. If none were closed, clients that are limited to
+    // this many connections would be stuck.
     let start = Instant::now();
     let many: Vec<Client> = (0..10).map(|_| ask(&test_bed)).collect();
     let closed = many
@@ -91,7 +92,7 @@
     let host = Host::new(|_, _| ok());
     let mut test_bed = TestBed::new(vec![up("a", &host, 1)]);
     test_bed.config["limits"]["sockets"] = 64.into();
-    // Requests stay pending for one round.
+    // Requests stay pending for one tick (1 s).
     test_bed.config["settings"]["tick"] = 1_000_000.into();
     test_bed.start();
     let mut first = test_bed.client();
@@ -118,7 +119,7 @@
     let (id, answer) = test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
     let mut client = test_bed.client();
-    // It ends once its call has been answered; the id is submitted again before and after that.
+    // The message ends once its call has been answered; its id is submitted again before and after that.
     wait_until("the call", || host.calls_of(&id).first().cloned());
     for _ in 0..50 {
         client.send(&request(&id, "payout", 1, 20_000, b"other"));
@@ -137,11 +138,11 @@
     let mut clients: Vec<Client> = (0..4).map(|_| test_bed.client()).collect();
     clients[1].send(&text[..1]);
     clients[2].send(&text[..text.len() - 1]);
-    // A whole request before it changes nothing.
+    // A complete request before the partial one makes no difference.
     clients[3].send(&frame(&[b"PING"]));
     clients[3].send(&text[..40]);
     assert_eq!(clients[3].line(), "+PONG");
-    assert_eq!(clients[0].line(), "", "closed with nothing to say");
+    assert_eq!(clients[0].line(), "", "must be closed without a reply");
     for client in &mut clients[1..] {
         assert_eq!(
             client.line(),
@@ -168,7 +169,7 @@
         client
             .reader
             .read_to_end(&mut rest)
-            .expect("an end and no reset"),
+            .expect("end of stream, not a reset"),
         0
     );
 }
--- a/crates/relay/tests/relay/configuration.rs
+++ b/crates/relay/tests/relay/configuration.rs
@@ -16,7 +16,7 @@
         ("/known/hosts", serde_json::json!([{"host": "a"}])),
     ] {
         let mut config = test_bed.config.clone();
-        *config.pointer_mut(place).expect("is there") = value;
+        *config.pointer_mut(place).expect("an existing key") = value;
         bad.push(config);
     }
     for config in bad {
--- a/crates/relay/tests/relay/discovery.rs
+++ b/crates/relay/tests/relay/discovery.rs
@@ -40,7 +40,7 @@
             up("c", &new, 2),
         ],
     );
-    wait_until("the change", || {
+    wait_until("the new host list", || {
         (test_bed.enqueue("update", 2).1 == "+OK").then_some(())
     });
     test_bed
@@ -76,7 +76,7 @@
         assert_eq!(test_bed.enqueue("update", 1).1, "+OK");
     }
     wait_until("some failures", || (host.calls().len() >= 2).then_some(()));
-    wait_until("the outage to be noted", || {
+    wait_until("the outage to be stored", || {
         let memory: Value = serde_json::from_str(
             fs::read_to_string(test_bed.folder.join("state/memory"))
                 .ok()?
@@ -93,7 +93,7 @@
     wait_until("three calls", || {
         (host.calls().len() >= before + 3).then_some(())
     });
-    // Cold, it can take 0.8 a second and may get twice that; all twelve at once would push it over.
+    // A cold host can serve 0.8 messages a second and may get twice that; all twelve at once would overload it.
     let after = host.calls().split_off(before);
     assert!(
         after[2].at - after[0].at > Duration::from_millis(500),
@@ -108,14 +108,14 @@
     test_bed
         .discovery
         .push(5, &[entry("z", old.address, 9, "up")]);
-    wait_until("the change", || {
+    wait_until("the new host list", || {
         (test_bed.enqueue("update", 9).1 == "+OK").then_some(())
     });
     test_bed
         .discovery
         .silent
         .store(true, std::sync::atomic::Ordering::SeqCst);
-    // Calls go on meanwhile.
+    // Calls continue while discovery is silent.
     let (id, _) = test_bed.enqueue("update", 1);
     wait_until("the call", || old.calls_of(&id).first().cloned());
     let asked = || {
@@ -136,7 +136,7 @@
         .discovery
         .silent
         .store(false, std::sync::atomic::Ordering::SeqCst);
-    let id = wait_until("what was missed", || {
+    let id = wait_until("the missed host list", || {
         let (id, answer) = test_bed.enqueue("update", 2);
         (answer == "+OK").then_some(id)
     });
@@ -159,7 +159,7 @@
     ] {
         test_bed.discovery.push_text(3, line.into());
     }
-    let id = wait_until("the host of the lines that were lost", || {
+    let id = wait_until("the host from the rejected lines", || {
         let (id, answer) = test_bed.enqueue("update", 2);
         (answer == "+OK").then_some(id)
     });
@@ -190,7 +190,7 @@
             .filter(|l| l.starts_with("POST"))
             .count()
     };
-    wait_until("some tries", || (posts() >= 3).then_some(()));
+    wait_until("some attempts", || (posts() >= 3).then_some(()));
     test_bed.kill();
     test_bed
         .discovery
--- a/crates/relay/tests/relay/journal.rs
+++ b/crates/relay/tests/relay/journal.rs
@@ -32,12 +32,12 @@
             (&calls[1].key, &calls[1].body)
         );
     }
-    // A non-idempotent message must not be sent again, nor may its client be told that resubmitting is safe.
+    // A non-idempotent message must not be sent again, nor may its client be notified that resubmitting is safe.
     let notice = wait_until("the notice", || test_bed.discovery.notice_for(&ids[2]));
     assert_eq!(notice["status"], "undeliverable");
     assert_eq!(host.calls_of(&ids[2]).len(), 1);
-    // What was delivered or ended is not owed at the next start. A kill might come between an answer and
-    // its record; this end does not.
+    // Messages that were delivered or have ended are not restored at the next start. A kill could fall between an
+    // answer and its record; an exit on SIGTERM does not.
     test_bed.terminate();
     assert!(test_bed.wait_for_exit().success());
     test_bed.start();
@@ -150,11 +150,11 @@
         shrunk += u32::from(now < size);
         size = now;
     }
-    assert!(shrunk > 3, "written anew {shrunk} times");
+    assert!(shrunk > 3, "compacted only {shrunk} times");
     test_bed.kill();
     host.script(|_, _| ok());
     test_bed.start();
-    wait_until("what was owed all along", || {
+    wait_until("the message that stayed pending", || {
         host.calls_of(&owed).get(1).cloned()
     });
     assert_eq!(host.calls_of(&owed)[1].body, b"body");
--- a/crates/relay/tests/relay/main.rs
+++ b/crates/relay/tests/relay/main.rs
@@ -1,4 +1,4 @@
-//! The relay as a process between scripted peers on loopback sockets.
+//! Runs the relay as a process between scripted peers on loopback sockets.
 
 mod client_connections;
 mod configuration;
--- a/crates/relay/tests/relay/requests.rs
+++ b/crates/relay/tests/relay/requests.rs
@@ -17,7 +17,7 @@
         text.extend(request(&format!("x{number}"), "event", 7, 20_000, body));
     }
     let mut client = test_bed.client();
-    // Every cut in the first requests, then the rest at once.
+    // The first 700 bytes are split at every byte; the rest is sent at once.
     for byte in &text[..700] {
         client.send(&[*byte]);
     }
--- a/crates/relay/tests/relay/resources.rs
+++ b/crates/relay/tests/relay/resources.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-/// A figure of the process in /proc: a status line's number, or the count of descriptors.
+/// Resident memory of the relay process in KB (`VmRSS` in `/proc`).
 fn resident(test_bed: &TestBed) -> usize {
     let id = test_bed.relay.as_ref().expect("runs").id();
     let status = fs::read_to_string(format!("/proc/{id}/status")).expect("a process");
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .expect("its memory");
+        .expect("a VmRSS line");
     line.split_whitespace()
         .next()
         .and_then(|kb| kb.parse().ok())
@@ -30,14 +30,14 @@
     let mut seq = 1;
     let mut churn = |test_bed: &mut TestBed, rounds: usize| {
         for _ in 0..rounds {
-            // A new host at the address of the one that goes.
+            // A new host at the address of the one that is removed.
             seq += 1;
             let gone = entry(&format!("h{}", seq - 2), host.address, 1, "removed");
             test_bed
                 .discovery
                 .push(seq, &[up(&format!("h{}", seq - 1), &host, 1), gone]);
             for _ in 0..4 {
-                // Each on a connection of its own, which is dropped.
+                // Each message uses its own connection, which is then closed.
                 let (id, answer) = test_bed.enqueue("event", 1);
                 assert_eq!(answer, "+OK");
                 wait_until("the call", || host.calls_of(&id).first().cloned());
@@ -48,11 +48,11 @@
     churn(&mut test_bed, 150);
     let before = (resident(&test_bed), descriptors(&test_bed));
     churn(&mut test_bed, 600);
-    let after = wait_until("few descriptors", || {
+    let after = wait_until("closed descriptors", || {
         Some(descriptors(&test_bed)).filter(|now| *now < before.1 + 20)
     });
     let grown = resident(&test_bed).saturating_sub(before.0);
-    // 2,400 messages, connections, ids and keys, and 600 hosts: a kilobyte left by each would be more.
+    // 2,400 messages, connections, ids and keys, and 600 hosts: a leak of one kilobyte for each would exceed the limit.
     assert!(
         grown < 2048,
         "{before:?} grew by {grown} KB, {after} descriptors"
--- a/crates/relay/tests/relay/retries.rs
+++ b/crates/relay/tests/relay/retries.rs
@@ -15,7 +15,7 @@
         wait_until("the call", || host.calls_of(id).first().cloned());
     }
     wait_until("another call", || host.calls_of(&first).get(1).cloned());
-    // Calls may still cross the response for 100 ms.
+    // For 100 ms, calls may still be sent while the response is in transit.
     let wait = start + Duration::from_millis(100)..start + Duration::from_millis(900);
     let early: Vec<_> = host
         .calls()
@@ -38,7 +38,7 @@
         .collect();
     assert!(
         fill.last().expect("tried").is_err(),
-        "the queue takes more than it should"
+        "the backlog is not full"
     );
     let host = Host::new(|_, before| {
         if before == 0 {
@@ -51,7 +51,8 @@
     test_bed.config["settings"]["limits"]["dialTimeout"] = 20_000_000.into();
     test_bed.start();
     let (first, _) = test_bed.enqueue("update", 1);
-    // The other host sends a Retry-After while that call is still connecting; the hosts' loads tell which host gets which message.
+    // The other host sends a Retry-After while that call is still connecting; the load of each host
+    // decides which one gets a message.
     test_bed.discovery.push(2, &[up("b", &host, 1)]);
     let start = wait_until("a call at the other host", || {
         test_bed.enqueue("update", 1);
@@ -79,8 +80,8 @@
         )
     });
     let (reached, read) = calls.join().expect("ends");
-    assert!(reached > 0, "nobody came through");
-    assert_eq!(read, 0, "a call began within the wait");
+    assert!(reached > 0, "no connection was established");
+    assert_eq!(read, 0, "a call was sent within the Retry-After time");
     wait_until("the first message", || {
         host.calls_of(&first).first().cloned()
     });
@@ -88,7 +89,7 @@
 
 #[test]
 fn unsafe_message_is_retried_only_if_it_cannot_have_executed() {
-    // Nothing listens there, so the call is never sent.
+    // Nothing listens at this address, so the call is never sent.
     let gone = bind().local_addr().expect("bound");
     let host = Host::new(|_, _| ok());
     let mut test_bed = TestBed::started(vec![entry("a", gone, 1, "up"), up("b", &host, 1)]);
@@ -199,7 +200,7 @@
         (host.calls().len() == 4).then_some(())
     });
     std::thread::sleep(Duration::from_millis(300));
-    // From here on each of them breaks at its next call, as if a middlebox had dropped its state.
+    // From here on, each of these connections breaks at its next call, as if a middlebox had dropped its state.
     host.script(|call, _| {
         if call.connection < 4 {
             HostResponse::Close
@@ -209,11 +210,11 @@
     });
     let (id, answer) = test_bed.enqueue("update", 1);
     assert_eq!(answer, "+OK");
-    let calls = wait_until("the call that is answered", || {
+    let calls = wait_until("an answered call", || {
         Some(host.calls_of(&id))
             .filter(|calls| calls.last().is_some_and(|call| call.connection >= 4))
     });
-    // The other connections that were idle as long are discarded with it.
+    // The other connections that were idle as long are discarded with the broken one.
     assert_eq!(calls.len(), 2, "{calls:?}");
 }
 
@@ -231,11 +232,12 @@
     let calls = wait_until("another call", || {
         Some(host.calls_of(&id)).filter(|calls| calls.len() > 1)
     });
-    let ended = wait_until("the first to end", || {
+    let ended = wait_until("the first connection to end", || {
         host.ended.lock().unwrap().first().cloned()
     });
     assert_eq!(ended.0, calls[0].connection);
-    // The peer's threads note times in any order; a connection that was kept would end when idle.
+    // The host's threads record times in any order. A connection that was kept open would end only by its
+    // idle time-out.
     assert!(ended.1 < calls[1].at + Duration::from_secs(5));
     assert_ne!(calls[0].connection, calls[1].connection);
 }
@@ -283,7 +285,7 @@
         ),
     ];
     for (number, (delivered, text)) in spoilt.into_iter().enumerate() {
-        // A destination of its own, so that no circuit breaker opens.
+        // Each response has its own destination, so that no circuit breaker opens.
         let block = 10 + number as u16;
         test_bed
             .discovery
--- a/crates/relay/tests/relay/shutdown.rs
+++ b/crates/relay/tests/relay/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM.
+//! Shutdown on SIGTERM.
 
 use super::*;
 
@@ -19,7 +19,7 @@
     assert_eq!(client.line(), "+PONG");
     let start = Instant::now();
     test_bed.terminate();
-    // A client goes on for as long as its connection stays open.
+    // A client keeps sending while its connection is open.
     let mut taken = Vec::new();
     for number in 0.. {
         let id = format!("t{number}");
@@ -35,7 +35,7 @@
             "" => break,
             busy => assert!(busy.starts_with("-BUSY"), "{busy}"),
         }
-        // A client's pace: few enough that the hold keeps them all.
+        // Paced like a client, with few enough messages that the relay can hold them all.
         std::thread::sleep(Duration::from_millis(80));
     }
     assert!(test_bed.wait_for_exit().success());
@@ -49,11 +49,11 @@
     test_bed.start();
     wait_until("the kept message", || hung.calls_of(&kept).get(1).cloned());
     for id in &taken {
-        wait_until("what was taken on late", || {
+        wait_until("a message accepted after SIGTERM", || {
             hung.calls_of(id).last().cloned()
         });
     }
-    // Its outcome was written down, so it is neither sent again nor given up.
+    // The outcome of the slow message was journaled, so it is neither sent again nor reported as undeliverable.
     assert_eq!(host.calls_of(&slow).len(), 1);
     assert_eq!(test_bed.discovery.notice_for(&slow), None);
 }
--- a/crates/relay/tests/soak.rs
+++ b/crates/relay/tests/soak.rs
@@ -1,7 +1,7 @@
-//! A soak of real processes and sockets: clients use their connections until SIGKILL, signals come in series, and system
-//! calls, writes, hosts and the wall clock fail in between. Each seed is a plan of its own.
+//! Soak test with real processes and sockets: clients use their connections until SIGKILL, signals are sent in series,
+//! and system calls, writes, hosts and the wall clock fail in between. Each seed determines a plan.
 //!
-//! CI plays a few seeds. More by hand: `SOAK_SEEDS=100..150 cargo test -p relay --test soak -- --nocapture`.
+//! CI runs a few seeds. To run more: `SOAK_SEEDS=100..150 cargo test -p relay --test soak -- --nocapture`.
 
 #[path = "soak/client.rs"]
 mod client;
@@ -20,26 +20,26 @@
 use support::faults::Faults;
 use support::*;
 
-/// Seeds that CI plays.
+/// Seeds that CI runs.
 const CI_SEEDS: Range<u64> = 1000..1012;
-/// Seeds that are played at once.
+/// Number of seeds that run concurrently.
 const PARALLEL_SEEDS: usize = 5;
-/// SIGKILL comes no sooner after SIGTERM, and this soak lets it come then (PROTOCOL, Figures).
+/// Time from SIGTERM to SIGKILL: the shortest that is allowed (PROTOCOL, Figures).
 const KILL_AFTER_STOP: Duration = Duration::from_millis(3700);
 /// Time between SIGKILL and the next start.
 const RESTART_AFTER_KILL: Duration = Duration::from_millis(600);
-/// Requests written this shortly before SIGKILL cross it; the relay cannot answer them.
+/// The relay cannot answer requests written within this time before SIGKILL.
 const CROSSES_KILL: Duration = Duration::from_millis(50);
-/// How long a message may be delivered.
+/// Time within which a message may be delivered.
 const TIME_TO_LIVE: Duration = Duration::from_secs(6);
 /// Latest time of a notification after that (PROTOCOL, The rules on sockets: 300 ms, and 50 ms on sockets) ...
 const NOTIFICATION_SLACK: Duration = Duration::from_millis(350);
 /// ... and after the relay is ready again.
 const RESTART_SLACK: Duration = Duration::from_millis(1500);
-/// Room for a machine that is busy with other seeds.
+/// Additional time because the machine is busy with other seeds.
 const MACHINE_SLACK: Duration = Duration::from_secs(2);
 
-/// One seed's relay and its surroundings.
+/// The relay of one seed, with its hosts and clients.
 struct Soak {
     seed: u64,
     test_bed: TestBed,
@@ -125,7 +125,7 @@
         self.faults.step_wall_clock(disturbance.wall_clock_step_ms);
     }
 
-    /// Sends a signal to a process that may have ended by then.
+    /// Sends a signal to the relay unless it has already exited.
     fn signal(&mut self, name: &str) {
         let relay = self.test_bed.relay.as_mut().expect("started");
         if relay.try_wait().expect("waits").is_none() {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Waits until each accepted message has its end, or its time is up.
+    /// Waits until each accepted message has ended, or until the latest time for that.
     fn wait_for_ends(&self) {
         let accepted = self.log.lock().unwrap().accepted.clone();
         let last = accepted.iter().map(|request| request.written_at).max();
@@ -166,7 +166,7 @@
                 violations.push(format!("called {} times: {request:?}", self.calls(request)));
             }
         }
-        // A client may write to a connection that the kill has ended before it notices.
+        // A client may still write to a connection that SIGKILL has closed, before it notices the close.
         let crosses_kill = |written_at: Instant| {
             let mut downtimes = self.downtimes.iter();
             downtimes.any(|downtime| {
--- a/crates/relay/tests/soak/client.rs
+++ b/crates/relay/tests/soak/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends one request after the other on its connection until the connection ends.
+//! A client that sends requests one at a time on a connection until the connection ends.
 
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 
 const CLASSES: [&str; 3] = ["update", "payout", "event"];
 
-/// A request that was written whole.
+/// A request that was written completely.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub id: String,
@@ -21,16 +21,16 @@
     pub written_at: Instant,
 }
 
-/// What became of all clients' requests.
+/// Outcomes of the requests of all clients.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     pub accepted: Vec<Request>,
     pub refused: usize,
-    /// Requests whose connection ended before the whole answer.
+    /// Requests whose connection ended before the complete reply arrived.
     pub unanswered: Vec<Request>,
 }
 
-/// Starts a client; it ends with its connection.
+/// Starts a client, whose thread ends when its connection ends.
 pub fn spawn(
     listen: SocketAddr,
     name: String,
@@ -38,7 +38,7 @@
     log: Arc<Mutex<Log>>,
 ) -> JoinHandle<()> {
     thread::spawn(move || {
-        // At the limit of descriptors a new connection may be shut unread.
+        // At the descriptor limit, the relay may close a new connection without reading from it.
         let Ok(stream) = TcpStream::connect(listen) else {
             return;
         };
@@ -56,7 +56,7 @@
     })
 }
 
-/// Sends a request and reads its answer; false once the connection has ended.
+/// Sends a request and reads its reply. Returns false if the connection has ended.
 fn send(client: &mut Client, name: &str, number: usize, log: &Mutex<Log>) -> bool {
     let sent = Request {
         id: format!("{name}-{number}"),
--- a/crates/relay/tests/soak/plan.rs
+++ b/crates/relay/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a seed plays.
+//! The plan of a soak run, drawn from its seed.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 /// Destinations, each with one host.
 pub const DESTINATIONS: u16 = 4;
 const TURNS: u64 = 2;
-/// Signals that may come, the first SIGTERM aside.
+/// Signals that may be sent besides the first SIGTERM.
 const SIGNALS: [&str; 3] = ["-TERM", "-HUP", "-INT"];
 
 /// How a host behaves.
 #[derive(Clone, Copy, Debug)]
 pub enum HostBehavior {
     Healthy,
-    /// Answers late.
+    /// Answers with a delay.
     Slow,
     /// Answers every third call with an error.
     Errors,
-    /// Closes the connection under every fourth call.
+    /// Closes the connection on every fourth call.
     Closes,
     /// Never answers.
     Hangs,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Faults of the relay's system calls, in calls of a hundred, and of its wall clock.
+/// Faults of the relay's system calls, in percent of the calls, and the step of its wall clock in milliseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Disturbance {
     pub short_transfers: i64,
@@ -49,23 +49,23 @@
     pub wall_clock_step_ms: i64,
 }
 
-/// From one start of the relay to the next.
+/// The period from one start of the relay to the next.
 #[derive(Clone, Debug)]
 pub struct Turn {
     pub clients: u64,
     pub pause: Duration,
-    /// Connections that say nothing.
+    /// Connections that send nothing.
     pub idle_connections: u64,
     pub quiet: Duration,
     pub disturbance: Disturbance,
     pub disturbed: Duration,
-    /// SIGTERM comes before SIGKILL.
+    /// Whether SIGTERM is sent before SIGKILL.
     pub stops_first: bool,
     pub signals: Vec<&'static str>,
     pub signal_pause: Duration,
 }
 
-/// A seed's plan.
+/// What happens in the run of a seed.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
--- a/crates/relay/tests/startup_errors/mod.rs
+++ b/crates/relay/tests/startup_errors/mod.rs
@@ -1,5 +1,5 @@
-//! Golden files of what the program says when it cannot start: for each case an input, the exit code, and the one
-//! line on standard error. No test writes these files.
+//! Golden files of the errors that the program reports when it cannot start: for each case an input, the exit code, and
+//! the one line on standard error. No test writes these files.
 //!
 //! A case is `== NAME`, the lines of its input, `-- exit CODE`, and the expected line.
 
@@ -28,12 +28,12 @@
     let mut names: Vec<&str> = cases.iter().map(|case| case.name.as_str()).collect();
     names.sort_unstable();
     names.dedup();
-    assert_eq!(names.len(), cases.len(), "a name stands for two cases");
+    assert_eq!(names.len(), cases.len(), "two cases have the same name");
     cases
 }
 
 fn case(text: &str) -> Case {
-    let (input, expected) = text.split_once("\n-- ").expect("input and answer");
+    let (input, expected) = text.split_once("\n-- ").expect("input and expected output");
     let mut lines = input.lines().map(String::from);
     Case {
         name: lines.next().expect("a name"),
@@ -42,7 +42,7 @@
     }
 }
 
-/// Runs a program that is to end by itself at once; its exit code and all of standard error, as in the file.
+/// Runs a program that should exit at once. Returns its exit code and standard error, formatted as in the file.
 pub fn run(mut command: Command) -> String {
     let mut process = command
         .stdin(Stdio::null())
@@ -67,9 +67,9 @@
     stdout.read_to_string(&mut output).expect("text");
     let stderr = process.stderr.as_mut().expect("piped");
     stderr.read_to_string(&mut errors).expect("text");
-    assert_eq!(output, "", "nothing belongs on standard output");
+    assert_eq!(output, "", "standard output is not empty");
     let code = status.code().expect("an exit code");
-    let line = errors.strip_suffix('\n').expect("a whole line");
+    let line = errors.strip_suffix('\n').expect("a complete line");
     assert!(!line.contains('\n'), "more than one line: {errors}");
     format!("exit {code}\n{line}")
 }
--- a/crates/relay/tests/unstarted_attempts.rs
+++ b/crates/relay/tests/unstarted_attempts.rs
@@ -1,4 +1,4 @@
-//! An attempt of which no byte was written is not counted as one that may have been executed, wherever a kill falls.
+//! An attempt of which no byte was written is not counted as possibly executed, whenever the relay is killed.
 
 mod support;
 
@@ -13,7 +13,7 @@
 const PAYOUTS: usize = 10;
 /// Time to live of a payout, in milliseconds.
 const TIME_TO_LIVE_MS: u64 = 15_000;
-/// More than the connections that come up at once, so that none of them is established at the relay alone.
+/// More than the number of connections established at once, so that none is established on the relay's side only.
 const BACKLOG: i32 = 32;
 /// A connection that is not established after this time is not in the backlog.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
@@ -55,7 +55,7 @@
     }
 }
 
-/// A relay with payouts for a host, as accepted.
+/// Starts a relay that has accepted payouts for a host, and returns it with their ids.
 fn relay_with_payouts(host: SocketAddr, dial_timeout_micros: u64) -> (TestBed, Vec<String>) {
     let mut test_bed = TestBed::new(vec![entry("a", host, 1, "up")]);
     test_bed.config["settings"]["limits"]["dialTimeout"] = dial_timeout_micros.into();
@@ -74,20 +74,21 @@
     test_bed.start();
     for id in payouts {
         wait_until("a call of each payout", || {
-            // One that was called right before the kill may have been executed, and fails.
+            // A payout that was called right before the kill may have been executed, so it fails.
             if !host.calls_of(id).is_empty() {
                 return Some(());
             }
             let notice = test_bed.discovery.notice_for(id);
-            assert!(
-                notice.is_none(),
-                "{id} is given up without a call: {notice:?}"
-            );
+            assert!(notice.is_none(), "{id} failed without a call: {notice:?}");
             None
         });
     }
     for id in payouts {
-        assert_eq!(host.calls_of(id).len(), 1, "{id} is called once");
+        assert_eq!(
+            host.calls_of(id).len(),
+            1,
+            "{id} must be called exactly once"
+        );
     }
 }
 
@@ -96,10 +97,13 @@
     let tests = moments_ms.map(|moment| thread::spawn(move || test(Duration::from_millis(moment))));
     // All tests must end before this process does, as each of them kills its relay.
     let results = tests.map(thread::JoinHandle::join);
-    assert!(results.iter().all(Result::is_ok), "it fails at some moment");
+    assert!(
+        results.iter().all(Result::is_ok),
+        "failed at some kill time"
+    );
 }
 
-/// Guards against an attempt that is journaled as started before its connection is up.
+/// Guards against an attempt that is journaled as started before its connection is established.
 #[test]
 fn payouts_waiting_on_full_backlog_are_delivered_after_kill() {
     for_each_kill(KILLS_WHILE_CONNECTING_MS, |moment| {
