--- a/crates/relay/tests/admin/durability.rs
+++ b/crates/relay/tests/admin/durability.rs
@@ -18,7 +18,7 @@
             thread::spawn(move || {
                 for turn in 0..10u32 {
                     let weight = 1000 + thread * 10 + turn;
-                    // Each comes again until it has won once.
+                    // Each change is retried until it succeeds.
                     loop {
                         let tag = api.get("/v1/tenants/acme").tag().to_string();
                         let answer = api
@@ -28,7 +28,7 @@
                             200 => {
                                 let other =
                                     won.lock().unwrap().insert(answer.tag().to_string(), weight);
-                                assert_eq!(other, None, "two won at {tag}");
+                                assert_eq!(other, None, "two changes succeeded at {tag}");
                                 break;
                             }
                             412 => *lost.lock().unwrap() += 1,
@@ -73,7 +73,7 @@
     assert_eq!(told, *won);
 }
 
-/// Answered 2xx, it holds after the restart; not answered, it is there whole or not at all.
+/// A change answered with 2xx persists after a restart; an unanswered change is applied completely or not at all.
 #[test]
 fn acknowledged_changes_survive_sigkill() {
     let (mut test_bed, api) = started(Vec::new(), "import = false");
@@ -85,7 +85,7 @@
     }
     for round in 0..6u32 {
         let stop = Arc::new(AtomicBool::new(false));
-        // By tenant: the last change that was answered, and the one that was not.
+        // Per tenant: the last answered change, and the unanswered one.
         let threads: Vec<_> = (0..4u32)
             .map(|n| {
                 let (api, stop) = (api.clone(), stop.clone());
@@ -133,7 +133,7 @@
             }
         }
     }
-    // Each change stands in the audit log, once.
+    // The audit log contains each change exactly once.
     let text = fs::read_to_string(test_bed.folder.join("tenants/audit.jsonl")).expect("a log");
     let numbers: Vec<u64> = text
         .lines()
--- a/crates/relay/tests/admin/load.rs
+++ b/crates/relay/tests/admin/load.rs
@@ -1,8 +1,8 @@
-//! Hostile administrators and flooding tenants delay nobody else.
+//! Hostile administrators and flooding tenants do not delay messages of others.
 
 use super::*;
 
-/// What an administrator does, well or not, does not keep messages waiting.
+/// Neither valid nor malformed requests of an administrator delay messages.
 #[test]
 fn hostile_administrator_does_not_delay_messages() {
     let host = Host::new(|_, _| ok());
@@ -49,7 +49,7 @@
                 drop(stream.set_read_timeout(Some(Duration::from_millis(300))));
                 let head = "POST /v1/tenants HTTP/1.1\r\nHost: x\r\nContent-Length: 4000000000\r\n";
                 let sent = match kind {
-                    // A body without end, a head without end, a head a byte at a time.
+                    // An endless body, an endless head, and a head sent one byte at a time.
                     3 => stream.write_all(format!("{head}\r\n{}", "x".repeat(1 << 20)).as_bytes()),
                     4 => stream.write_all(format!("{head}X: {}", "y".repeat(1 << 20)).as_bytes()),
                     _ => head.bytes().take(20).try_for_each(|byte| {
@@ -80,13 +80,13 @@
         refused.get(&429).is_some_and(|count| *count > 100),
         "{refused:?}"
     );
-    // A round takes 5 ms; what is measured is the relay's own, on a machine that others share.
+    // A round takes 5 ms. The relay's own delay is measured, on a machine that other processes share.
     assert!(
         at(&busy, 0.5) < at(&calm, 0.5) + Duration::from_millis(10),
         "{busy:?}"
     );
-    // It serves those who behave once the others are gone.
-    wait_until("an answer", || {
+    // The API serves well-behaved clients after the hostile ones have disconnected.
+    wait_until("a successful response", || {
         (api.get("/v1/tenants").status == 200).then_some(())
     });
 }
@@ -126,7 +126,7 @@
             })
         })
         .collect();
-    wait_until("the flood", || {
+    wait_until("3000 requests of the flood", || {
         (*asked.lock().unwrap() > 3000).then_some(())
     });
     let mut ids = BTreeSet::new();
--- a/crates/relay/tests/admin/main.rs
+++ b/crates/relay/tests/admin/main.rs
@@ -1,4 +1,4 @@
-//! Tenants and the administration API: what it answers, and what holds over anything that goes wrong meanwhile.
+//! Tenants and the administration API: its responses, and the guarantees that hold during failures.
 
 #[path = "../api/mod.rs"]
 mod api;
--- a/crates/relay/tests/admin/requests.rs
+++ b/crates/relay/tests/admin/requests.rs
@@ -1,4 +1,4 @@
-//! What requests are answered: problems, roles and scopes.
+//! Responses of the API: problems, and the permissions of roles and scopes.
 
 use super::*;
 
@@ -304,7 +304,7 @@
             (status, Some("Bearer"))
         );
     }
-    // The document is for all to read.
+    // The OpenAPI document can be read without a token.
     assert_eq!(Api::new(&address, None).get("/v1/openapi.json").status, 200);
     assert_eq!(root.create("acme", json!({})).status, 201);
     assert_eq!(team.create("acme2", json!({})).status, 403);
@@ -332,13 +332,13 @@
     assert_eq!(ops.change("POST", "acme/pause").status, 200);
     assert_eq!(ops.change("DELETE", "acme").status, 403);
     assert_eq!(ops.change("DELETE", "acme/secrets/x").status, 403);
-    // A file that can't be used leaves the old one in force; a good one counts at once.
+    // An invalid file leaves the previous one in force; a valid one takes effect immediately.
     let path = test_bed.folder.join("operator.toml");
     let good = fs::read_to_string(&path).expect("a file");
     let hangup = |test_bed: &TestBed| test_bed.signal("-HUP");
     fs::write(&path, good.replace("[admin]", "[admin]\ncolour = 1")).expect("written");
     hangup(&test_bed);
-    wait_until("the word on the bad file", || {
+    wait_until("the error for the bad file to be logged", || {
         test_bed.log().contains("colour").then_some(())
     });
     assert_eq!(eyes.get("/v1/tenants").status, 200);
--- a/crates/relay/tests/admin/sessions.rs
+++ b/crates/relay/tests/admin/sessions.rs
@@ -47,7 +47,7 @@
     let mut other = test_bed.client();
     other.send(&[auth("beta", "tunafish"), ask("beta", "a2")].concat());
     assert_eq!([other.line(), other.line()], ["+OK", "+OK"]);
-    wait_until("its own call", || host.calls_of("a2").get(1).cloned());
+    wait_until("its separate call", || host.calls_of("a2").get(1).cloned());
     // A deleted secret becomes invalid, on open connections too.
     secret("acme", "next", "catfish");
     assert_eq!(api.change("DELETE", "acme/secrets/main").status, 200);
--- a/crates/relay/tests/admin/startup.rs
+++ b/crates/relay/tests/admin/startup.rs
@@ -1,4 +1,4 @@
-//! How the API starts, and which operator files are valid.
+//! Startup of the API, and validation of the operator file.
 
 use super::*;
 
@@ -27,7 +27,7 @@
         text
     };
     assert!(ask().starts_with("HTTP/1.1 200 OK\r\n"));
-    // A kill leaves the socket behind, which keeps nobody from listening again.
+    // A killed relay leaves its socket file behind; the next one can still listen on that path.
     test_bed.kill();
     test_bed.start();
     assert!(ask().contains("\"name\":\"acme\""));
@@ -91,7 +91,7 @@
     );
 }
 
-/// The file that is shipped is one that a relay takes, but for its folder.
+/// A relay accepts the shipped file once its folder and address are replaced.
 #[test]
 fn example_operator_file_is_valid() {
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.toml");
@@ -106,7 +106,7 @@
         &test_bed.folder.display().to_string(),
     );
     let text = text.replace("127.0.0.1:8700", &address);
-    // The token, partner and rule that it shows are ones, too.
+    // The token, partner and rule in its commented-out examples are valid, too.
     let example = |line: &str| {
         let word = |text: &str| text.chars().all(|c| c.is_ascii_alphanumeric() || c == '_');
         let key = line.split_once(" = ").is_some_and(|(key, _)| word(key));
--- a/crates/relay/tests/admin/tenant_lifecycle.rs
+++ b/crates/relay/tests/admin/tenant_lifecycle.rs
@@ -95,7 +95,7 @@
         (removed.status, removed.body["state"].as_str()),
         (202, Some("draining"))
     );
-    wait_until("it to be gone", || {
+    wait_until("the tenant to be gone", || {
         (api.get("/v1/tenants/acme").status == 410).then_some(())
     });
     assert!(test_bed
@@ -125,7 +125,7 @@
         ),
         (&json!(7), &json!(100))
     );
-    // The same stands in the file, a line each.
+    // The audit file contains the same entries, one per line.
     let text = fs::read_to_string(test_bed.folder.join("tenants/audit.jsonl")).expect("a log");
     let lines: Vec<Value> = text
         .lines()
@@ -149,8 +149,8 @@
         (api.usage("acme")["held"] == 2).then_some(())
     });
     assert_eq!(api.change("POST", "acme/pause").status, 200);
-    // A call that began before the pause is still answered as the host was scripted when it comes.
-    wait_until("the calls to come back", || {
+    // A call that began before the pause is answered by the script set when it reaches the host.
+    wait_until("the calls to complete", || {
         (api.usage("acme")["in_flight"] == 0).then_some(())
     });
     host.script(|_, _| ok());
@@ -158,7 +158,7 @@
         .enqueue_for("acme", "update", 1, 9000)
         .1
         .starts_with("-BUSY"));
-    let notice = wait_until("the end of what is out of time", || {
+    let notice = wait_until("the notice of the expired message", || {
         test_bed.discovery.notice_for(&short)
     });
     assert_eq!(notice["status"], "deferred");
@@ -166,7 +166,7 @@
     thread::sleep(Duration::from_millis(300));
     assert_eq!(host.calls().len(), calls);
     assert_eq!(api.change("POST", "acme/resume").status, 200);
-    wait_until("the payout to go", || {
+    wait_until("a call of the payout", || {
         host.calls_of(&long)
             .iter()
             .any(|call| call.at.elapsed().as_secs() < 5)
@@ -178,8 +178,8 @@
     assert_eq!(test_bed.enqueue_for("acme", "update", 1, 9000).1, "+OK");
 }
 
-/// The calls of a removed tenant that are out come to their end, what is held ends as its specification says, and
-/// each message has one end. Made anew meanwhile, it is another.
+/// The calls in flight of a removed tenant complete, its held messages end as its specification says, and each message
+/// ends exactly once. A tenant created with the same name meanwhile is a separate tenant.
 #[test]
 fn messages_of_tenant_removed_during_attempts_end_exactly_once() {
     for how in ["finish", "refuse"] {
@@ -204,7 +204,8 @@
             .enqueue_for("acme", "payout", 1, 9000)
             .1
             .starts_with("-ERR the tenant is being removed"));
-        // Its notices come while it drains; it is made anew before it is gone, and serves.
+        // Notices are sent while the tenant drains. A new tenant of this name is created before the old one is gone,
+        // and its messages are accepted.
         let anew = api.create("acme", json!({"weight": 9}));
         assert_eq!((anew.status, anew.tag()), (201, "\"2.1\""));
         assert_eq!(
@@ -218,20 +219,20 @@
         assert_eq!(answer, "+OK");
         if how == "refuse" {
             for id in &ids[1..] {
-                let notice = wait_until("the end of what was held", || {
+                let notice = wait_until("the notice of a held message", || {
                     test_bed.discovery.notice_for(id)
                 });
                 assert_eq!(notice["status"], "deferred");
             }
             host.script(|_, _| ok());
         }
-        wait_until("what came later to go", || {
+        wait_until("the new tenant's call", || {
             host.calls_of(&fresh).first().cloned()
         });
-        wait_until("the old one to be gone", || {
+        wait_until("the old tenant to be gone", || {
             (api.get("/v1/tenants/acme").body["draining"] == json!([])).then_some(())
         });
-        // One delivery or one notice each, and one call that may have run for a payout.
+        // Each message has one delivery or one notice, and a payout has one call that may have run.
         for id in &ids {
             let notices = test_bed
                 .discovery
@@ -270,7 +271,7 @@
     test_bed.start();
     assert_eq!(api.get("/v1/tenants/acme").body["version"], "2.1");
     wait_until("another call", || host.calls_of(&id).get(1).cloned());
-    wait_until("the old one to be gone", || {
+    wait_until("the old tenant to be gone", || {
         (api.get("/v1/tenants/acme").body["draining"] == json!([])).then_some(())
     });
     assert_eq!(api.usage("acme")["owed"], 0);
--- a/crates/relay/tests/api_transcripts.rs
+++ b/crates/relay/tests/api_transcripts.rs
@@ -1,8 +1,8 @@
-//! What the administration API answers, byte for byte: its document, and transcripts of requests and answers for
-//! each resource and each problem, compared with golden files in `tests/golden`. No test rewrites them: a test that
-//! fails prints what was answered.
+//! Compares the administration API byte for byte with golden files in `tests/golden`: its OpenAPI document, and
+//! transcripts of requests and responses for each resource and each problem. No test rewrites the golden files; a test
+//! that fails prints the actual responses.
 //!
-//! All goes through HTTP alone, so that nothing here depends on how the program's items are named.
+//! The tests use HTTP only, so that they do not depend on the names of the program's items.
 
 #[allow(unused_imports)]
 mod support;
@@ -19,14 +19,14 @@
 use serde_json::{json, Value};
 use support::*;
 
-/// Response headers that are no part of a transcript: the date varies, and the others are the connection's.
+/// Response headers left out of a transcript: the date varies, and the others concern the connection.
 const HEADERS_LEFT_OUT: [&str; 3] = ["connection", "content-length", "date"];
-/// The most differences that are listed when documents differ.
+/// Maximum number of differences listed when documents differ.
 const MOST_DIFFERENCES: usize = 20;
-/// A record can't be sent again for a second after its message was given up; this is longer.
+/// Longer than the second after a message was given up during which its record can't be resent.
 const LONGER_THAN_A_RECORD_RESTS: Duration = Duration::from_millis(1500);
 
-/// Names of the tokens in the operator file with role, scope and the SHA-256 of the token, which is the name twice.
+/// Name, role, scope and SHA-256 of each token in the operator file. The token itself is its name written twice.
 const TOKENS: &[(&str, &str, &str, &str)] = &[
     (
         "root",
@@ -66,8 +66,8 @@
     address: SocketAddr,
 }
 
-/// A golden transcript, and what was answered this time to its requests. Its lines are headings (`# TEXT`), parts
-/// between which the test does something else (`@ PART`), requests (`> REQUEST`) and answers (`< LINE`).
+/// A golden transcript, and the actual responses to its requests. Its lines are headings (`# TEXT`), starts of parts
+/// between which the test performs other actions (`@ PART`), requests (`> REQUEST`) and responses (`< LINE`).
 struct Transcript {
     name: &'static str,
     golden: String,
@@ -75,7 +75,7 @@
     parts: usize,
 }
 
-/// An answer as it came.
+/// A response as received.
 struct Answered {
     status: u16,
     headers: BTreeMap<String, String>,
@@ -84,12 +84,12 @@
 
 impl Answered {
     fn json(&self) -> Value {
-        serde_json::from_slice(&self.body).expect("a body in JSON")
+        serde_json::from_slice(&self.body).expect("a JSON body")
     }
 }
 
 impl Administration {
-    /// A relay that is started with these sections of the operator file beside `[admin]`, which has `limits` in it.
+    /// Starts a relay with these sections of the operator file beside `[admin]`, which contains the lines of `limits`.
     fn start(hosts: Vec<Value>, limits: &str, sections: impl Fn(&Path) -> String) -> Self {
         let mut test_bed = TestBed::new(hosts);
         let address = bind().local_addr().expect("bound");
@@ -106,7 +106,7 @@
         Administration { test_bed, address }
     }
 
-    /// Sends a request as it stands in a transcript.
+    /// Sends a request in the notation of the transcripts.
     fn send(&self, request: &str) -> Answered {
         let (line, headers, body) = parts_of(request);
         let (method, path) = line.split_once(' ').expect("a method and a path");
@@ -120,7 +120,7 @@
         text += &format!("\r\n{body}");
         let mut stream = TcpStream::connect(self.address).expect("the API listens");
         stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
-        // A body that is too long may be answered before all of it was taken.
+        // The relay may answer a body that is too long before it has read all of it.
         drop(stream.write_all(text.as_bytes()));
         let mut reader = BufReader::new(stream);
         let mut next = || {
@@ -139,7 +139,7 @@
             }
             let (name, value) = line.split_once(": ").expect("a header");
             let before = headers.insert(name.to_ascii_lowercase(), value.to_string());
-            assert_eq!(before, None, "{name} is there twice");
+            assert_eq!(before, None, "duplicate header {name}");
         }
         let length = headers
             .get("content-length")
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Waits until a GET is answered with a body of which something is true.
+    /// Repeats a GET until the body of the response satisfies the predicate.
     fn wait(&self, path: &str, holds: impl Fn(&Value) -> bool) {
         let request = format!("root GET {path}");
         wait_until(path, || holds(&self.send(&request).json()).then_some(()));
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Sends the requests of the next part, which has to have this name.
+    /// Sends the requests of the next part, which must have this name.
     fn play(&mut self, api: &Administration, part: &str) {
         let golden = self.golden.clone();
         let mut parts = golden.split("@ ").skip(1 + self.parts);
@@ -208,7 +208,7 @@
         self.actual.push(String::new());
     }
 
-    /// Compares the whole: all parts have to have been played.
+    /// Compares the whole transcript. All parts must have been played.
     fn assert_as_it_was(&self) {
         let (name, golden) = (self.name, &self.golden);
         let actual = self.actual.join("\n") + "\n";
@@ -219,13 +219,13 @@
         let both = actual.lines().zip(golden.lines());
         let differing = (0..).zip(both).find(|(_, (one, other))| one != other);
         let Some((at, (one, other))) = differing else {
-            panic!("{name}: one is the beginning of the other, or the line ends differ");
+            panic!("{name}: one is a prefix of the other, or the line endings differ");
         };
         let request = self.actual[..at]
             .iter()
             .rfind(|line| line.starts_with("> "));
         panic!(
-            "{name}:{}, after {request:?}\n is {one}\nnot {other}",
+            "{name}:{}, after {request:?}\n  actual: {one}\nexpected: {other}",
             at + 1
         );
     }
@@ -237,9 +237,9 @@
     fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The request line, the headers and the body of a request as it stands in a transcript, which is
-/// `TOKEN METHOD PATH | HEADER: VALUE | … | = BODY`. The token `nobody` is none, `json` is the media type, `any` is
-/// `If-Match: *`.
+/// Returns the request line, the headers and the body of a request in a transcript, which is written
+/// `TOKEN METHOD PATH | HEADER: VALUE | … | = BODY`. The token `nobody` stands for no token, `json` for the JSON media
+/// type, `merge` for that of a merge patch, and `any` for `If-Match: *`.
 fn parts_of(request: &str) -> (&str, Vec<String>, String) {
     let mut parts = request.split(" | ");
     let (token, line) = parts
@@ -269,13 +269,13 @@
     (line, headers, body)
 }
 
-/// Puts words in place of what truly varies from run to run: times, all but those of 2020, which are the test's own,
-/// and the names of requests that the relay gave.
+/// Replaces the values that vary from run to run with placeholders: times, except those of 2020, which the tests
+/// themselves send, and the request names that the relay generates.
 fn without_what_varies(body: &str) -> String {
     without_times(&without_request_names(body))
 }
 
-/// A text of JSON that is a time to the millisecond, as `"2026-12-01T08:00:00.000Z"`, becomes `"TIME"`.
+/// Replaces each JSON string that is a time with milliseconds, such as `"2026-12-01T08:00:00.000Z"`, with `"TIME"`.
 fn without_times(body: &str) -> String {
     const SHAPE: &str = "\"0000-00-00T00:00:00.000Z\"";
     let is_time = |text: &str| {
@@ -299,14 +299,14 @@
     out
 }
 
-/// A member `request` whose value ends in `-` and a number becomes `REQUEST`.
+/// Replaces the value of each member `request` that ends in `-` and a number with `REQUEST`.
 fn without_request_names(body: &str) -> String {
     const MEMBER: &str = "\"request\":\"";
     let mut parts = body.split(MEMBER);
     let mut out = parts.next().unwrap_or("").to_string();
     for part in parts {
         out += MEMBER;
-        let (name, after) = part.split_once('"').expect("the end of a text");
+        let (name, after) = part.split_once('"').expect("the end of the string");
         let given = name
             .rsplit_once('-')
             .is_some_and(|(_, n)| n.parse::<u64>().is_ok());
@@ -316,7 +316,7 @@
     out
 }
 
-/// Pointers at which two documents differ, each with both values.
+/// Collects the JSON pointers at which two documents differ, each with both values.
 fn differences(pointer: &str, actual: &Value, golden: &Value, found: &mut Vec<String>) {
     match (actual, golden) {
         (Value::Object(one), Value::Object(other)) => {
@@ -356,7 +356,7 @@
     assert_eq!(answered.status, 200);
     assert_eq!(answered.headers["content-type"], "application/json");
     let mut served = answered.json();
-    // The one part that each release changes.
+    // The only part that changes with each release.
     assert_eq!(served["info"]["version"], env!("CARGO_PKG_VERSION"));
     served["info"]["version"] = json!("VERSION");
     let golden: Value = serde_json::from_str(&golden("openapi.json")).expect("JSON");
@@ -401,7 +401,7 @@
     }
 }
 
-/// Problems that no request of a test causes: the relay is shutting down or answers unexpectedly.
+/// Problems that no request of a test can cause: the relay is shutting down or answers unexpectedly.
 const PROBLEMS_LEFT_OUT: [&str; 1] = ["internal"];
 /// All problem types of the API.
 const PROBLEMS: [&str; 34] = [
@@ -497,7 +497,7 @@
     api.wait("/v1/tenants/acme/usage", |usage| {
         usage["delivered"] == 1 && usage["held"] == 0 && usage["owed"] == 0
     });
-    // Its host says nothing, so that the message is held while its tenant drains.
+    // The host does not respond, so that the message is held while its tenant drains.
     let (id, answer) = api.test_bed.enqueue_for("drains", "update", 2, 50_000);
     assert_eq!(answer, "+OK");
     wait_until("the call", || silent.calls_of(&id).first().cloned());
@@ -524,8 +524,8 @@
     let api = Administration::start(Vec::new(), limits, |folder| hosted_tenants(folder, false));
     let mut transcript = Transcript::of("api-too-many-requests.transcript");
     let request = "root GET /v1/openapi.json";
-    // Two pass, and one more a second; requests that come at once sooner or later find no room.
-    let refused = wait_until("a refusal", || {
+    // Two requests are admitted, then one per second; requests without pauses eventually exceed the rate.
+    let refused = wait_until("a rejected request", || {
         let mut answered = (0..8).map(|_| api.send(request));
         answered.find(|answered| answered.status == 429)
     });
@@ -534,7 +534,8 @@
     transcript.assert_as_it_was();
 }
 
-/// A partner with a scripted answer to the query whether a message took effect.
+/// Starts a partner that is queried about whether a message took effect. Returns its address and the status that it
+/// responds with, which the test may change.
 fn partner() -> (SocketAddr, Arc<Mutex<&'static str>>) {
     let listener: TcpListener = bind();
     let address = listener.local_addr().expect("bound");
@@ -553,8 +554,8 @@
     (address, says)
 }
 
-/// The section of a relay that keeps what is given up: one resend at once, one resend of a record, and a partner at
-/// destination 1 that can be asked.
+/// Returns the operator file's section for recording undeliverable messages: one resend at a time, one resend per
+/// record, and a partner at destination 1 that can be queried.
 fn kept_records(folder: &Path, partner: SocketAddr) -> String {
     let kept = folder.join("kept");
     fs::create_dir_all(&kept).expect("a folder");
@@ -565,7 +566,7 @@
     )
 }
 
-/// Hands a message in and waits until it is given up and kept as the record of this number.
+/// Submits a message and waits until it is given up and stored as the record with this number.
 fn submit_until_undeliverable(
     api: &mut Administration,
     tenant: &str,
@@ -573,7 +574,7 @@
     destination: u16,
     record: u32,
 ) {
-    // Calls of a payout are not made twice, so that the first one that breaks ends it; others have their time run out.
+    // A payout is not called twice, so that its first broken call ends it; messages of other classes expire.
     let left = if class == "payout" { 20_000 } else { 400 };
     let answer = api.test_bed.enqueue_for(tenant, class, destination, left).1;
     assert_eq!(answer, "+OK");
@@ -592,7 +593,7 @@
         entry("a", host.address, 1, "up"),
         entry("silent", silent.address, 2, "up"),
         entry("b", host.address, 3, "up"),
-        // Each silent host gets one message alone: after a call without an answer it may get no other.
+        // Each silent host is used for one message only: after an unanswered call it may receive no other.
         entry("silent-too", silent_too.address, 4, "up"),
     ];
     let mut api = Administration::start(hosts, FAST, |folder| {
@@ -645,7 +646,7 @@
     });
     let mut transcript = Transcript::of("api-record-resting.transcript");
     let mut record = 0;
-    let refused = wait_until("a record to be asked for within its rest", || {
+    let refused = wait_until("a resend to be rejected during the record's rest", || {
         record += 1;
         submit_until_undeliverable(&mut api, "acme", "update", 2, record);
         let answered = api.send(&format!("ops POST /v1/undeliverable/{record}/resend | any"));
--- a/crates/relay/tests/openapi.rs
+++ b/crates/relay/tests/openapi.rs
@@ -1,4 +1,4 @@
-//! The API's document: valid by itself, and true of what the API answers.
+//! The API's OpenAPI document is valid, and the responses of the API match it.
 
 mod api;
 #[allow(unused_imports)]
@@ -7,7 +7,7 @@
 use api::*;
 use serde_json::{json, Value};
 
-/// A schema of the document with what it refers to.
+/// Returns a schema of the document together with the components that it refers to.
 fn schema(document: &Value, pointer: &str) -> Value {
     let mut schema = document
         .pointer(pointer)
@@ -32,7 +32,7 @@
 fn openapi_document_is_valid_and_matches_responses() {
     let (mut test_bed, api) = started(Vec::new(), "import = false");
     let document = api.get("/v1/openapi.json").body;
-    let parsed = oas3::from_json(document.to_string()).expect("a document by OpenAPI 3.1");
+    let parsed = oas3::from_json(document.to_string()).expect("a valid OpenAPI 3.1 document");
     assert!(parsed
         .validate_version()
         .is_ok_and(|version| version.major == 3 && version.minor == 1));
@@ -50,7 +50,10 @@
     for (path, item) in document["paths"].as_object().expect("paths") {
         for (method, operation) in item.as_object().expect("operations") {
             let name = operation["operationId"].as_str().expect("a name");
-            assert!(operations.insert(name.to_string()), "{name} is there twice");
+            assert!(
+                operations.insert(name.to_string()),
+                "duplicate operationId {name}"
+            );
             assert!(
                 operation["summary"]
                     .as_str()
@@ -71,7 +74,7 @@
                     "{method} {path}"
                 );
             }
-            let responses = operation["responses"].as_object().expect("answers");
+            let responses = operation["responses"].as_object().expect("responses");
             assert!(
                 responses.keys().any(|status| status.starts_with('2')),
                 "{method} {path}"
@@ -79,7 +82,7 @@
         }
     }
     assert_eq!(operations.len(), 30);
-    // What is answered is what the document says, and what it says may be sent is taken.
+    // Responses match the document's schemas, and a request that matches its schema is accepted.
     let is = |name: &str, value: &Value| {
         let schema = schema(&document, &format!("/components/schemas/{name}"));
         let validator = jsonschema::draft202012::new(&schema).expect("a schema");
@@ -106,7 +109,7 @@
     is("Problem", &stale.body);
     assert_eq!(stale.status, 412);
     is("Problem", &api.create("a b", json!({})).body);
-    // A checker that takes anything would take these too.
+    // The schemas reject invalid values, so that the checks above are not vacuous.
     let refuses = |name: &str, value: &Value| {
         let schema = schema(&document, &format!("/components/schemas/{name}"));
         assert!(
--- a/crates/relay/tests/support/mod.rs
+++ b/crates/relay/tests/support/mod.rs
@@ -49,6 +49,7 @@
     )
 }
 
+/// Binds a listener to an unused loopback address.
 pub fn bind() -> TcpListener {
     TcpListener::bind(address()).expect("a loopback port")
 }
@@ -98,8 +99,10 @@
     HostResponse::Text(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n"))
 }
 
+/// Returns the response to a call, given the number of calls received before it.
 type Script = Box<dyn Fn(&RecordedCall, usize) -> HostResponse + Send + Sync>;
 
+/// A partner host that records each call and responds as scripted.
 #[derive(Clone)]
 pub struct Host {
     pub address: SocketAddr,
@@ -141,6 +144,7 @@
         host
     }
 
+    /// Replaces the script; it applies to all later calls.
     pub fn script(
         &self,
         script: impl Fn(&RecordedCall, usize) -> HostResponse + Send + Sync + 'static,
@@ -204,6 +208,7 @@
     }
 }
 
+/// Reads the start line and the header lines of a request; `None` if the connection ended or sent no start line.
 fn head(reader: &mut impl BufRead) -> Option<(String, Vec<String>)> {
     let mut lines = Vec::new();
     loop {
@@ -219,6 +224,7 @@
     (!lines.is_empty()).then(|| (lines.remove(0), lines))
 }
 
+/// Returns the value of the first header with this name, in any letter case.
 fn header(lines: &[String], name: &str) -> Option<String> {
     let mut pairs = lines.iter().filter_map(|line| line.split_once(':'));
     let found = pairs.find(|(n, _)| n.eq_ignore_ascii_case(name));
@@ -292,6 +298,7 @@
         );
     }
 
+    /// Sends a line to all watches that were opened with an earlier version, without changing the full snapshot.
     pub fn push_text(&self, seq: u64, line: String) {
         self.lines.lock().unwrap().push((seq, line));
     }
@@ -311,13 +318,14 @@
             .count()
     }
 
-    /// Waits until this number of watches has been opened.
+    /// Waits until at least this number of watches has been opened.
     pub fn wait_for_watches(&self, times: usize) {
         wait_until("a watch", || {
             (self.request_count("follow=1") >= times).then_some(())
         });
     }
 
+    /// Returns the first notice received for the message.
     pub fn notice_for(&self, id: &str) -> Option<Value> {
         self.notices
             .lock()
@@ -518,6 +526,7 @@
         test_bed
     }
 
+    /// Writes the configuration and operator files, and returns the command that starts the relay.
     pub fn command(&self) -> Command {
         let path = self.folder.join("config.json");
         std::fs::write(&path, self.config.to_string()).expect("a file");
@@ -584,6 +593,7 @@
         });
     }
 
+    /// Returns all log output so far, over restarts; empty if there is none.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
@@ -636,6 +646,7 @@
         self.enqueue_body(class, block, 20_000, b"body")
     }
 
+    /// Submits a message for tenant `acme`; returns its id and the reply.
     pub fn enqueue_body(
         &mut self,
         class: &str,
@@ -705,6 +716,7 @@
     request_for("acme", id, class, block, deadline_ms, body)
 }
 
+/// Encodes an `ENQUEUE` request. `block` is the destination; only a message of class `event` has an idempotency key.
 pub fn request_for(
     tenant: &str,
     id: &str,
@@ -728,6 +740,7 @@
     ])
 }
 
+/// A client connection to the relay.
 pub struct Client {
     pub reader: BufReader<TcpStream>,
 }
@@ -737,7 +750,7 @@
         self.reader.get_mut().write_all(bytes).expect("sent");
     }
 
-    /// Whether the end of the connection has arrived at this side.
+    /// Returns whether the client has something to read: the end of the connection, an error or data.
     pub fn has_ended(&self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).expect("set");
@@ -761,7 +774,7 @@
     /// Reads the next line, without its line end; empty if the connection has ended.
     pub fn line(&mut self) -> String {
         let mut line = String::new();
-        // If the relay closes with unread input, the read fails with a reset.
+        // If the relay closes the connection with unread input, the read fails with a connection reset.
         drop(self.reader.read_line(&mut line));
         line.trim_end().to_string()
     }
--- a/crates/relay/tests/transcripts.rs
+++ b/crates/relay/tests/transcripts.rs
@@ -1,5 +1,5 @@
-//! Transcripts of what the relay says on the wire to clients, hosts, discovery and operators, compared with golden
-//! files in `tests/golden`. No test rewrites them.
+//! Compares transcripts of the relay's output to clients, hosts, discovery and operators with golden files in
+//! `tests/golden`. No test rewrites the golden files.
 
 mod support;
 
@@ -30,7 +30,7 @@
     bytes.escape_ascii().to_string()
 }
 
-/// A proxy in front of a peer that keeps what is sent to the peer, by connection.
+/// A proxy in front of a peer that records the bytes sent to the peer, per connection.
 #[derive(Clone)]
 struct Recorder {
     address: SocketAddr,
@@ -63,7 +63,7 @@
         recorder
     }
 
-    /// All that was sent, connection by connection, and within that request by request.
+    /// Returns all requests sent, ordered by connection and then by request.
     fn requests(&self) -> Vec<String> {
         let sent = self.sent.lock().unwrap();
         let text = sent.iter().flat_map(|bytes| {
@@ -98,7 +98,7 @@
     drop(to.shutdown(Shutdown::Both));
 }
 
-/// Puts a word in place of a header's value that the time decides.
+/// Replaces the value of a header that depends on the time with a placeholder.
 fn without_time(request: &str) -> String {
     let lines = request
         .split("\r\n")
@@ -111,7 +111,7 @@
     lines.collect::<Vec<_>>().join("\r\n")
 }
 
-/// Leaves out what was said before: a slow machine makes the relay ask again.
+/// Removes repeated lines: on a slow machine the relay may send a request again.
 fn distinct(lines: impl IntoIterator<Item = String>) -> Vec<String> {
     let mut kept = Vec::new();
     for line in lines {
@@ -243,7 +243,7 @@
 #[test]
 fn discovery_requests_match_golden_transcript() {
     let host = Host::new(|_, _| HostResponse::Close);
-    // An address that takes no connections.
+    // An address that refuses connections.
     let closed = bind().local_addr().expect("bound");
     let mut test_bed = TestBed::new(vec![
         entry("a", host.address, 7, "up"),
--- a/crates/relay/tests/undeliverable/batches_and_rules.rs
+++ b/crates/relay/tests/undeliverable/batches_and_rules.rs
@@ -1,4 +1,4 @@
-//! Batches and rules.
+//! Resends by batches of an operator and by automatic rules.
 
 use super::*;
 
@@ -45,7 +45,7 @@
     };
     let calls = bad();
     thread::sleep(Duration::from_millis(200));
-    assert_eq!(bad(), calls, "a plan sends nothing");
+    assert_eq!(bad(), calls, "a planned batch sent a message");
     let order = |name: &str, order: &str| {
         let path = format!("/v1/undeliverable-batches/{name}/{order}");
         bed.api.send("POST", &path, &[("if-match", "*")], "")
@@ -57,7 +57,7 @@
     };
     assert_eq!(order("night", "run").status, 200);
     // The host still fails: three failures stop the batch.
-    let stopped = wait_until("the stop", || {
+    let stopped = wait_until("the batch to stop", || {
         Some(state("night")).filter(|batch| batch["state"] == "stopped")
     });
     assert!(
@@ -73,13 +73,13 @@
     });
     assert_eq!(order("night", "pause").status, 200);
     assert_eq!(order("night", "run").status, 200);
-    let done = wait_until("the end", || {
+    let done = wait_until("the batch to end", || {
         Some(state("night")).filter(|batch| batch["state"] == "done")
     });
     assert_eq!(order("night", "run").status, 409);
     // Records that failed in the batch are still open, and another batch resends them.
     assert!(plan("rest", 5).status == 201 && order("rest", "run").status == 200);
-    wait_until("the rest", || {
+    wait_until("the second batch to end", || {
         Some(state("rest")).filter(|batch| batch["state"] == "done")
     });
     let records = bed.all("");
--- a/crates/relay/tests/undeliverable/load.rs
+++ b/crates/relay/tests/undeliverable/load.rs
@@ -1,8 +1,9 @@
-//! Many payouts over kills, and live messages beside a batch.
+//! Many payouts with the relay killed repeatedly, and live messages during a batch.
 
 use super::*;
 
-/// Another number of payouts: `PAYOUTS=10000 cargo test --release -p relay --test undeliverable ten_thousand`.
+/// Runs 400 payouts by default. With another number:
+/// `PAYOUTS=10000 cargo test --release -p relay --test undeliverable ten_thousand`.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn ten_thousand_payouts_are_applied_once_despite_kills() {
@@ -12,7 +13,7 @@
         .unwrap_or(400);
     let ledger = Ledger::new();
     let book = ledger.clone();
-    // Some are applied, some are not; none is answered.
+    // The host applies one call in three and answers none.
     let host = Host::new(move |seen, before| {
         if before % 3 == 0 {
             book.apply(&seen.id);
@@ -36,11 +37,11 @@
     let good = ledger.clone();
     let silent = Arc::new(std::sync::atomic::AtomicU32::new(0));
     let turn = silent.clone();
-    wait_until("a third to be given up", || {
+    wait_until("the first records", || {
         (bed.all("").len() >= 3.min(count)).then_some(())
     });
     host.script(move |seen, _| {
-        // It still applies one in ten without saying so, and drops one in ten.
+        // The host still applies one call in ten without answering it, and drops one in ten.
         match turn.fetch_add(1, std::sync::atomic::Ordering::Relaxed) % 10 {
             0 => {
                 good.apply(&seen.id);
@@ -53,7 +54,7 @@
             }
         }
     });
-    wait_until("all to be delivered or kept", || {
+    wait_until("all to be delivered or recorded", || {
         let kept = bed.all("");
         let done = ids
             .iter()
@@ -61,7 +62,7 @@
             .count();
         (done == ids.len()).then_some(())
     });
-    // Two operators run batches of all records, again and again, and the relay is killed meanwhile.
+    // Two operators repeatedly run batches of all records while the relay is killed and restarted.
     let mut round = 0;
     loop {
         let records = bed.all("");
@@ -76,7 +77,7 @@
         if open + sending == 0 {
             break;
         }
-        assert!(round < 60 + count / 50, "{open} records are open still");
+        assert!(round < 60 + count / 50, "{open} records are still open");
         for operator in ["ops", "second"] {
             let (api, name) = (bed.as_of(operator), format!("{operator}-{round}"));
             let body =
@@ -114,13 +115,14 @@
     );
 }
 
-/// What a batch costs live messages: `cargo test --release -p madderpitch-relay --test undeliverable live -- --ignored
-/// --nocapture`. Takes a quiet machine and half a minute.
+/// Measures how much a batch delays live messages:
+/// `cargo test --release -p relay --test undeliverable live -- --ignored --nocapture`.
+/// Needs an idle machine and takes half a minute.
 #[test]
 #[ignore = "a measurement, which wants the cores to itself"]
 fn live_messages_are_not_slowed_by_a_batch() {
     let ledger = Ledger::new();
-    // Live messages take 20 ms at their host, as do resends.
+    // The host answers live messages after 20 ms, and later the resends too.
     let host = Host::new(|seen, _| match seen.body.as_slice() {
         b"live" => HostResponse::Delayed(20, ok_text()),
         _ => HostResponse::Close,
@@ -138,16 +140,16 @@
         let id = bed.test_bed.id();
         client.send(&request(&id, "payout", 1, 50_000, b"payout"));
         assert_eq!(client.line(), "+OK");
-        // Few enough beside the successful ones that the circuit breaker stays closed.
+        // Their rate is low compared with the successful messages, so that the circuit breaker stays closed.
         thread::sleep(Duration::from_millis(40));
     }
-    wait_until("all to be kept", || {
+    wait_until("all to be recorded", || {
         (bed.all("").len() >= given_up).then_some(())
     });
     host.script(|_, _| HostResponse::Delayed(20, ok_text()));
     drop(good);
     thread::sleep(Duration::from_secs(3));
-    // Hand-in to host, for messages 15 ms apart.
+    // The time from submission to the call at the host, for messages 15 ms apart.
     let measure = |first: usize| {
         let mut client = bed.test_bed.client();
         let mut sent = Vec::new();
@@ -199,7 +201,10 @@
                 "",
             )
             .body;
-        assert!(batch["sent"].as_u64() > Some(50), "the batch ran: {batch}");
+        assert!(
+            batch["sent"].as_u64() > Some(50),
+            "too few resends: {batch}"
+        );
         println!(
             "µs p50, p99 without a batch {without:?}, with one {with:?}, {} sent",
             batch["sent"]
@@ -208,7 +213,7 @@
     }
     rows.sort_by_key(|(without, with)| with * 1000 / without.max(&1));
     let (without, with) = rows[1];
-    // A resend begins a round of its own, and the next round comes a tick of 5 ms later.
+    // A resend starts a round of its own, and the next round follows one tick of 5 ms later.
     assert!(
         with <= without + 5_000,
         "p99 {without} µs without a batch, {with} µs with one"
--- a/crates/relay/tests/undeliverable/main.rs
+++ b/crates/relay/tests/undeliverable/main.rs
@@ -1,4 +1,4 @@
-//! Undeliverable messages: they are recorded, shown, and sent again without a second effect.
+//! Undeliverable messages are recorded, shown, and resent without taking effect twice.
 
 #[path = "../api/mod.rs"]
 mod api;
@@ -21,13 +21,13 @@
 use serde_json::{json, Value};
 use support::*;
 
-/// A partner that answers queries whether a message took effect.
+/// A partner that answers queries about whether a message took effect.
 #[derive(Clone)]
 struct Ledger {
     address: SocketAddr,
-    /// How often each message was applied.
+    /// Number of times each message was applied.
     applied: Arc<Mutex<BTreeMap<String, u32>>>,
-    /// Response body to send in place of the true status.
+    /// Response body to send in place of the true status. An empty one is sent only after 4 s.
     forced_response: Arc<Mutex<Option<String>>>,
     queries: Arc<Mutex<Vec<String>>>,
 }
@@ -99,6 +99,7 @@
 const JSON: (&str, &str) = ("content-type", "application/json");
 
 impl UndeliverableTestBed {
+    /// Starts the relay. `more` is appended to the `[undeliverable]` section; `held` is the limit of held messages.
     fn new(hosts: Vec<Value>, ledger: &Ledger, more: &str, held: u32) -> UndeliverableTestBed {
         let (mut test_bed, address) = new_with_tenants(hosts, "", "");
         test_bed.config["settings"]["limits"]["mostHeld"] = json!(held);
@@ -116,7 +117,7 @@
             folder.display().to_string(),
             ledger.address
         );
-        // Tenants as the platform has them, unless the test makes its own.
+        // The tenants come from the settings, unless the test asks for tenants managed by the API (`# hosted`).
         let (tenants, admin) = admin.split_once("[admin]").expect("a section");
         let tenants = if more.contains("# hosted") {
             tenants
@@ -141,6 +142,7 @@
         }
     }
 
+    /// Returns a client that uses the token with this name.
     fn as_of(&self, name: &str) -> Api {
         Api::new(&self.address, Some(&token(name)))
     }
@@ -196,9 +198,10 @@
     }
 }
 
+/// Requests an action on a record with this `If-Match`, and repeats it while the record is settling.
 fn act_as(api: &Api, id: &Value, act: &str, tag: &str) -> ApiResponse {
-    // A record settles for a second after its message became undeliverable.
-    wait_until("an answer after the rest", || {
+    // A record can't be resent until a second after its message became undeliverable.
+    wait_until("a response after the record's rest", || {
         let reply = api.send(
             "POST",
             &format!("/v1/undeliverable/{id}/{act}"),
@@ -209,6 +212,7 @@
     })
 }
 
+/// Attests as an operator whether the message was applied.
 fn attest(api: &Api, id: &Value, says: &str) -> ApiResponse {
     let body = json!({ "says": says }).to_string();
     api.send(
@@ -219,7 +223,7 @@
     )
 }
 
-/// Live messages that succeed, so that the destination's circuit breaker stays closed; they go on until this is dropped.
+/// Sends live messages that succeed, so that the destination's circuit breaker stays closed, until it is dropped.
 struct Good(
     Arc<std::sync::atomic::AtomicBool>,
     Option<thread::JoinHandle<()>>,
@@ -253,7 +257,7 @@
     }
 }
 
-/// Good messages are answered, others are not.
+/// Answers messages whose body is `good`, and closes the connection for all others.
 fn only_good(seen: &RecordedCall, _: usize) -> HostResponse {
     if seen.body == b"good" {
         ok()
@@ -266,6 +270,7 @@
     vec![entry("a", host.address, 1, "up")]
 }
 
+/// Returns the status and the last part of the problem type.
 fn problem(reply: &ApiResponse) -> (u16, String) {
     let kind = reply.body["type"]
         .as_str()
--- a/crates/relay/tests/undeliverable/records.rs
+++ b/crates/relay/tests/undeliverable/records.rs
@@ -1,4 +1,4 @@
-//! What is stored of an undeliverable message, and who may see it.
+//! Contents of the records of undeliverable messages, and which tokens may read them.
 
 use super::*;
 
@@ -22,7 +22,7 @@
     assert_eq!(record["attempts"][0]["host"], "a");
     assert_eq!(record["attempts"][0]["outcome"], "broken");
     assert_eq!(record["may_have_run"], true);
-    // Its one final notification was sent all the same.
+    // The message's final notification was still sent.
     wait_until("the notice", || bed.test_bed.discovery.notice_for(name));
     let id = &record["id"];
     let body = format!("/v1/undeliverable/{id}/body");
@@ -54,7 +54,7 @@
             "{bad}"
         );
     }
-    // Cursors stay where they are while records come.
+    // A cursor keeps its position while new records arrive.
     let first = bed.api.get("/v1/undeliverable?limit=2").body;
     let newest: Vec<u64> = first["items"]
         .as_array()
@@ -72,7 +72,7 @@
         second["items"][0]["id"].as_u64(),
         newest.last().map(|id| id - 1)
     );
-    // Counts and scopes.
+    // Counts, and the scopes of tokens.
     let counts = bed.api.get("/v1/undeliverable/counts?by=reason").body;
     assert_eq!(
         counts["items"],
@@ -102,12 +102,12 @@
     assert_eq!(act_as(&team, id, "discard", "*").status, 404);
     assert_eq!(team.get("/v1/undeliverable/counts?by=reason").status, 403);
     assert_eq!(act_as(&bed.as_of("eyes"), id, "claim", "*").status, 403);
-    // A change without a version, and one for another version.
+    // A change without a version is rejected, and so is one for another version.
     let path = format!("/v1/undeliverable/{id}/claim");
     assert_eq!(bed.api.send("POST", &path, &[], "").status, 428);
     assert_eq!(act_as(&bed.api, id, "claim", "\"7\"").status, 412);
     let status = bed.api.get("/v1/undeliverable/status").body;
-    // The document is true of what is answered.
+    // The responses match the schemas of the OpenAPI document.
     let document = bed.api.get("/v1/openapi.json").body;
     let batch = json!({"name": "b", "filter": {"reason": "may-have-run"}});
     let batch = bed.api.send(
@@ -162,11 +162,11 @@
     let (name, record) = all.iter().next().expect("one");
     let id = &record["id"];
     assert_eq!(root.change("DELETE", "acme").status, 202);
-    wait_until("it to be gone", || {
+    wait_until("the tenant to be gone", || {
         (root.get("/v1/tenants/acme").status == 410).then_some(())
     });
     assert_eq!(bed.act(id, "ask").status, 202);
-    wait_until("the word", || bed.one(id)["needs"].is_null().then_some(()));
+    wait_until("a reply", || bed.one(id)["needs"].is_null().then_some(()));
     assert_eq!(
         problem(&bed.act(id, "resend")),
         (409, "not-handed-over".into())
--- a/crates/relay/tests/undeliverable/resends.rs
+++ b/crates/relay/tests/undeliverable/resends.rs
@@ -1,4 +1,4 @@
-//! Which attestations permit a resend, and that a resend takes effect once.
+//! Only certain attestations permit a resend, and a resend takes effect once.
 
 use super::*;
 
@@ -35,7 +35,7 @@
                 (409, "record-closed".into())
             );
         } else {
-            wait_until("the word", || bed.one(id)["needs"].is_null().then_some(()));
+            wait_until("a reply", || bed.one(id)["needs"].is_null().then_some(()));
             wait_until("the resend", || {
                 (bed.act(id, "resend").status == 202).then_some(())
             });
@@ -73,7 +73,7 @@
         ledger.force_response(Some(lie));
         let before = ledger.queries.lock().unwrap().len();
         assert_eq!(bed.act(id, "ask").status, 202, "{lie}");
-        wait_until("the question", || {
+        wait_until("the partner query", || {
             (ledger.queries.lock().unwrap().len() > before).then_some(())
         });
         thread::sleep(Duration::from_millis(2300));
@@ -100,7 +100,7 @@
     ] {
         ledger.force_response(Some(lie));
         assert_eq!(bed.act(id, "ask").status, 202);
-        wait_until("the word", || (bed.one(id)["needs"] == needs).then_some(()));
+        wait_until("a reply", || (bed.one(id)["needs"] == needs).then_some(()));
     }
     assert_eq!(
         problem(&bed.act(id, "resend")),
@@ -111,7 +111,7 @@
     assert_eq!(
         bed.one(id)["needs"],
         "needs-agreement",
-        "one operator, twice"
+        "two attestations of one operator counted as agreement"
     );
     assert_eq!(attest(&bed.as_of("second"), id, "not-applied").status, 200);
     host.script(|_, _| ok());
@@ -151,7 +151,7 @@
         .collect();
     let statuses: Vec<u16> = askers
         .into_iter()
-        .map(|asker| asker.join().expect("asked"))
+        .map(|asker| asker.join().expect("done"))
         .collect();
     assert_eq!(
         statuses.iter().filter(|status| **status == 202).count(),
@@ -190,11 +190,11 @@
     let id = &first["id"];
     for resends in 1..=2 {
         assert_eq!(bed.act(id, "ask").status, 202);
-        wait_until("the word", || bed.one(id)["needs"].is_null().then_some(()));
+        wait_until("a reply", || bed.one(id)["needs"].is_null().then_some(()));
         wait_until("the resend", || {
             (bed.act(id, "resend").status == 202).then_some(())
         });
-        let record = wait_until("its end", || {
+        let record = wait_until("the resend to fail", || {
             Some(bed.one(id)).filter(|r| {
                 r["state"] == "open" && r["attempts"].as_array().map(Vec::len) == Some(1 + resends)
             })
@@ -205,7 +205,7 @@
             Some(resends as u64)
         );
         assert_eq!(record["ended_at"], first["ended_at"]);
-        // The attestation was given before the last attempt.
+        // The attestation predates the last attempt, so that it does not cover it.
         assert_eq!(
             record["needs"],
             if resends == 2 {
--- a/crates/relay/tests/undeliverable/store.rs
+++ b/crates/relay/tests/undeliverable/store.rs
@@ -1,4 +1,4 @@
-//! Eviction, and a corrupt store.
+//! Eviction of records, and recovery from a corrupt store.
 
 use super::*;
 
@@ -40,9 +40,9 @@
     let mut bytes = std::fs::read(&file).expect("the store");
     let end = bytes.len().min(64 << 10);
     bytes[..end].fill(0x5a);
-    std::fs::write(&file, &bytes).expect("spoilt");
+    std::fs::write(&file, &bytes).expect("corrupted");
     bed.test_bed.start();
-    // It serves, sends notifications, and reports what is wrong; then a new store is created beside the corrupt one.
+    // The relay serves, sends notifications, and logs the fault; then it creates a new store beside the corrupt one.
     let (name, answer) = bed.test_bed.enqueue("payout", 1);
     assert_eq!(answer, "+OK");
     wait_until("the notice", || bed.test_bed.discovery.notice_for(&name));
