--- a/crates/relay/tests/admin/startup.rs
+++ b/crates/relay/tests/admin/startup.rs
@@ -64,7 +64,7 @@
         (repeated, "twice"),
         (
             good[good.find("[admin]").expect("a section")..].to_string(),
-            "needs tenants",
+            "requires tenants",
         ),
         (good.replace("tenants\"\n", "nowhere\"\n"), "nowhere"),
         ("\u{0}".to_string(), "operator file"),
